--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -149,7 +149,7 @@
     let now = Timestamp::from_millis(1_000);
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
-        follow_interval: Duration::from_secs(1),
+        subscribe_interval: Duration::from_secs(1),
         flow_lifetime: Duration::from_secs(60),
         stop_delay: Duration::from_secs(1),
         link_bytes_per_second: None,
--- a/crates/petrellatch-core/src/pass_through/balancer/edge.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/edge.rs
@@ -26,8 +26,8 @@
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
     /// New flows that were refused without asking an agent, by priority.
-    pub fn refused_at_edge(&self) -> &BTreeMap<u32, u64> {
-        &self.refused_at_edge
+    pub fn shed_flows(&self) -> &BTreeMap<u32, u64> {
+        &self.shed_flows
     }
 
     /// What a new flow is for the room that it needs, if its caller had waited for
@@ -49,7 +49,7 @@
             return true;
         }
         self.counters.refused += 1;
-        *self.refused_at_edge.entry(kind.priority).or_default() += 1;
+        *self.shed_flows.entry(kind.priority).or_default() += 1;
         if is_sampled(flow) {
             let version = self.routes.version();
             let subject = format!("flow={flow} reason=no_room version={version}");
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -40,7 +40,7 @@
 use super::link::link_queue::LinkQueue;
 use super::output::PassThroughOutput;
 use super::packet::{FlowId, OPENING_PATIENCE, PacketCodec, PacketView};
-use super::policies::active_policies::{ActivePolicies, PolicyFigures};
+use super::policies::active_policies::{ActivePolicies, PolicyStats};
 use super::routes::route_table::RouteTable;
 
 /// When nobody was heard for so long, the balancer counts as cut off.
@@ -66,7 +66,7 @@
     /// The balancer's zone.
     pub zone: String,
     /// Between two questions for news.
-    pub follow_interval: Duration,
+    pub subscribe_interval: Duration,
     /// A flow that rested for so long is forgotten.
     pub flow_lifetime: Duration,
     /// How long a planned stop goes on handing packets after it said that it
@@ -152,7 +152,7 @@
     answer_time: AnswerTime,
     ask_budget: AskBudget,
     pressure: ServicePressure,
-    refused_at_edge: BTreeMap<u32, u64>,
+    shed_flows: BTreeMap<u32, u64>,
     /// Flows that wait for a place at an agent, with the time by which it is to say
     /// what became of them, in that order.
     waiting: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
@@ -217,7 +217,7 @@
             answer_time: AnswerTime::default(),
             ask_budget: AskBudget::new(now, link_bytes_per_second),
             pressure: ServicePressure::default(),
-            refused_at_edge: BTreeMap::new(),
+            shed_flows: BTreeMap::new(),
             waiting: VecDeque::new(),
             confirm: incarnation.0 | 1,
             confirmed_version: None,
@@ -243,7 +243,7 @@
     }
 
     /// The replicas that this balancer knows.
-    pub fn contacts_mut(&mut self) -> &mut Contacts {
+    pub fn known_replicas_mut(&mut self) -> &mut Contacts {
         &mut self.contacts
     }
 
@@ -292,13 +292,13 @@
     }
 
     /// What each placement policy did so far.
-    pub fn policy_figures(&self) -> Vec<PolicyFigures> {
+    pub fn policy_stats(&self) -> Vec<PolicyStats> {
         self.policies
             .figures(|address| self.agents.get(address).is_some())
     }
 
     /// Flows and agents that are known, for metrics.
-    pub fn sizes(&self) -> (usize, usize) {
+    pub fn table_sizes(&self) -> (usize, usize) {
         (self.hints.len(), self.agents.len())
     }
 
--- a/crates/petrellatch-core/src/pass_through/balancer/news.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/news.rs
@@ -68,7 +68,7 @@
             let lag = now.saturating_since(since);
             self.latencies.configuration_lag.record(lag);
             self.check_current(now);
-        } else if self.routes.is_partial() {
+        } else if self.routes.is_incomplete() {
             self.follow_at = self.follow_at.min(now + REPAIR_INTERVAL);
         }
     }
@@ -122,7 +122,7 @@
 
     pub(super) fn follow(&mut self, now: Timestamp) {
         self.followed_at = now;
-        self.follow_at = now + self.follow_interval();
+        self.follow_at = now + self.subscribe_interval();
         let known = self.contacts.all();
         let is_silent = now.saturating_since(self.heard_at) >= SILENCE_LIMIT;
         let count = match is_silent {
@@ -146,9 +146,9 @@
         }
     }
 
-    fn follow_interval(&mut self) -> Duration {
-        if self.current && !self.routes.is_partial() {
-            return self.settings.follow_interval;
+    fn subscribe_interval(&mut self) -> Duration {
+        if self.current && !self.routes.is_incomplete() {
+            return self.settings.subscribe_interval;
         }
         self.confirm_tries += 1;
         let slow_tries = self.confirm_tries.saturating_sub(QUICK_CONFIRM_TRIES);
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -37,7 +37,7 @@
     }
 
     /// How long datagrams waited for the link that had to; none if its speed is not known.
-    pub fn link_waits(&self) -> Option<&LatencyHistogram> {
+    pub fn link_wait_times(&self) -> Option<&LatencyHistogram> {
         self.link.as_ref().map(LinkQueue::waits)
     }
 
--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -20,7 +20,7 @@
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::packet::FlowId;
 use crate::pass_through::policies::backend_profile::BackendProfile;
-use crate::pass_through::routes::change_assembly::PartAssembly;
+use crate::pass_through::routes::reassembly::Reassembly;
 
 /// How long an agent is avoided whose back end returned an opening packet, or
 /// whose zone is out of service without this balancer knowing. A back end that is
@@ -127,7 +127,7 @@
     /// When the replica said last that this revision has every agent that runs.
     whole_at: Option<Timestamp>,
     agents: BTreeSet<SocketAddrV4>,
-    assembly: PartAssembly,
+    assembly: Reassembly,
 }
 
 /// All agents that a balancer knows.
--- a/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
@@ -49,7 +49,7 @@
             self.send_all(from, news);
         }
         let group = Group {
-            policies: self.policies().news_since(follow.policies_index),
+            policies: self.policies().updates_since(follow.policies_index),
             ..self.group_with_zones(now, follow.evacuations_index)
         };
         self.send(from, PassThroughBody::Group(group));
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -44,7 +44,7 @@
 use super::latency::LatencyHistogram;
 use super::routes::configuration::Configuration;
 use super::routes::configuration_state::ConfigurationState;
-use super::routes::replacements::Replacements;
+use super::routes::pending_replacements::PendingReplacements;
 
 pub use calls::{
     ConfigurationOutput, ConfigurationRequest, ConfigurationResponse, ZoneOrderRefusal,
@@ -100,7 +100,7 @@
     replica: Replica,
     random: ChaCha8Rng,
     state: ConfigurationState,
-    replacements: Replacements,
+    replacements: PendingReplacements,
     /// Orders about zones that are in the log.
     zone_orders: WaitingOrders,
     /// Changes of the placement policies that are in the log.
@@ -178,7 +178,7 @@
             zone_tellings: 0,
             settings,
             state: ConfigurationState::default(),
-            replacements: Replacements::default(),
+            replacements: PendingReplacements::default(),
             zone_orders: WaitingOrders::default(),
             policy_changes: WaitingOrders::default(),
             zone_news: ZoneNews::default(),
--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -71,7 +71,7 @@
             self.respond_elsewhere(token);
             return;
         }
-        let policy = self.policies().of_service(&service).cloned();
+        let policy = self.policies().for_service(&service).cloned();
         let mut explained = ExplainedPolicy {
             service,
             policy: String::new(),
--- a/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
@@ -63,8 +63,8 @@
     fn apply(&mut self, now: Timestamp, index: u64, command: &[u8]) {
         match self.state.apply(index, command) {
             Some(Applied::Change(applied)) => self.note_change(now, &applied),
-            Some(Applied::ZoneOrder { order, changed }) => {
-                self.note_zone_order(now, &order, changed);
+            Some(Applied::ZoneCommand { command, changed }) => {
+                self.note_zone_order(now, &command, changed);
             }
             Some(Applied::PolicyChange { change, outcome }) => {
                 self.note_policy_change(&change, outcome);
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -123,7 +123,7 @@
                     confirm,
                     version,
                     zones: self.evacuations().news_since(0),
-                    policies: self.policies().news_since(0),
+                    policies: self.policies().updates_since(0),
                 };
                 self.send(address, PassThroughBody::Confirmed(confirmed));
             }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
@@ -49,7 +49,7 @@
             return;
         }
         let group = Group {
-            policies: self.policies().news_since(0),
+            policies: self.policies().updates_since(0),
             ..self.group_with_zones(now, 0)
         };
         for follower in self.followers.followers() {
--- a/crates/petrellatch-core/src/pass_through/group/followers.rs
+++ b/crates/petrellatch-core/src/pass_through/group/followers.rs
@@ -16,7 +16,7 @@
 use super::expected_agents::ExpectedAgents;
 use crate::pass_through::agent::YOUNG_REPORTS;
 use crate::pass_through::policies::policy_check::ReportedBackend;
-use crate::pass_through::routes::change_assembly::{PartAssembly, compress, split};
+use crate::pass_through::routes::reassembly::{Reassembly, compress, split};
 
 /// A balancer that did not ask for so long is forgotten.
 const FOLLOWER_LIMIT: Duration = Duration::from_secs(10);
@@ -104,7 +104,7 @@
     /// A directory was taken over that was whole, or all that were there before are known.
     is_known_whole: bool,
     /// What another replica tells after the start.
-    fetched: PartAssembly,
+    fetched: Reassembly,
     /// Revision of the directory: changes of this life in the lower half.
     revision: u64,
     /// Agents that changed, each with the revision before.
--- a/crates/petrellatch-core/src/pass_through/group/told_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/group/told_changes.rs
@@ -7,7 +7,7 @@
 };
 use prost::Message;
 
-use crate::pass_through::routes::change_assembly::{compress, split};
+use crate::pass_through::routes::reassembly::{compress, split};
 use crate::pass_through::routes::configuration::Configuration;
 
 /// Changes that are kept for balancers that are a little behind.
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -52,7 +52,7 @@
 pub use link::link_queue::LinkCounters;
 pub use output::PassThroughOutput;
 pub use packet::{FlowId, PacketCodec, PacketView};
-pub use policies::active_policies::PolicyFigures;
+pub use policies::active_policies::PolicyStats;
 pub use policies::placement_policies::{
     MAX_PLACEMENT_POLICIES, MAX_POLICY_BYTES, PlacementPolicies, PolicyRefusal,
 };
--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -66,7 +66,7 @@
 
 /// What a policy did so far, for metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PolicyFigures {
+pub struct PolicyStats {
     /// The policy.
     pub name: String,
     /// New flows that it placed.
@@ -90,7 +90,7 @@
     }
 
     /// What each policy did. Of back ends only those count whose agents are known.
-    pub(crate) fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> Vec<PolicyFigures> {
+    pub(crate) fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> Vec<PolicyStats> {
         let policies = self.policies.iter();
         policies.map(|policy| policy.figures(&is_known)).collect()
     }
@@ -198,13 +198,13 @@
         }
     }
 
-    fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> PolicyFigures {
+    fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> PolicyStats {
         let known = self
             .results
             .iter()
             .filter(|(address, _)| is_known(**address));
         let eligible = known.filter(|(_, result)| result.weight.is_some());
-        PolicyFigures {
+        PolicyStats {
             name: self.name.clone(),
             placed: self.placed,
             evaluations: self.evaluations,
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -71,7 +71,7 @@
     }
 
     /// The policy that places the flows of a service.
-    pub fn of_service(&self, service: &str) -> Option<&PlacementPolicy> {
+    pub fn for_service(&self, service: &str) -> Option<&PlacementPolicy> {
         let names = |policy: &&PlacementPolicy| policy.services.iter().any(|it| it == service);
         self.iter().find(names)
     }
@@ -172,7 +172,7 @@
     }
 
     /// What somebody who knows the policies up to `known` has to be told, if anything.
-    pub(crate) fn news_since(&self, known: u64) -> Option<PolicyRecords> {
+    pub(crate) fn updates_since(&self, known: u64) -> Option<PolicyRecords> {
         (self.index > known).then(|| self.to_message())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -5,7 +5,7 @@
 };
 use prost::Message;
 
-use super::change_assembly::{PartAssembly, compress, decompress, split};
+use super::reassembly::{Reassembly, compress, decompress, split};
 use super::configuration::Configuration;
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::policies::placement_policies::{PlacementPolicies, PolicyRefusal};
@@ -28,9 +28,9 @@
     /// A change of the configuration is complete.
     Change(AppliedChange),
     /// An order about a zone holds.
-    ZoneOrder {
+    ZoneCommand {
         /// The order.
-        order: ZoneOrder,
+        command: ZoneOrder,
         /// Whether it changed something.
         changed: bool,
     },
@@ -50,7 +50,7 @@
     configuration: Configuration,
     evacuations: Evacuations,
     policies: PlacementPolicies,
-    assembly: PartAssembly,
+    assembly: Reassembly,
     /// Commands of the change that is not complete yet, for snapshots.
     pending: Vec<Vec<u8>>,
 }
@@ -118,9 +118,9 @@
     /// effect at any replica.
     pub(crate) fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<Applied> {
         let command = GroupCommand::decode(bytes).ok()?;
-        if let Some(order) = command.zone_order {
-            let changed = self.evacuations.apply(index, &order);
-            return Some(Applied::ZoneOrder { order, changed });
+        if let Some(command) = command.zone_order {
+            let changed = self.evacuations.apply(index, &command);
+            return Some(Applied::ZoneCommand { command, changed });
         }
         if let Some(change) = command.policy_change {
             let outcome = self.policies.apply(index, &change);
--- a/crates/petrellatch-core/src/pass_through/routes/replacements.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
@@ -16,13 +16,13 @@
 /// Replacements by version. Only the highest is proposed; the others are
 /// overtaken by it and acknowledged with it.
 #[derive(Debug, Default)]
-pub(crate) struct Replacements {
+pub(crate) struct PendingReplacements {
     waiting: BTreeMap<u64, Waiting>,
     /// Number of the change that is in the log, not yet committed.
     proposed: Option<u64>,
 }
 
-impl Replacements {
+impl PendingReplacements {
     pub(crate) fn add(&mut self, token: u64, deadline: Timestamp, configuration: Configuration) {
         let waiting = self.waiting.entry(configuration.version);
         let waiting = waiting.or_insert_with(|| Waiting {
--- a/crates/petrellatch-core/src/pass_through/routes/change_assembly.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/reassembly.rs
@@ -6,7 +6,7 @@
 
 /// Parts of one encoded message, as they arrive, in any order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PartAssembly {
+pub struct Reassembly {
     key: u64,
     parts: u32,
     received: BTreeMap<u32, Vec<u8>>,
@@ -17,7 +17,7 @@
 /// Most parts that one message may have.
 const MAX_PARTS: u32 = 4096;
 
-impl PartAssembly {
+impl Reassembly {
     /// Takes a part of the message that `key` names; parts of another message
     /// are given up. Returns the message once all parts are there.
     pub fn add(&mut self, key: u64, part: u32, parts: u32, bytes: Vec<u8>) -> Option<Vec<u8>> {
@@ -25,7 +25,7 @@
             return None;
         }
         if self.key != key || self.parts != parts {
-            *self = PartAssembly {
+            *self = Reassembly {
                 key,
                 parts,
                 received: BTreeMap::new(),
@@ -39,7 +39,7 @@
         Some(complete.received.into_values().flatten().collect())
     }
 
-    /// Takes a part of a compressed message, as [`PartAssembly::add`]. A message
+    /// Takes a part of a compressed message, as [`Reassembly::add`]. A message
     /// that is damaged is dropped.
     pub fn add_compressed<M: Message + Default>(
         &mut self,
@@ -57,7 +57,7 @@
     }
 
     /// Whether a message is under way.
-    pub fn is_partial(&self) -> bool {
+    pub fn is_incomplete(&self) -> bool {
         !self.received.is_empty()
     }
 }
--- a/crates/petrellatch-core/src/pass_through/routes/route_table.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/route_table.rs
@@ -7,7 +7,7 @@
     ConfigurationChange, ConfigurationPart, RouteRecord, ServiceRecord, unpack_address,
 };
 
-use super::change_assembly::PartAssembly;
+use super::reassembly::Reassembly;
 use crate::pass_through::digest::{flow_digest, service_digest};
 use crate::pass_through::packet::FlowId;
 
@@ -24,7 +24,7 @@
     routes: HashMap<SocketAddrV4, Route>,
     /// See [`ServiceRecord::cold_millirequests_per_second`], by the service's digest.
     cold_rates: HashMap<u64, u32>,
-    assembly: PartAssembly,
+    assembly: Reassembly,
     /// Changes that have overtaken others, by the version that they are based
     /// on.
     ahead: BTreeMap<u64, ConfigurationChange>,
@@ -64,8 +64,8 @@
 
     /// Whether parts of a change are missing, or a change before one that has
     /// come.
-    pub fn is_partial(&self) -> bool {
-        self.assembly.is_partial() || !self.ahead.is_empty()
+    pub fn is_incomplete(&self) -> bool {
+        self.assembly.is_incomplete() || !self.ahead.is_empty()
     }
 
     /// Whether flows of this address are served.
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -207,7 +207,7 @@
     let agent = world.answered_by(2_000).expect("an answer");
     world.request(2_000, agent);
     world.run(Duration::from_secs(5));
-    let (flows, _) = world.balancer.sizes();
+    let (flows, _) = world.balancer.table_sizes();
     assert_eq!(flows, 1, "only the open one is left");
 }
 
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -553,7 +553,7 @@
 fn new_balancer(now: Timestamp, index: u64) -> PassThroughBalancer<TestCodec> {
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
-        follow_interval: Duration::from_secs(1),
+        subscribe_interval: Duration::from_secs(1),
         flow_lifetime: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: Some(LINK_BYTES_PER_SECOND),
--- a/crates/petrellatch-core/tests/pass_through/news.rs
+++ b/crates/petrellatch-core/tests/pass_through/news.rs
@@ -24,7 +24,7 @@
 fn balancer() -> Balancer {
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
-        follow_interval: Duration::from_secs(1),
+        subscribe_interval: Duration::from_secs(1),
         flow_lifetime: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -274,7 +274,7 @@
         &[policy("static", "backend.zone == 'a'", "backend.slots")],
     );
     open_and_end(&mut world, 1..200);
-    let figures = world.balancer.policy_figures();
+    let figures = world.balancer.policy_stats();
     assert_eq!(figures[0].placed, 199);
     assert!(figures[0].evaluations <= 2 * 20, "{figures:?}");
     tell(
@@ -283,7 +283,7 @@
         &[policy("load", "true", "1.0 + backend.free_slots")],
     );
     open_and_end(&mut world, 200..400);
-    let figures = world.balancer.policy_figures();
+    let figures = world.balancer.policy_stats();
     let each = figures[0].evaluations as f64 / figures[0].placed as f64;
     assert!(each <= 4.0, "{each} evaluations for each flow");
 }
@@ -312,14 +312,14 @@
     let mut world = World::new(agents, CAPACITY);
     let mut told = Vec::new();
     for (index, weight) in [(1, "backend.slots"), (2, "1.0 + backend.free_slots")] {
-        let before = world.balancer.policy_figures();
+        let before = world.balancer.policy_stats();
         let before = before
             .first()
             .map_or((0, 0), |it| (it.placed, it.evaluations));
         tell(&mut world, index, &[policy("counted", "true", weight)]);
         let first = 1 + 1_000 * index as u16;
         open_and_end(&mut world, first..first + 200);
-        let after = &world.balancer.policy_figures()[0];
+        let after = &world.balancer.policy_stats()[0];
         let placed = (after.placed - before.0) as f64;
         // Each back end has to be evaluated once before.
         let evaluations = (after.evaluations - before.1 - u64::from(agents)) as f64;
@@ -441,7 +441,7 @@
     open_flows(&mut world, 1..3);
     world.agents.remove(&agent_address(2));
     run_with_calls(&mut world, &[1], 12);
-    assert_eq!(world.balancer.sizes().1, 1);
+    assert_eq!(world.balancer.table_sizes().1, 1);
     // The new one says as much of itself as the former one did.
     world.start_agent(2);
     world.register(2, CAPACITY, false, 1);
@@ -451,7 +451,7 @@
     world.open(10, 0);
     world.run(5 * MILLI);
     assert_eq!(world.answered_by(10), None, "its label is another one now");
-    let figures = world.balancer.policy_figures();
+    let figures = world.balancer.policy_stats();
     assert_eq!(figures[0].eligible, 0);
 }
 
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -147,7 +147,7 @@
         current: index,
     };
     assert_eq!(answers[1], ConfigurationResponse::PolicyRefused(refusal));
-    let held = group.node(leader).policies().of_service("desk").cloned();
+    let held = group.node(leader).policies().for_service("desk").cloned();
     assert_eq!(held, Some(far));
 }
 
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -214,7 +214,7 @@
 fn new_balancer(incarnation: u64) -> PassThroughBalancer<TestCodec> {
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
-        follow_interval: SECOND,
+        subscribe_interval: SECOND,
         flow_lifetime: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -72,7 +72,7 @@
             balancer.begin_stop(now);
         }
         if let Some(settings) = wakeup.settings {
-            balancer.contacts_mut().set_seeds(settings.seeds);
+            balancer.known_replicas_mut().set_seeds(settings.seeds);
         }
         let from_messages = messages.receive(|from, body| balancer.handle_message(now, from, body));
         let from_packets = packets.receive_batch(|_, packet| balancer.handle_packet(now, packet));
@@ -136,7 +136,7 @@
 ) -> PassThroughBalancerSettings {
     PassThroughBalancerSettings {
         zone: settings.zone.clone(),
-        follow_interval: FOLLOW_INTERVAL,
+        subscribe_interval: FOLLOW_INTERVAL,
         flow_lifetime: settings.flow_lifetime,
         stop_delay: STOP_DELAY.min(settings.stop_limit / 2),
         link_bytes_per_second: addresses.link_bytes_per_second,
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -181,7 +181,7 @@
     }
     let help = "New flows that were refused without asking an agent, by priority.";
     let refused = counters(&registry, REFUSED_AT_EDGE_TOTAL, help, "priority");
-    for (priority, total) in balancer.refused_at_edge() {
+    for (priority, total) in balancer.shed_flows() {
         raise(
             &refused.with_label_values(&[priority.to_string().as_str()]),
             *total,
@@ -209,7 +209,7 @@
     ] {
         raise(&packets.with_label_values(&[outcome]), total);
     }
-    let (flows, agents) = balancer.sizes();
+    let (flows, agents) = balancer.table_sizes();
     set(
         &gauge(&registry, FLOWS, "Flows that are remembered."),
         flows,
@@ -232,7 +232,7 @@
         &latencies.configuration_lag,
     );
     let help = "How long packets waited for the link that had to.";
-    let waits = balancer.link_waits();
+    let waits = balancer.link_wait_times();
     let waits = waits.map(|waits| histogram(LINK_WAIT_SECONDS, help, waits));
     encode(&registry, [placement, lag].into_iter().chain(waits))
 }
@@ -399,7 +399,7 @@
     let evaluations = counters(registry, POLICY_EVALUATIONS_TOTAL, help, "policy");
     let help = "Back ends that a policy makes eligible, by its latest results.";
     let eligible = gauges(registry, POLICY_ELIGIBLE, help, "policy");
-    for figures in balancer.policy_figures() {
+    for figures in balancer.policy_stats() {
         let label = [figures.name.as_str()];
         raise(&flows.with_label_values(&label), figures.placed);
         raise(&evaluations.with_label_values(&label), figures.evaluations);
