--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -35,13 +35,13 @@
         Some(PacketView {
             source: unpack_address(number(0)?),
             destination: unpack_address(number(8)?),
-            synchronize: opens,
-            acknowledge: !opens,
-            finish: false,
-            reset: false,
+            syn: opens,
+            ack: !opens,
+            fin: false,
+            rst: false,
             returned: false,
-            sequence: 0,
-            acknowledged: 1,
+            sequence_number: 0,
+            ack_number: 1,
             data_bytes: 0,
         })
     }
--- a/crates/petrellatch-core/src/pass_through/admission/cold_admission.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/cold_admission.rs
@@ -7,7 +7,7 @@
 
 /// Bounds on what a back end that warms up may get in any second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBounds {
+pub struct WarmUpBounds {
     /// A multiple of the requests a second that it bears.
     pub excess: f64,
     /// Requests beyond that.
@@ -25,14 +25,14 @@
 /// Counts the flows that were admitted within the last span.
 #[derive(Debug)]
 pub(crate) struct ColdAdmission {
-    bounds: ColdBounds,
+    bounds: WarmUpBounds,
     /// Requests that the back end bears in 1,000 s; zero if nobody has told.
     millirequests_per_second: u32,
     admitted: VecDeque<Timestamp>,
 }
 
 impl ColdAdmission {
-    pub(crate) fn new(bounds: ColdBounds) -> Self {
+    pub(crate) fn new(bounds: WarmUpBounds) -> Self {
         ColdAdmission {
             bounds,
             millirequests_per_second: 0,
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -39,15 +39,15 @@
     pub service: String,
     /// When it was started, in milliseconds by its own clock, which may have been set
     /// meanwhile; none if it does not say so.
-    pub born: Option<u64>,
+    pub started_at_millis: Option<u64>,
     /// Rises with each call of a life, and begins anew with the next one.
-    pub call_number: u64,
+    pub sequence: u64,
     /// Requests that it works on at once.
-    pub capacity: u32,
+    pub slots: u32,
     /// Whether it leaves.
     pub draining: bool,
     /// How much longer it is slow after its start.
-    pub cold: Duration,
+    pub cold_for: Duration,
     /// Free-form labels, which placement policies read.
     pub labels: BTreeMap<String, String>,
 }
@@ -56,7 +56,7 @@
     fn life(&self) -> Life {
         Life {
             id: self.id.clone(),
-            born: self.born,
+            born: self.started_at_millis,
         }
     }
 }
@@ -66,7 +66,7 @@
 pub enum RegistrationRefusal {
     /// The agent is beside a back end of another service.
     #[snafu(display("the back end beside this agent runs {own}, not {named}"))]
-    OtherService {
+    WrongService {
         /// The service of the agent.
         own: String,
         /// The service that the call names.
@@ -172,11 +172,11 @@
         }
         let before = self.offer();
         let mut known_since = now;
-        self.first_call.get_or_insert(call.call_number);
+        self.first_call.get_or_insert(call.sequence);
         if let Some(current) = &mut self.current
             && current.life == life
         {
-            if call.call_number < current.call_number {
+            if call.sequence < current.call_number {
                 return false;
             }
             known_since = current.known_since;
@@ -196,10 +196,10 @@
         self.is_doubtful = false;
         self.current = Some(Current {
             life,
-            call_number: call.call_number,
-            capacity: call.capacity.max(1),
+            call_number: call.sequence,
+            capacity: call.slots.max(1),
             draining: call.draining,
-            cold_until: now + call.cold,
+            cold_until: now + call.cold_for,
             heard_at: now,
             known_since,
             labels: call.labels.clone(),
@@ -216,13 +216,13 @@
             return true;
         };
         let is_born_after = life.is_born_after(&current.life);
-        let goes_on = |rival: &&Rival| rival.life == *life && rival.call_number < call.call_number;
+        let goes_on = |rival: &&Rival| rival.life == *life && rival.call_number < call.sequence;
         if let Some(rival) = self.rival.as_ref().filter(goes_on) {
             let called_for = rival.called_since.map(|since| now.saturating_since(since));
             let outlives = called_for.is_some_and(|time| time >= EARLIER_BORN_PATIENCE);
             return is_born_after != Some(false) || outlives;
         }
-        let has_just_begun = call.call_number <= EARLY_CALLS;
+        let has_just_begun = call.sequence <= EARLY_CALLS;
         is_born_after.unwrap_or(has_just_begun && !current.draining)
     }
 
@@ -235,7 +235,7 @@
         let called_since = known.and_then(|rival| rival.called_since);
         self.rival = Some(Rival {
             life,
-            call_number: call.call_number,
+            call_number: call.sequence,
             draining: call.draining && !is_former,
             called_since: called_since.or(Some(now)),
         });
@@ -255,7 +255,7 @@
     /// Takes the goodbye of a back end. It keeps the flows that it has, and
     /// nothing that it says later counts. Returns whether that changed what
     /// the agent offers.
-    pub fn handle_withdrawal(&mut self, id: &str) -> bool {
+    pub fn handle_deregistration(&mut self, id: &str) -> bool {
         let before = self.offer();
         let life = self.withdrawn_life(id);
         let has_left_before = self.departed.contains(&life.digest());
--- a/crates/petrellatch-core/src/pass_through/admission/waiting_openings.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/waiting_openings.rs
@@ -16,7 +16,7 @@
 use crate::time::Timestamp;
 
 use crate::pass_through::admission::priorities::PassedOver;
-use crate::pass_through::packet::{FlowId, OPENING_PATIENCE};
+use crate::pass_through::packet::{FlowId, SYN_TIMEOUT};
 
 /// The longest that a packet waits as long as times of work are not known.
 const MAX_BLIND_WAIT: Duration = Duration::from_millis(800);
@@ -286,7 +286,7 @@
 /// How long a packet may wait so that its caller is still there, and is answered before
 /// its deadline.
 fn patience(opening: &Opening, pace: Pace) -> Duration {
-    let patience = OPENING_PATIENCE.saturating_sub(opening.age + WAY_BACK);
+    let patience = SYN_TIMEOUT.saturating_sub(opening.age + WAY_BACK);
     if opening.deadline.is_zero() {
         return patience;
     }
--- a/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
@@ -41,14 +41,14 @@
             address: *flow.caller.ip(),
             packet: packet.to_vec(),
         });
-        match view.synchronize {
+        match view.syn {
             true => self.former.forget(flow),
             false => self.former.note_alive(flow),
         }
         let known = self.flows.get(flow);
         let answered_before = known.is_some_and(|flow| flow.sequence.is_some());
         let meaning = match view {
-            PacketView { reset: true, .. } => {
+            PacketView { rst: true, .. } => {
                 if known.is_some_and(AgentFlow::has_request) {
                     self.note_failure(now, flow);
                 }
@@ -56,11 +56,11 @@
                 return;
             }
             PacketView {
-                synchronize: true,
-                sequence,
+                syn: true,
+                sequence_number: sequence,
                 ..
             } => BackendPacket::OpeningAnswer { sequence },
-            PacketView { finish: true, .. } => BackendPacket::End,
+            PacketView { fin: true, .. } => BackendPacket::End,
             PacketView {
                 data_bytes: 1.., ..
             } => BackendPacket::Answer,
@@ -78,18 +78,18 @@
         if let Some(pending) = wants_to_know {
             self.tell_held(pending.balancer, flow);
         }
-        if view.synchronize && !answered_before {
+        if view.syn && !answered_before {
             let admitted_at = self.flows.get(flow).map(|flow| flow.created_at);
             let time = now.saturating_since(admitted_at.unwrap_or(now));
-            self.latencies.first_answer.record(time);
-            self.tell_accepted(now, flow, view.sequence);
+            self.latencies.first_response.record(time);
+            self.tell_accepted(now, flow, view.sequence_number);
         }
     }
 
     /// The back end did not take a packet. Nothing of it ran.
     pub(super) fn handle_returned(&mut self, now: Timestamp, view: &PacketView) {
         let id = view.flow_from_caller();
-        if !view.is_opening() {
+        if !view.is_syn() {
             self.tried.note_returned(now, id);
         }
         let is_gone = self.note_returned_witness(now, view);
@@ -111,12 +111,12 @@
         let Some(balancer) = flow.balancer else {
             return;
         };
-        if view.is_opening() {
+        if view.is_syn() {
             self.registration.note_returned_opening();
             self.decline(now, balancer, id, DeclineReason::Returned);
         } else {
             self.emit_event(EventKind::PacketReturned, format!("flow={id}"));
-            let was_open = flow.sequence.is_some() && flow.owns(view.acknowledged);
+            let was_open = flow.sequence.is_some() && flow.owns(view.ack_number);
             let is_young = now.saturating_since(flow.created_at) < YOUNG_FLOW;
             if was_open && is_young && view.data_bytes > 0 {
                 self.note_failure(now, id);
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -74,7 +74,7 @@
     /// Whether the back end has the flow of a packet, as far as is known.
     fn holds(&self, view: &PacketView) -> bool {
         let known = self.flows.get(view.flow_from_caller());
-        known.is_some_and(|known| known.owns(view.acknowledged))
+        known.is_some_and(|known| known.owns(view.ack_number))
     }
 
     /// Passes a packet on to the other agents that are to try it.
@@ -117,8 +117,8 @@
     pub(super) fn tell_not_held(&mut self, to: SocketAddrV4, view: &PacketView, was_open: bool) {
         let not_held = NotHeld {
             flow: view.flow_from_caller().into(),
-            acknowledged: view.acknowledged,
-            request: view.data_bytes > 0 && !view.finish,
+            acknowledged: view.ack_number,
+            request: view.data_bytes > 0 && !view.fin,
             was_open,
         };
         self.send(to, PassThroughBody::NotHeld(not_held));
@@ -132,8 +132,8 @@
         packet: Vec<u8>,
     ) {
         let meaning = match view {
-            PacketView { reset: true, .. } => CallerPacket::Reset,
-            PacketView { finish: true, .. } => CallerPacket::End,
+            PacketView { rst: true, .. } => CallerPacket::Reset,
+            PacketView { fin: true, .. } => CallerPacket::End,
             PacketView {
                 data_bytes: 1.., ..
             } => CallerPacket::Request,
--- a/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
@@ -60,8 +60,8 @@
 impl HeardCall {
     fn new(call: &Registration) -> HeardCall {
         HeardCall {
-            backend: backend_digest(&call.id, call.born),
-            call_number: call.call_number,
+            backend: backend_digest(&call.id, call.started_at_millis),
+            call_number: call.sequence,
         }
     }
 
@@ -243,10 +243,10 @@
     /// Notes a packet that the back end returned. Returns whether it proves that an open
     /// flow is gone.
     pub(super) fn note_returned_witness(&mut self, now: Timestamp, view: &PacketView) -> bool {
-        if view.is_opening() {
+        if view.is_syn() {
             return false;
         }
-        let (id, acknowledged) = (view.flow_from_caller(), view.acknowledged);
+        let (id, acknowledged) = (view.flow_from_caller(), view.ack_number);
         let record = self.former.record.as_ref();
         if record.is_some_and(|record| record.names(id, acknowledged)) {
             self.begin_record_proof(now);
@@ -266,7 +266,7 @@
             record.record.flows.retain(|flow| flow.id != id);
         }
         // Who has sent a packet with data is told by its balancer.
-        if view.data_bytes == 0 && !view.finish {
+        if view.data_bytes == 0 && !view.fin {
             self.end_gone_flow(now, gone);
         }
         true
@@ -430,15 +430,15 @@
     /// Whether the flow of a packet is one that is gone.
     pub(super) fn is_gone(&self, view: &PacketView) -> bool {
         let id = view.flow_from_caller();
-        !view.is_opening() && self.former.gone.contains(id, view.acknowledged)
+        !view.is_syn() && self.former.gone.contains(id, view.ack_number)
     }
 
     /// Tells a balancer that the flow of a packet is gone: it resets the caller if that
     /// waits for an answer, and the pace does it otherwise.
     pub(super) fn tell_gone(&mut self, now: Timestamp, to: SocketAddrV4, view: &PacketView) {
         let id = view.flow_from_caller();
-        let waits = view.data_bytes > 0 && !view.finish;
-        if waits || view.finish || view.reset {
+        let waits = view.data_bytes > 0 && !view.fin;
+        if waits || view.fin || view.rst {
             self.former.gone.note_told(id);
         }
         if waits {
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -23,7 +23,7 @@
 use crate::identity::Incarnation;
 use crate::time::Timestamp;
 
-use crate::pass_through::admission::cold_admission::{ColdAdmission, ColdBounds};
+use crate::pass_through::admission::cold_admission::{ColdAdmission, WarmUpBounds};
 use crate::pass_through::admission::failure_watch::FailureWatch;
 use crate::pass_through::admission::registration::{
     Registration, RegistrationRefusal, RegistrationState,
@@ -44,7 +44,7 @@
 use crate::pass_through::packet::PacketCodec;
 
 use former_flows::FormerLives;
-pub(crate) use reports::YOUNG_REPORTS;
+pub(crate) use reports::NEW_AGENT_REPORTS;
 use stopping::LastWord;
 use work_times::WorkTimes;
 
@@ -79,7 +79,7 @@
     /// After its start an agent admits for so long, 2.5 s at most, beside a back end that has
     /// not called yet, if packets show that it is alive. A back end that leaves
     /// gets new flows for at most this long after a restart of its agent.
-    pub provisional_limit: Duration,
+    pub provisional_timeout: Duration,
     /// A flow that rested for so long is forgotten.
     pub flow_lifetime: Duration,
     /// How many requests an agent takes if all others are full, as a multiple of its
@@ -87,9 +87,9 @@
     /// their objective.
     pub queue_factor: u32,
     /// The longest that a planned stop waits for open flows.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// What a back end that warms up may get.
-    pub cold_bounds: ColdBounds,
+    pub warm_up_bounds: WarmUpBounds,
     /// The record of open flows that replicas keep.
     pub flow_record: FlowRecordSettings,
 }
@@ -137,7 +137,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct PassThroughAgentLatencies {
     /// From the admission of a flow until the back end answered it.
-    pub first_answer: LatencyHistogram,
+    pub first_response: LatencyHistogram,
     /// Between two calls of the back end.
     pub registration_gap: LatencyHistogram,
 }
@@ -194,7 +194,7 @@
     recorder: FlowRecorder,
     /// Asks for the flows of the former life, until that is over.
     recall: Option<FormerRecall>,
-    recall_outcome: Option<RecallOutcome>,
+    recovery_outcome: Option<RecallOutcome>,
     outputs: VecDeque<PassThroughOutput>,
 }
 
@@ -207,13 +207,13 @@
         incarnation: Incarnation,
         contacts: Contacts,
     ) -> Self {
-        let provisional_limit = settings.provisional_limit.min(MAX_PROVISIONAL_LIMIT);
+        let provisional_timeout = settings.provisional_timeout.min(MAX_PROVISIONAL_LIMIT);
         let has_former = !settings.first_start && !settings.flow_record.age.is_zero();
         PassThroughAgent {
             service: service_digest(&settings.service),
             report_interval: settings.report_interval,
-            registration: RegistrationState::new(now + provisional_limit),
-            cold_admission: ColdAdmission::new(settings.cold_bounds),
+            registration: RegistrationState::new(now + provisional_timeout),
+            cold_admission: ColdAdmission::new(settings.warm_up_bounds),
             failure_watch: FailureWatch::default(),
             asking: AskingBalancers::default(),
             waiting: WaitingOpenings::default(),
@@ -221,7 +221,7 @@
             evacuations: Evacuations::default(),
             recorder: FlowRecorder::new(settings.flow_record),
             recall: has_former.then(|| FormerRecall::new(now)),
-            recall_outcome: None,
+            recovery_outcome: None,
             settings,
             codec,
             incarnation,
@@ -255,7 +255,7 @@
     }
 
     /// The replicas that this agent knows.
-    pub fn contacts_mut(&mut self) -> &mut Contacts {
+    pub fn known_replicas_mut(&mut self) -> &mut Contacts {
         &mut self.contacts
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Proofs under way that a life of the back end is over.
-    pub fn pending_proofs(&self) -> usize {
+    pub fn pending_restart_probes(&self) -> usize {
         self.former.pending()
     }
 
@@ -298,7 +298,7 @@
 
     /// The mean time that the back end works on a request as it is now, warm or cold, in
     /// microseconds; zero if that is not known.
-    pub fn work_micros(&self, now: Timestamp) -> u32 {
+    pub fn processing_micros(&self, now: Timestamp) -> u32 {
         self.work_times.micros(self.registration.is_cold(now))
     }
 
@@ -314,7 +314,7 @@
         call: &Registration,
     ) -> Result<(), RegistrationRefusal> {
         if call.service != self.settings.service {
-            return Err(RegistrationRefusal::OtherService {
+            return Err(RegistrationRefusal::WrongService {
                 own: self.settings.service.clone(),
                 named: call.service.clone(),
             });
@@ -329,8 +329,8 @@
                 true => EventKind::BackendLeaving,
                 false => EventKind::BackendRegistered,
             };
-            let capacity = call.capacity;
-            let subject = format!("{} call={} slots={capacity}", call.id, call.call_number);
+            let capacity = call.slots;
+            let subject = format!("{} call={} slots={capacity}", call.id, call.sequence);
             self.emit_event(kind, subject);
         }
         self.note_call(now, call);
@@ -339,8 +339,8 @@
     }
 
     /// Takes the goodbye of the back end.
-    pub fn handle_withdrawal(&mut self, now: Timestamp, id: &str) {
-        if self.registration.handle_withdrawal(id) {
+    pub fn handle_deregistration(&mut self, now: Timestamp, id: &str) {
+        if self.registration.handle_deregistration(id) {
             self.emit_event(EventKind::BackendLeaving, format!("{id} withdrawn"));
         }
         self.report_if_changed(now);
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/recording.rs
@@ -18,13 +18,13 @@
 
 impl<C: PacketCodec> PassThroughAgent<C> {
     /// What is recorded.
-    pub fn flow_record(&self) -> FlowRecordFigures {
+    pub fn flow_record_stats(&self) -> FlowRecordFigures {
         self.recorder.figures()
     }
 
     /// How the recall of a former life's flows ended, if it has.
-    pub fn recall_outcome(&self) -> Option<RecallOutcome> {
-        self.recall_outcome
+    pub fn recovery_outcome(&self) -> Option<RecallOutcome> {
+        self.recovery_outcome
     }
 
     /// Tells keepers what has changed. Until it is known what the former life told, they
@@ -115,7 +115,7 @@
         } = end;
         let subject = format!("outcome={outcome:?} flows={flows} number={number}");
         self.emit_event(EventKind::FormerFlowsRecalled, subject);
-        self.recall_outcome = Some(outcome);
+        self.recovery_outcome = Some(outcome);
         self.recorder.continue_from(number);
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -21,7 +21,7 @@
 /// number of agents, as replicas bear no more.
 const YOUNG_REPORT_INTERVAL: Duration = Duration::from_millis(60);
 /// So many of those come into the time between two reports without news.
-pub(crate) const YOUNG_REPORTS: u32 = 300;
+pub(crate) const NEW_AGENT_REPORTS: u32 = 300;
 /// An agent is young for so long at most: then the replicas' disks have failed, or
 /// most replicas.
 const YOUNG_LIMIT: Duration = Duration::from_secs(5);
@@ -82,7 +82,7 @@
             true if self.report_number <= FIRST_REPORTS => FIRST_REPORT_INTERVAL,
             true => URGENT_REPORT_INTERVAL,
             false if is_young && !self.is_remembered() => {
-                let interval = YOUNG_REPORT_INTERVAL.max(self.report_interval / YOUNG_REPORTS);
+                let interval = YOUNG_REPORT_INTERVAL.max(self.report_interval / NEW_AGENT_REPORTS);
                 interval.min(self.report_interval)
             }
             false => self.report_interval,
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -29,7 +29,7 @@
     /// it is known whether the back end lives, or the limit is reached.
     pub fn begin_stop(&mut self, now: Timestamp) {
         if self.stop_at.is_none() {
-            self.stop_at = Some(now + self.settings.stop_limit);
+            self.stop_at = Some(now + self.settings.stop_timeout);
             self.report_if_changed(now);
             self.continue_stop(now);
         }
--- a/crates/petrellatch-core/src/pass_through/balancer/edge.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/edge.rs
@@ -170,7 +170,7 @@
 /// request. The deadline is in milliseconds, zero if it is not known.
 pub(super) fn has_passed(age: Duration, deadline_millis: u32) -> bool {
     let deadline = Duration::from_millis(u64::from(deadline_millis));
-    age >= OPENING_PATIENCE || (!deadline.is_zero() && age >= deadline)
+    age >= SYN_TIMEOUT || (!deadline.is_zero() && age >= deadline)
 }
 
 /// Whether the caller of a flow that nobody has taken has given it up.
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -39,7 +39,7 @@
 use super::latency::LatencyHistogram;
 use super::link::link_queue::LinkQueue;
 use super::output::PassThroughOutput;
-use super::packet::{FlowId, OPENING_PATIENCE, PacketCodec, PacketView};
+use super::packet::{FlowId, SYN_TIMEOUT, PacketCodec, PacketView};
 use super::policies::active_policies::{ActivePolicies, PolicyFigures};
 use super::routes::route_table::RouteTable;
 
@@ -322,9 +322,9 @@
             return;
         }
         self.observe_clock(now);
-        if view.is_opening() && now < self.drop_openings_until {
+        if view.is_syn() && now < self.drop_openings_until {
             self.counters.stale += 1;
-        } else if view.is_opening() {
+        } else if view.is_syn() {
             self.handle_opening(now, &view, packet, Duration::ZERO);
         } else {
             self.handle_established(now, &view, packet);
@@ -347,7 +347,7 @@
         for (came_at, packet) in std::mem::take(&mut self.early) {
             let waited = now.saturating_since(came_at);
             match self.codec.view(&packet) {
-                Some(view) if view.is_opening() => {
+                Some(view) if view.is_syn() => {
                     if waited < EARLY_OPENING_LIMIT {
                         self.handle_opening(now, &view, &packet, waited);
                     }
--- a/crates/petrellatch-core/src/pass_through/balancer/open_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/open_flows.rs
@@ -8,9 +8,9 @@
         if let Some(hint) = self.hints.get_mut(flow) {
             hint.used_at = now;
             hint.opening = None;
-            hint.ended |= view.finish || view.reset;
+            hint.ended |= view.fin || view.rst;
             if hint.owner.is_none() {
-                let owner = hint.acknowledged(view.acknowledged);
+                let owner = hint.acknowledged(view.ack_number);
                 hint.owner = owner.or_else(|| hint.sole_candidate());
             }
             let owner = hint.owner;
--- a/crates/petrellatch-core/src/pass_through/balancer/openings.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/openings.rs
@@ -63,7 +63,7 @@
         view: &PacketView,
         waited: Duration,
     ) -> FlowHint {
-        let age = view.least_age() + waited;
+        let age = view.min_syn_age() + waited;
         let kind = self.flow_kind(view.flow_from_caller(), service, age);
         FlowHint {
             age,
@@ -231,7 +231,7 @@
             created_at,
         };
         self.note_waiting(now, asked_flow, told.load);
-        let limit = now + OPENING_PATIENCE;
+        let limit = now + SYN_TIMEOUT;
         self.waiting.push_back((limit, flow, from));
     }
 
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -25,7 +25,7 @@
         let (link, now) = (self.link.as_mut()?, self.active_at);
         // Nobody sends later what waits when the process ends: the link's buffer takes some.
         match self.stopped {
-            true => link.pop_at_once(now),
+            true => link.pop_immediate(now),
             false => link.pop(now),
         }
     }
@@ -38,7 +38,7 @@
 
     /// How long datagrams waited for the link that had to; none if its speed is not known.
     pub fn link_waits(&self) -> Option<&LatencyHistogram> {
-        self.link.as_ref().map(LinkQueue::waits)
+        self.link.as_ref().map(LinkQueue::wait_times)
     }
 
     fn queue_for_link(&mut self, output: PassThroughOutput) {
@@ -75,15 +75,15 @@
             return;
         };
         let LinkCounters {
-            copies, dropped, ..
+            duplicates, dropped, ..
         } = link.counters();
-        let totals = format!("copies={copies} dropped={dropped}");
+        let totals = format!("copies={duplicates} dropped={dropped}");
         match change {
-            LinkChange::Full => {
+            LinkChange::Congested => {
                 let subject = format!("wait={backlog} {totals}");
                 self.emit_event(EventKind::LinkFull, subject);
             }
-            LinkChange::Clear(time) => {
+            LinkChange::Cleared(time) => {
                 let subject = format!("full_for={} {totals}", time.as_millis());
                 self.emit_event(EventKind::LinkClear, subject);
             }
--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -206,11 +206,11 @@
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
-        if !view.acknowledge || !flow.goes_on(view.acknowledged) {
+        if !view.ack || !flow.goes_on(view.ack_number) {
             return;
         }
-        flow.acknowledged = Some(view.acknowledged);
-        if view.data_bytes == 0 && !view.finish && !view.reset {
+        flow.acknowledged = Some(view.ack_number);
+        if view.data_bytes == 0 && !view.fin && !view.rst {
             flow.bare_packet = Some(packet.to_vec());
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -209,9 +209,9 @@
 
     pub(super) fn note_packet(&mut self, now: Timestamp, view: &PacketView, packet: &[u8]) {
         self.packet_at = now;
-        self.acknowledged = view.acknowledged;
+        self.acknowledged = view.ack_number;
         self.awaits_answer |= view.data_bytes > 0;
-        self.ended |= view.finish || view.reset;
+        self.ended |= view.fin || view.rst;
         let is_copy = self.waiting.iter().any(|waiting| waiting == packet);
         if is_copy {
             return;
--- a/crates/petrellatch-core/src/pass_through/group/followers.rs
+++ b/crates/petrellatch-core/src/pass_through/group/followers.rs
@@ -14,7 +14,7 @@
 
 use super::evacuations::Evacuations;
 use super::expected_agents::ExpectedAgents;
-use crate::pass_through::agent::YOUNG_REPORTS;
+use crate::pass_through::agent::NEW_AGENT_REPORTS;
 use crate::pass_through::policies::policy_check::ReportedBackend;
 use crate::pass_through::routes::change_assembly::{PartAssembly, compress, split};
 
@@ -136,13 +136,13 @@
 
     /// Notes it if all that were there before are known by now.
     pub(crate) fn check_expected(&mut self, now: Timestamp) {
-        let young_interval = self.longest_interval() / YOUNG_REPORTS;
+        let young_interval = self.longest_interval() / NEW_AGENT_REPORTS;
         self.is_known_whole |= self.expected.are_heard(now, young_interval);
     }
 
     /// When to look whether the directory is whole, if nothing is heard.
     pub(crate) fn whole_at(&self, now: Timestamp) -> Timestamp {
-        let young_interval = self.longest_interval() / YOUNG_REPORTS;
+        let young_interval = self.longest_interval() / NEW_AGENT_REPORTS;
         let settled_at = self.expected.settled_at(young_interval);
         let may_settle = self.expected.has_memory() && now < settled_at;
         match may_settle {
--- a/crates/petrellatch-core/src/pass_through/link/link_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_queue.rs
@@ -5,14 +5,14 @@
 
 use crate::pass_through::latency::LatencyHistogram;
 use crate::pass_through::output::PassThroughOutput;
-use crate::pass_through::packet::{FlowId, OPENING_PATIENCE};
+use crate::pass_through::packet::{FlowId, SYN_TIMEOUT};
 use crate::time::Timestamp;
 
 use super::fair_queue::{FairQueue, Queued};
 use super::link_pacer::LinkPacer;
 
 /// What waits takes the link so long at most: callers give up opening a flow after that.
-const MAX_WAIT: Duration = OPENING_PATIENCE;
+const MAX_WAIT: Duration = SYN_TIMEOUT;
 /// A datagram of at most so many bytes is short: it opens or acknowledges, or is a request of
 /// its own. One of full size, 1.3 KB, shows that more of its flow follows.
 const SHORT_BYTES: usize = 1_100;
@@ -44,7 +44,7 @@
     /// Datagrams that had to wait for the link.
     pub waited: u64,
     /// Packets that were sent again while their first copies waited, and not sent twice.
-    pub copies: u64,
+    pub duplicates: u64,
     /// Packets dropped, as too much waited.
     pub dropped: u64,
 }
@@ -53,9 +53,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkChange {
     /// It has become full.
-    Full,
+    Congested,
     /// It is full no more, after this time.
-    Clear(Duration),
+    Cleared(Duration),
 }
 
 #[derive(Debug)]
@@ -107,7 +107,7 @@
     }
 
     /// How long datagrams waited that had to.
-    pub(crate) fn waits(&self) -> &LatencyHistogram {
+    pub(crate) fn wait_times(&self) -> &LatencyHistogram {
         &self.waits
     }
 
@@ -140,7 +140,7 @@
             false => &mut self.long,
         };
         if queue.contains(flow, &item) {
-            self.counters.copies += 1;
+            self.counters.duplicates += 1;
             return;
         }
         queue.push(flow, Queued { item, bytes });
@@ -158,11 +158,11 @@
         if self.is_empty() || !self.pacer.is_free(now) {
             return None;
         }
-        self.pop_at_once(now)
+        self.pop_immediate(now)
     }
 
     /// The next thing to send, whether the link is free or not.
-    pub(crate) fn pop_at_once(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
+    pub(crate) fn pop_immediate(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
         let next = self.control.pop_front().or_else(|| self.pop_flow());
         let Queued { item, bytes } = next?;
         self.pacer.note_sent(bytes);
@@ -198,11 +198,11 @@
         match self.full_since {
             None if self.backlog() >= FULL_WAIT => {
                 self.full_since = Some(now);
-                Some(LinkChange::Full)
+                Some(LinkChange::Congested)
             }
             Some(since) if now.saturating_since(self.waited_at) >= CLEAR_AFTER => {
                 self.full_since = None;
-                Some(LinkChange::Clear(self.waited_at.saturating_since(since)))
+                Some(LinkChange::Cleared(self.waited_at.saturating_since(since)))
             }
             _ => None,
         }
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -29,7 +29,7 @@
 mod policies;
 mod routes;
 
-pub use admission::cold_admission::ColdBounds;
+pub use admission::cold_admission::WarmUpBounds;
 pub use admission::registration::{Registration, RegistrationRefusal};
 pub use agent::{
     PassThroughAgent, PassThroughAgentCounters, PassThroughAgentLatencies, PassThroughAgentSettings,
--- a/crates/petrellatch-core/src/pass_through/packet.rs
+++ b/crates/petrellatch-core/src/pass_through/packet.rs
@@ -13,7 +13,7 @@
     Duration::from_millis(600),
 ];
 /// When a caller gives up an opening packet that is not answered.
-pub(super) const OPENING_PATIENCE: Duration = Duration::from_millis(1_400);
+pub(super) const SYN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
 /// A flow, by its two ends as the caller sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -32,20 +32,20 @@
     /// The end that the packet is meant for.
     pub destination: SocketAddrV4,
     /// Asks for, or answers, the opening of a flow.
-    pub synchronize: bool,
+    pub syn: bool,
     /// Acknowledges something.
-    pub acknowledge: bool,
+    pub ack: bool,
     /// The sender has nothing more to send.
-    pub finish: bool,
+    pub fin: bool,
     /// The flow is over.
-    pub reset: bool,
+    pub rst: bool,
     /// A back end sent the packet back, because it does not have the flow or
     /// can't take it.
     pub returned: bool,
     /// Sequence number.
-    pub sequence: u32,
+    pub sequence_number: u32,
     /// What is acknowledged; in an opening packet the number of its copy.
-    pub acknowledged: u32,
+    pub ack_number: u32,
     /// Bytes of data.
     pub data_bytes: u16,
 }
@@ -61,13 +61,13 @@
 
 impl PacketView {
     /// Whether a caller asks for a new flow.
-    pub fn is_opening(&self) -> bool {
-        self.synchronize && !self.acknowledge
+    pub fn is_syn(&self) -> bool {
+        self.syn && !self.ack
     }
 
     /// How long ago the first copy of an opening packet was sent, at least.
-    pub fn least_age(&self) -> Duration {
-        let copy = self.acknowledged as usize;
+    pub fn min_syn_age(&self) -> Duration {
+        let copy = self.ack_number as usize;
         COPY_AGES[copy.min(COPY_AGES.len() - 1)]
     }
 
--- a/crates/petrellatch-core/tests/pass_through/waiting_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -7,7 +7,7 @@
 
 use petrellatch_proto::pass_through::{CarryReason, FlowMessage, PassThroughBody};
 
-use super::queueing::{Desk, SLOTS};
+use super::queueing::{LoadedAgent, SLOTS};
 use super::world::MILLI;
 
 const OBJECTIVE_MILLIS: u32 = 400;
@@ -22,14 +22,14 @@
 
 /// A desk whose back end has a full queue.
 struct FullDesk {
-    desk: Desk,
+    desk: LoadedAgent,
     inside: Vec<SocketAddrV4>,
     told: Told,
 }
 
 impl FullDesk {
     fn new() -> FullDesk {
-        let mut desk = Desk::new(WORK);
+        let mut desk = LoadedAgent::new(WORK);
         desk.now = desk.now + Duration::from_secs(1);
         let mut full = FullDesk {
             desk,
@@ -51,10 +51,10 @@
 
     fn listen(&mut self) {
         let flow = |flow: FlowMessage| flow.caller;
-        for opened in self.desk.opened() {
+        for opened in self.desk.take_dequeued() {
             self.inside.push(opened);
         }
-        for body in self.desk.told.drain(..) {
+        for body in self.desk.replies.drain(..) {
             match body {
                 PassThroughBody::Waiting(waiting) => {
                     self.told.waiting.insert(flow(waiting.flow));
@@ -75,7 +75,7 @@
             if works && passed % WORK.as_millis() as u64 == 0 {
                 let done = self.inside.len().min(SLOTS as usize);
                 for flow in self.inside.drain(..done).collect::<Vec<_>>() {
-                    self.desk.answer(flow);
+                    self.desk.respond(flow);
                 }
             }
             if self.desk.agent.poll_timeout() <= self.desk.now {
@@ -134,7 +134,7 @@
 #[test]
 fn who_could_not_be_served_before_its_deadline_is_refused_at_once() {
     let mut full = FullDesk::new();
-    full.desk.opening.deadline_millis = 300;
+    full.desk.offer_template.deadline_millis = 300;
     let refused = full.told.declined.len();
     for _ in 0..20 {
         full.offer();
@@ -150,8 +150,8 @@
     let mut full = FullDesk::new();
     let mut expected = Vec::new();
     for (priority, age_millis) in [(2, 500), (2, 600), (2, 0), (1, 600), (1, 10), (1, 20)] {
-        full.desk.opening.priority = priority;
-        full.desk.opening.age_millis = age_millis;
+        full.desk.offer_template.priority = priority;
+        full.desk.offer_template.age_millis = age_millis;
         full.offer();
         expected.push(full.desk.latest_caller());
     }
@@ -159,7 +159,7 @@
     let before = full.inside.len() + 1;
     let mut answered = 0;
     while full.inside.len() < before + expected.len() {
-        full.desk.answer(full.inside[answered]);
+        full.desk.respond(full.inside[answered]);
         answered += 1;
         full.listen();
     }
--- a/crates/petrellatch-core/tests/pass_through/codec.rs
+++ b/crates/petrellatch-core/tests/pass_through/codec.rs
@@ -26,21 +26,21 @@
         Some(PacketView {
             source: unpack_address(number(0)),
             destination: unpack_address(number(8)),
-            synchronize: flags & 1 != 0,
-            acknowledge: flags & 2 != 0,
-            finish: flags & 4 != 0,
-            reset: flags & 8 != 0,
+            syn: flags & 1 != 0,
+            ack: flags & 2 != 0,
+            fin: flags & 4 != 0,
+            rst: flags & 8 != 0,
             returned: flags & 16 != 0,
-            sequence: small(16),
-            acknowledged: small(20),
+            sequence_number: small(16),
+            ack_number: small(20),
             data_bytes,
         })
     }
 
     fn reset(&self, flow: FlowId, sequence: u32) -> Vec<u8> {
         encode(&PacketView {
-            reset: true,
-            sequence,
+            rst: true,
+            sequence_number: sequence,
             ..empty(flow.route, flow.caller)
         })
     }
@@ -51,13 +51,13 @@
     PacketView {
         source,
         destination,
-        synchronize: false,
-        acknowledge: false,
-        finish: false,
-        reset: false,
+        syn: false,
+        ack: false,
+        fin: false,
+        rst: false,
         returned: false,
-        sequence: 0,
-        acknowledged: 0,
+        sequence_number: 0,
+        ack_number: 0,
         data_bytes: 0,
     }
 }
@@ -71,10 +71,10 @@
 
 pub fn encode(view: &PacketView) -> Vec<u8> {
     let flags = [
-        view.synchronize,
-        view.acknowledge,
-        view.finish,
-        view.reset,
+        view.syn,
+        view.ack,
+        view.fin,
+        view.rst,
         view.returned,
     ];
     let bits = flags
@@ -84,8 +84,8 @@
     let mut packet = Vec::with_capacity(BYTES);
     packet.extend(pack_address(view.source).to_be_bytes());
     packet.extend(pack_address(view.destination).to_be_bytes());
-    packet.extend(view.sequence.to_be_bytes());
-    packet.extend(view.acknowledged.to_be_bytes());
+    packet.extend(view.sequence_number.to_be_bytes());
+    packet.extend(view.ack_number.to_be_bytes());
     packet.push(bits.sum());
     packet.extend(view.data_bytes.to_be_bytes());
     packet
--- a/crates/petrellatch-core/tests/pass_through/cold_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/cold_backends.rs
@@ -27,11 +27,11 @@
     let call = Registration {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number,
-        capacity: CAPACITY,
+        started_at_millis: None,
+        sequence: call_number,
+        slots: CAPACITY,
         draining: false,
-        cold,
+        cold_for: cold,
         ..Registration::default()
     };
     world.call(1, &call);
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -85,7 +85,7 @@
     world.open(1, 0);
     assert_eq!(world.answered_by(1), None);
     let agent = world.agents.get_mut(&agent_address(1)).expect("known");
-    agent.handle_withdrawal(world.now, "backend-1");
+    agent.handle_deregistration(world.now, "backend-1");
     world.register(1, 4, false, 9);
     world.open(2, 0);
     assert_eq!(world.answered_by(2), None);
--- a/crates/petrellatch-core/tests/pass_through/edge.rs
+++ b/crates/petrellatch-core/tests/pass_through/edge.rs
@@ -71,7 +71,7 @@
         self.next_caller += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + self.next_caller), 9000);
         let packet = PacketView {
-            synchronize: true,
+            syn: true,
             ..empty(caller, ROUTE)
         };
         let before = self.asked.len();
--- a/crates/petrellatch-core/tests/pass_through/ended_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/ended_flows.rs
@@ -59,7 +59,7 @@
         world.frozen.clear();
         world.run(Duration::from_secs(1));
         let received = &world.backends[&agent].received;
-        assert!(received.iter().any(|view| view.finish), "{agents} agents");
+        assert!(received.iter().any(|view| view.fin), "{agents} agents");
         assert_eq!(world.resets(), 0);
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/last_words.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -31,11 +31,11 @@
         let call = Registration {
             id: "backend".to_owned(),
             service: SERVICE.to_owned(),
-            born: None,
-            call_number: 1,
-            capacity: 4,
+            started_at_millis: None,
+            sequence: 1,
+            slots: 4,
             draining: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         let taken = leaving.agent.handle_registration(leaving.now, &call);
@@ -55,11 +55,11 @@
             first_start: false,
             report_interval: Duration::from_millis(500),
             silence_limit: Duration::from_secs(6),
-            provisional_limit: AWAITS_BACKEND,
+            provisional_timeout: AWAITS_BACKEND,
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 3,
-            stop_limit: STOP_LIMIT,
-            cold_bounds: COLD_BOUNDS,
+            stop_timeout: STOP_LIMIT,
+            warm_up_bounds: COLD_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let contacts = Contacts::new(vec![REPLICA]);
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -297,8 +297,8 @@
             return;
         };
         let packet = PacketView {
-            synchronize: true,
-            acknowledged: copy,
+            syn: true,
+            ack_number: copy,
             ..empty(flow, ROUTES[call.priority])
         };
         if let Some(after) = COPIES.get(copy as usize) {
@@ -410,11 +410,11 @@
     }
 
     fn reach_back_end(&mut self, address: SocketAddrV4, view: PacketView) {
-        if view.is_opening() {
+        if view.is_syn() {
             let answer = PacketView {
-                synchronize: true,
-                acknowledge: true,
-                sequence: first_sequence(address),
+                syn: true,
+                ack: true,
+                sequence_number: first_sequence(address),
                 ..empty(view.destination, view.source)
             };
             self.answer(address, &answer);
@@ -438,9 +438,9 @@
     fn finish_work(&mut self, address: SocketAddrV4, request: PacketView) {
         self.back_ends.get_mut(&address).expect("known").working -= 1;
         let answer = PacketView {
-            acknowledge: true,
+            ack: true,
             data_bytes: 1_000,
-            sequence: first_sequence(address).wrapping_add(1),
+            sequence_number: first_sequence(address).wrapping_add(1),
             ..empty(request.destination, request.source)
         };
         self.answer(address, &answer);
@@ -462,7 +462,7 @@
         };
         let (first_at, tries, priority) = (call.first_at, call.tries, call.priority);
         let questions = call.questions;
-        if view.reset {
+        if view.rst {
             self.calls.remove(&flow);
             self.second(now).refused += 1;
             self.second(now).questions += questions;
@@ -475,20 +475,20 @@
                 };
                 self.schedule(RETRY, again);
             }
-        } else if view.synchronize && !call.answered {
+        } else if view.syn && !call.answered {
             call.answered = true;
             let request = PacketView {
-                acknowledge: true,
-                acknowledged: view.sequence.wrapping_add(1),
+                ack: true,
+                ack_number: view.sequence_number.wrapping_add(1),
                 data_bytes: 50,
                 ..empty(flow, view.source)
             };
             self.send_packet(&request);
         } else if view.data_bytes > 0 {
             let end = PacketView {
-                acknowledge: true,
-                finish: true,
-                acknowledged: view.sequence,
+                ack: true,
+                fin: true,
+                ack_number: view.sequence_number,
                 ..empty(flow, view.source)
             };
             self.send_packet(&end);
@@ -525,11 +525,11 @@
             1_500 + u64::from(address.ip().octets()[3]) * 37 % 1_000,
         ),
         silence_limit: Duration::from_secs(600),
-        provisional_limit: Duration::from_secs(2),
+        provisional_timeout: Duration::from_secs(2),
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 3,
-        stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        stop_timeout: Duration::from_secs(2),
+        warm_up_bounds: COLD_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
     let life = Incarnation(u64::from(u32::from(*address.ip())));
@@ -538,11 +538,11 @@
     let call = Registration {
         id: address.to_string(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number: 1,
-        capacity: SLOTS,
+        started_at_millis: None,
+        sequence: 1,
+        slots: SLOTS,
         draining: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     let taken = agent.handle_registration(now, &call);
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -140,11 +140,11 @@
         world.end(1);
         world.run(8 * SECOND);
         assert_eq!(world.kept_at(replica(1)), [2]);
-        assert_eq!(world.agent.flow_record().unacknowledged, 0);
+        assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
         world.start_agent();
         world.run(3 * SECOND);
         assert_eq!(world.to_lose, 0, "they did get lost");
-        assert_eq!(world.agent.recall_outcome(), Some(RecallOutcome::Recalled));
+        assert_eq!(world.agent.recovery_outcome(), Some(RecallOutcome::Recalled));
     }
 }
 
@@ -158,11 +158,11 @@
         world.run(SECOND);
     }
     assert_eq!(world.kept_at(replica(2)), [1, 2, 3]);
-    assert_eq!(world.agent.flow_record().unacknowledged, 1);
+    assert_eq!(world.agent.flow_record_stats().unacknowledged, 1);
     world.cut.clear();
     world.run(10 * SECOND);
     assert_eq!(world.kept_at(replica(2)), [6, 7, 8]);
-    assert_eq!(world.agent.flow_record().unacknowledged, 0);
+    assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
 }
 
 #[test]
@@ -210,7 +210,7 @@
     world.cut.extend([replica(1), replica(2), replica(3)]);
     world.open(77);
     world.run(4 * SECOND);
-    assert_eq!(world.agent.recall_outcome(), None);
+    assert_eq!(world.agent.recovery_outcome(), None);
     world.cut.clear();
     world.run(SECOND);
     let told = world.told(EventKind::FormerFlowsRecalled);
@@ -255,7 +255,7 @@
         .agent
         .handle_message(now, replica(2), PassThroughBody::Group(group));
     world.run(SECOND);
-    assert_eq!(world.agent.recall_outcome(), Some(RecallOutcome::Recalled));
+    assert_eq!(world.agent.recovery_outcome(), Some(RecallOutcome::Recalled));
 }
 
 #[test]
@@ -297,7 +297,7 @@
     world.start_agent();
     world.run(31 * SECOND);
     assert_eq!(
-        world.agent.recall_outcome(),
+        world.agent.recovery_outcome(),
         Some(RecallOutcome::Unanswered)
     );
     world.open(9);
@@ -344,7 +344,7 @@
     let kept = world.replica_mut(replica(1)).flow_records(now);
     assert!(kept.bytes <= 8 * 1024 && kept.refused > 0, "{kept:?}");
     assert!(kept.refused < 8, "it is not asked all the time: {kept:?}");
-    assert_eq!(world.agent.flow_record().full, 3);
+    assert_eq!(world.agent.flow_record_stats().full, 3);
     assert_eq!(world.told(EventKind::FlowRecordRefused).len(), 3);
     (2..400).for_each(|port| world.end(port));
     world.run(60 * SECOND);
@@ -390,7 +390,7 @@
     (1..=15).for_each(|port| world.open(port));
     world.run(3 * SECOND);
     assert_eq!(world.kept_at(replica(1)).len(), 10);
-    let figures = world.agent.flow_record();
+    let figures = world.agent.flow_record_stats();
     assert_eq!((figures.recorded, figures.beyond_limit), (10, 5));
 }
 
@@ -423,7 +423,7 @@
         world.run(SECOND);
     }
     assert_eq!(world.written, 3, "one write a replica at a time");
-    assert_eq!(world.agent.flow_record().unacknowledged, 0);
+    assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
     assert!(world.kept_at(replica(1)).len() >= 47);
 }
 
@@ -491,7 +491,7 @@
     let now = world.now;
     let left = all.iter().filter(|it| **it != before[0]);
     let left: Vec<_> = left.map(|number| replica(*number)).collect();
-    world.agent.contacts_mut().set_seeds(left);
+    world.agent.known_replicas_mut().set_seeds(left);
     world.cut.insert(gone);
     world.run(3 * SECOND);
     let after = keepers(&mut world);
--- a/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
@@ -98,11 +98,11 @@
         let call = Registration {
             id: "backend-1".to_owned(),
             service: SERVICE.to_owned(),
-            born: Some(5),
-            call_number: 1,
-            capacity: 60_000,
+            started_at_millis: Some(5),
+            sequence: 1,
+            slots: 60_000,
             draining: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         let taken = self.agent.handle_registration(self.now, &call);
@@ -253,14 +253,14 @@
     /// A caller opens a flow.
     pub fn open(&mut self, port: u16) {
         let opening = PacketView {
-            synchronize: true,
+            syn: true,
             ..empty(caller(port), ROUTE)
         };
         self.carry(CarryReason::Open, &opening);
         let answer = PacketView {
-            synchronize: true,
-            acknowledge: true,
-            sequence: FIRST,
+            syn: true,
+            ack: true,
+            sequence_number: FIRST,
             ..empty(ROUTE, caller(port))
         };
         self.agent.handle_backend_packet(self.now, &encode(&answer));
@@ -270,8 +270,8 @@
     /// The caller has acknowledged so many bytes.
     pub fn acknowledge(&mut self, port: u16, bytes: u32) {
         let bare = PacketView {
-            acknowledge: true,
-            acknowledged: FIRST + bytes,
+            ack: true,
+            ack_number: FIRST + bytes,
             ..empty(caller(port), ROUTE)
         };
         self.carry(CarryReason::Deliver, &bare);
@@ -280,9 +280,9 @@
     /// The caller ends its flow.
     pub fn end(&mut self, port: u16) {
         let end = PacketView {
-            acknowledge: true,
-            finish: true,
-            acknowledged: FIRST + 1,
+            ack: true,
+            fin: true,
+            ack_number: FIRST + 1,
             ..empty(caller(port), ROUTE)
         };
         self.carry(CarryReason::Deliver, &end);
@@ -354,11 +354,11 @@
         first_start,
         report_interval: Duration::from_millis(500),
         silence_limit: Duration::from_secs(600),
-        provisional_limit: Duration::from_secs(2),
+        provisional_timeout: Duration::from_secs(2),
         flow_lifetime: Duration::from_secs(600),
         queue_factor: 3,
-        stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        stop_timeout: Duration::from_secs(2),
+        warm_up_bounds: COLD_BOUNDS,
         flow_record,
     };
     let contacts = Contacts::new(seeds);
--- a/crates/petrellatch-core/tests/pass_through/former_flows_at_random.rs
+++ b/crates/petrellatch-core/tests/pass_through/former_flows_at_random.rs
@@ -1,5 +1,5 @@
 //! Random orders of restarts, calls that come in time or late, returned packets and new
-//! flows: no flow that lives is ever told as gone, which [`Lives`] checks with each reset,
+//! flows: no flow that lives is ever told as gone, which [`RestartWorld`] checks with each reset,
 //! and those that died are told in the end.
 
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::lives::{Life, Lives};
+use super::restart_world::{BackendIncarnation, RestartWorld};
 use super::world::MILLI;
 
 const RUNS: u64 = 300;
@@ -17,9 +17,9 @@
 
 /// What happens in one run.
 struct Run {
-    lives: Lives,
+    lives: RestartWorld,
     random: ChaCha8Rng,
-    former: Vec<Life>,
+    former: Vec<BackendIncarnation>,
     /// Ports of flows that opened under the life of the agent, or were in its record.
     known: BTreeSet<u16>,
 }
@@ -27,8 +27,8 @@
 impl Run {
     fn new(seed: u64) -> Run {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut lives = Lives::without_call(random.random_bool(0.7), random.random_bool(0.3));
-        lives.call();
+        let mut lives = RestartWorld::unregistered(random.random_bool(0.7), random.random_bool(0.3));
+        lives.register();
         Run {
             lives,
             random,
@@ -41,7 +41,7 @@
         match self.random.random_range(0..20) {
             0..8 => self.open(),
             8 => self.start_life(),
-            9..12 => self.lives.call(),
+            9..12 => self.lives.register(),
             12..14 => self.late_call(),
             14 => self.request(),
             15 => self.end_unseen(),
@@ -66,14 +66,14 @@
     }
 
     fn start_life(&mut self) {
-        self.former.push(self.lives.life());
-        self.lives.start_life();
+        self.former.push(self.lives.incarnation());
+        self.lives.restart_backend();
     }
 
     fn late_call(&mut self) {
         let former = self.former.last().cloned();
         if let Some(former) = former {
-            self.lives.call_of(&former);
+            self.lives.register_incarnation(&former);
         }
     }
 
@@ -98,7 +98,7 @@
     /// The back end gives up one flow.
     fn end_unseen(&mut self) {
         if let Some(port) = self.any_caller()
-            && let Some(life) = &mut self.lives.life
+            && let Some(life) = &mut self.lives.backend
         {
             life.flows.remove(&port);
         }
@@ -106,7 +106,7 @@
 
     /// The agent starts again, with a record of the life that runs, or of the one before.
     fn restart_agent(&mut self) {
-        let running = self.lives.life();
+        let running = self.lives.incarnation();
         let before = self.former.last().filter(|_| self.random.random_bool(0.3));
         let life = before.cloned().unwrap_or(running);
         let mut record = self.lives.record(&life);
@@ -114,7 +114,7 @@
             record.witnesses.truncate(3);
         }
         self.lives.restart_agent();
-        self.lives.recall(record);
+        self.lives.recover(record);
         self.known.clear();
     }
 
@@ -123,14 +123,14 @@
     fn end(&mut self) {
         self.lives.thaw();
         self.lives.run(Duration::from_secs(5));
-        self.lives.call();
+        self.lives.register();
         self.lives.run(Duration::from_secs(5));
         self.start_life();
         for _ in 0..4 {
-            self.lives.call();
+            self.lives.register();
             self.lives.run(Duration::from_secs(3));
         }
-        let told: BTreeSet<u16> = self.lives.not_held.iter().map(super::lives::port).collect();
+        let told: BTreeSet<u16> = self.lives.returned_packets.iter().map(super::restart_world::caller_port).collect();
         for port in self.known.iter().filter(|port| !told.contains(port)) {
             let flow = self.lives.callers.get(port);
             assert!(
--- a/crates/petrellatch-core/tests/pass_through/late_calls.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_registrations.rs
@@ -12,11 +12,11 @@
     let call = Registration {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number,
-        capacity: 4,
+        started_at_millis: None,
+        sequence: call_number,
+        slots: 4,
         draining,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     world.call(AGENT, &call);
@@ -54,7 +54,7 @@
     let agent = super::world::agent_address(AGENT);
     let now = world.now;
     let withdrawn = world.agents.get_mut(&agent).expect("known");
-    withdrawn.handle_withdrawal(now, "new");
+    withdrawn.handle_deregistration(now, "new");
     call(&mut world, "old", 3, false);
     world.run(MILLI);
     // Two calls: it goes on, so it is the one that runs.
@@ -83,7 +83,7 @@
     let agent = super::world::agent_address(AGENT);
     let now = world.now;
     let agent = world.agents.get_mut(&agent).expect("known");
-    agent.handle_withdrawal(now, "new");
+    agent.handle_deregistration(now, "new");
     world.run(MILLI);
     assert!(!takes_flows(&mut world, 1));
 }
@@ -116,13 +116,13 @@
     for _ in 0..2 {
         let now = world.now;
         let agent = world.agents.get_mut(&agent).expect("known");
-        agent.handle_withdrawal(now, "old");
+        agent.handle_deregistration(now, "old");
         call(&mut world, "new", 1, false);
         call(&mut world, "new", 2, false);
     }
     let now = world.now;
     let agent = world.agents.get_mut(&agent).expect("known");
-    agent.handle_withdrawal(now, "old");
+    agent.handle_deregistration(now, "old");
     world.run(MILLI);
     assert!(takes_flows(&mut world, 1));
 }
@@ -132,11 +132,11 @@
     let call = Registration {
         id: "backend".to_owned(),
         service: SERVICE.to_owned(),
-        born: Some(born),
-        call_number,
-        capacity: 4,
+        started_at_millis: Some(born),
+        sequence: call_number,
+        slots: 4,
         draining,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     world.call(AGENT, &call);
@@ -146,7 +146,7 @@
 fn withdraw(world: &mut World) {
     let now = world.now;
     let agent = world.agents.get_mut(&super::world::agent_address(AGENT));
-    agent.expect("known").handle_withdrawal(now, "backend");
+    agent.expect("known").handle_deregistration(now, "backend");
     world.run(MILLI);
 }
 
@@ -219,11 +219,11 @@
     let foreign = Registration {
         id: "stranger".to_owned(),
         service: "files".to_owned(),
-        born: Some(2_000),
-        call_number: 1,
-        capacity: 9,
+        started_at_millis: Some(2_000),
+        sequence: 1,
+        slots: 9,
         draining: true,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     let now = world.now;
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -99,7 +99,7 @@
     assert_eq!(world.resets(), 1, "its caller can open another one");
     let reset = world.callers.last().expect("the reset");
     let expected = first_sequence(agent).wrapping_add(1);
-    assert_eq!(reset.sequence, expected, "where its caller expects it");
+    assert_eq!(reset.sequence_number, expected, "where its caller expects it");
     world.run(Duration::from_secs(3));
     assert_eq!(world.resets(), 1);
     let tried: usize = world.backends.values().map(|it| it.received.len()).sum();
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -187,8 +187,8 @@
 
     fn open(&mut self, port: u16, copy: u32) {
         let packet = PacketView {
-            synchronize: true,
-            acknowledged: copy,
+            syn: true,
+            ack_number: copy,
             ..empty(caller(port), ROUTE)
         };
         let now = self.world.now;
@@ -199,9 +199,9 @@
         let caller_state = &self.callers[&port];
         let agent = caller_state.agent.expect("open");
         let packet = PacketView {
-            acknowledge: true,
-            acknowledged: first_sequence(agent).wrapping_add(1),
-            sequence: number as u32,
+            ack: true,
+            ack_number: first_sequence(agent).wrapping_add(1),
+            sequence_number: number as u32,
             data_bytes: if caller_state.is_lookup {
                 LOOKUP_DATA
             } else {
@@ -250,11 +250,11 @@
             let Some((_, state)) = { state }.next() else {
                 continue;
             };
-            assert!(!view.reset, "nobody is refused here");
-            if view.synchronize && state.agent.is_none() {
+            assert!(!view.rst, "nobody is refused here");
+            if view.syn && state.agent.is_none() {
                 let mut agents = self.world.agents.keys();
                 state.agent = agents
-                    .find(|it| first_sequence(**it) == view.sequence)
+                    .find(|it| first_sequence(**it) == view.sequence_number)
                     .copied();
             }
         }
@@ -281,7 +281,7 @@
             return;
         };
         let port = *port;
-        let number = view.sequence as usize;
+        let number = view.sequence_number as usize;
         if state.arrived[number] {
             return;
         }
@@ -305,8 +305,8 @@
             }
             self.callers.remove(&port);
             let answer = PacketView {
-                acknowledge: true,
-                finish: true,
+                ack: true,
+                fin: true,
                 data_bytes: 10,
                 ..empty(ROUTE, caller(port))
             };
--- a/crates/petrellatch-core/tests/pass_through/dead_back_ends.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flow_replies.rs
@@ -20,8 +20,8 @@
     world.request(PORT, agent);
     world.speak(agent, PORT);
     let bare = PacketView {
-        acknowledge: true,
-        acknowledged: first_sequence(agent).wrapping_add(101),
+        ack: true,
+        ack_number: first_sequence(agent).wrapping_add(101),
         ..empty(caller(PORT), ROUTE)
     };
     world.balancer.handle_packet(world.now, &encode(&bare));
@@ -33,11 +33,11 @@
     let call = Registration {
         id: "another".to_owned(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number: 1,
-        capacity: 4,
+        started_at_millis: None,
+        sequence: 1,
+        slots: 4,
         draining: false,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     world.call(agent.ip().octets()[3], &call);
@@ -53,9 +53,9 @@
     world.request(PORT, agent);
     world.run(10 * MILLI);
     assert_eq!(world.resets(), 1);
-    let reset = world.callers.iter().find(|view| view.reset);
+    let reset = world.callers.iter().find(|view| view.rst);
     let acknowledged = first_sequence(agent).wrapping_add(1);
-    assert_eq!(reset.map(|view| view.sequence), Some(acknowledged));
+    assert_eq!(reset.map(|view| view.sequence_number), Some(acknowledged));
     assert_eq!(world.data_at(agent), 1, "the new life gets nothing of it");
 }
 
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -45,8 +45,8 @@
     let call = Registration {
         id: format!("backend-{index}"),
         service: SERVICE.to_owned(),
-        call_number: 2,
-        capacity: CAPACITY,
+        sequence: 2,
+        slots: CAPACITY,
         labels: BTreeMap::from([(key.to_owned(), value.to_owned())]),
         ..Registration::default()
     };
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -20,33 +20,33 @@
 const ROUTE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 80);
 pub const SLOTS: u32 = 3;
 
-pub struct Desk {
+pub struct LoadedAgent {
     pub now: Timestamp,
     pub agent: PassThroughAgent<TestCodec>,
     next_port: u16,
     /// What balancers say of the route and the caller with opening packets.
-    pub opening: Carry,
+    pub offer_template: Carry,
     pub balancer: SocketAddrV4,
     /// What the agent has answered to balancers, until it is taken.
-    pub told: Vec<PassThroughBody>,
+    pub replies: Vec<PassThroughBody>,
     /// Callers whose opening packets reached the back end, until it answers them.
     reached: Vec<SocketAddrV4>,
 }
 
-impl Desk {
+impl LoadedAgent {
     /// An agent whose back end has answered some requests after `work`.
-    pub fn new(work: Duration) -> Desk {
-        let mut desk = Desk::without_answers();
+    pub fn new(work: Duration) -> LoadedAgent {
+        let mut desk = LoadedAgent::without_responses();
         for _ in 0..30 {
             let flow = desk.request(0, CarryReason::Open).expect("slots are free");
             desk.now = desk.now + work;
-            desk.answer(flow);
+            desk.respond(flow);
         }
         desk
     }
 
     /// An agent whose back end has answered nothing yet.
-    pub fn without_answers() -> Desk {
+    pub fn without_responses() -> LoadedAgent {
         let now = Timestamp::from_millis(1_000);
         let settings = PassThroughAgentSettings {
             address: SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000),
@@ -55,11 +55,11 @@
             first_start: false,
             report_interval: Duration::from_millis(500),
             silence_limit: Duration::from_secs(600),
-            provisional_limit: Duration::from_secs(2),
+            provisional_timeout: Duration::from_secs(2),
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 2,
-            stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            stop_timeout: Duration::from_secs(2),
+            warm_up_bounds: COLD_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let contacts = Contacts::new(Vec::new());
@@ -67,22 +67,22 @@
         let call = Registration {
             id: "backend-1".to_owned(),
             service: SERVICE.to_owned(),
-            born: None,
-            call_number: 1,
-            capacity: SLOTS,
+            started_at_millis: None,
+            sequence: 1,
+            slots: SLOTS,
             draining: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         let taken = agent.handle_registration(now, &call);
         taken.expect("it is of the agent's service");
-        Desk {
+        LoadedAgent {
             now,
             agent,
             next_port: 1,
-            opening: Carry::default(),
+            offer_template: Carry::default(),
             balancer: BALANCER,
-            told: Vec::new(),
+            replies: Vec::new(),
             reached: Vec::new(),
         }
     }
@@ -92,7 +92,7 @@
         self.next_port += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), self.next_port);
         let opening = PacketView {
-            synchronize: true,
+            syn: true,
             ..empty(caller, ROUTE)
         };
         self.outputs();
@@ -107,13 +107,13 @@
     /// The back end takes a flow, and its caller sends a request.
     fn accept(&mut self, caller: SocketAddrV4) {
         let answer = PacketView {
-            synchronize: true,
-            acknowledge: true,
+            syn: true,
+            ack: true,
             ..empty(ROUTE, caller)
         };
         self.agent.handle_backend_packet(self.now, &encode(&answer));
         let request = PacketView {
-            acknowledge: true,
+            ack: true,
             data_bytes: 50,
             ..empty(caller, ROUTE)
         };
@@ -121,7 +121,7 @@
     }
 
     /// Flows that waited and reached the back end since it was last asked.
-    pub fn opened(&mut self) -> Vec<SocketAddrV4> {
+    pub fn take_dequeued(&mut self) -> Vec<SocketAddrV4> {
         self.outputs();
         let reached = std::mem::take(&mut self.reached);
         for caller in &reached {
@@ -141,19 +141,19 @@
             PassThroughOutput::Send { body, .. } => Some(body.clone()),
             _ => None,
         });
-        self.told.extend(told);
+        self.replies.extend(told);
         let reached = outputs.iter().filter_map(|output| match output {
             PassThroughOutput::ToBackend(packet) => TestCodec.view(packet),
             _ => None,
         });
-        let opened = reached.filter(PacketView::is_opening);
+        let opened = reached.filter(PacketView::is_syn);
         self.reached.extend(opened.map(|view| view.source));
         outputs
     }
 
-    pub fn answer(&mut self, caller: SocketAddrV4) {
+    pub fn respond(&mut self, caller: SocketAddrV4) {
         let answer = PacketView {
-            acknowledge: true,
+            ack: true,
             data_bytes: 500,
             ..empty(ROUTE, caller)
         };
@@ -163,8 +163,8 @@
     /// The back end ends a flow; its packet may overtake those of the answer.
     fn end(&mut self, caller: SocketAddrV4) {
         let end = PacketView {
-            acknowledge: true,
-            finish: true,
+            ack: true,
+            fin: true,
             ..empty(ROUTE, caller)
         };
         self.agent.handle_backend_packet(self.now, &encode(&end));
@@ -176,7 +176,7 @@
             reason: reason.into(),
             packet: encode(view),
             objective_millis,
-            ..self.opening.clone()
+            ..self.offer_template.clone()
         };
         let body = PassThroughBody::Carry(carry);
         self.agent.handle_message(self.now, self.balancer, body);
@@ -206,7 +206,7 @@
         (1, 60_000, 12),
         (50, 0, 6),
     ] {
-        let mut desk = Desk::new(Duration::from_millis(work_millis));
+        let mut desk = LoadedAgent::new(Duration::from_millis(work_millis));
         let taken = desk.fill(objective_millis);
         assert_eq!(
             taken, expected,
@@ -217,36 +217,36 @@
 
 #[test]
 fn a_back_end_that_turns_slow_gets_a_shorter_queue() {
-    let mut desk = Desk::new(Duration::from_millis(40));
+    let mut desk = LoadedAgent::new(Duration::from_millis(40));
     for _ in 0..60 {
         let flow = desk.request(0, CarryReason::Open).expect("slots are free");
         desk.now = desk.now + Duration::from_millis(200);
-        desk.answer(flow);
+        desk.respond(flow);
     }
     assert_eq!(desk.fill(250), SLOTS);
 }
 
 #[test]
 fn requests_that_waited_say_nothing_about_the_work() {
-    let mut desk = Desk::new(Duration::from_millis(50));
+    let mut desk = LoadedAgent::new(Duration::from_millis(50));
     let mut flows = Vec::new();
     for _ in 0..SLOTS * 2 {
         flows.extend(desk.request(250, CarryReason::OpenQueued));
     }
     desk.now = desk.now + Duration::from_millis(50);
     for flow in flows.drain(..SLOTS as usize) {
-        desk.answer(flow);
+        desk.respond(flow);
     }
     desk.now = desk.now + Duration::from_millis(50);
     for flow in flows {
-        desk.answer(flow);
+        desk.respond(flow);
     }
     assert_eq!(desk.fill(260), SLOTS * 3, "work is still 50 ms");
 }
 
 #[test]
 fn a_back_end_that_turns_slow_while_it_is_full_gets_a_shorter_queue() {
-    let mut desk = Desk::new(Duration::from_millis(10));
+    let mut desk = LoadedAgent::new(Duration::from_millis(10));
     let mut inside: VecDeque<SocketAddrV4> = VecDeque::new();
     for _ in 0..30 {
         while let Some(flow) = desk.request(250, CarryReason::OpenQueued) {
@@ -255,10 +255,10 @@
         desk.now = desk.now + Duration::from_millis(100);
         let done: Vec<SocketAddrV4> = inside.drain(..SLOTS as usize).collect();
         for flow in done {
-            desk.answer(flow);
+            desk.respond(flow);
         }
         // Those that found the queue full waited for a place.
-        inside.extend(desk.opened());
+        inside.extend(desk.take_dequeued());
     }
     let left = inside.len() as u32;
     assert_eq!(left + desk.fill(250), SLOTS + 1, "work is 100 ms by now");
@@ -266,12 +266,12 @@
 
 #[test]
 fn the_end_of_an_answer_that_overtakes_it_tells_the_time_of_work() {
-    let mut desk = Desk::new(Duration::from_millis(10));
+    let mut desk = LoadedAgent::new(Duration::from_millis(10));
     for _ in 0..60 {
         let flow = desk.request(0, CarryReason::Open).expect("slots are free");
         desk.now = desk.now + Duration::from_millis(100);
         desk.end(flow);
-        desk.answer(flow);
+        desk.respond(flow);
     }
     assert_eq!(desk.fill(250), SLOTS + 1, "work is 100 ms by now");
 }
--- a/crates/petrellatch-core/tests/pass_through/lives.rs
+++ b/crates/petrellatch-core/tests/pass_through/restart_world.rs
@@ -26,17 +26,17 @@
 
 /// One life of a back end.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct BackendIncarnation {
     pub id: String,
-    pub born: Option<u64>,
-    pub calls: u64,
+    pub started_at_millis: Option<u64>,
+    pub registrations: u64,
     /// The flows that it has, by the caller's port, with their first sequence numbers.
     pub flows: BTreeMap<u16, u32>,
 }
 
-impl Life {
+impl BackendIncarnation {
     pub fn digest(&self) -> u64 {
-        backend_digest(&self.id, self.born)
+        backend_digest(&self.id, self.started_at_millis)
     }
 }
 
@@ -47,11 +47,11 @@
     pub was_reset: bool,
 }
 
-pub struct Lives {
+pub struct RestartWorld {
     pub now: Timestamp,
     pub agent: PassThroughAgent<TestCodec>,
-    pub life: Option<Life>,
-    pub lives: u64,
+    pub backend: Option<BackendIncarnation>,
+    pub incarnations: u64,
     /// The back end does nothing; packets wait.
     pub frozen: bool,
     pub waiting: VecDeque<PacketView>,
@@ -59,11 +59,11 @@
     /// Resets of the agent, with their times.
     pub resets: Vec<(Timestamp, u16)>,
     /// What balancers were told to be gone.
-    pub not_held: Vec<NotHeld>,
-    pub held: Vec<FlowId>,
+    pub returned_packets: Vec<NotHeld>,
+    pub owned_flows: Vec<FlowId>,
     pub events: Vec<(EventKind, String)>,
     /// Packets without data that the back end got, by the caller's port.
-    pub bare: Vec<u16>,
+    pub dataless_packets: Vec<u16>,
     /// Whether a life says when it was born.
     pub says_birth: bool,
     /// The same name for all lives.
@@ -80,7 +80,7 @@
 }
 
 /// The port of the caller of a flow that is not held.
-pub fn port(not_held: &NotHeld) -> u16 {
+pub fn caller_port(not_held: &NotHeld) -> u16 {
     FlowId::from(not_held.flow).caller.port()
 }
 
@@ -92,89 +92,89 @@
         first_start: false,
         report_interval: Duration::from_millis(500),
         silence_limit: Duration::from_secs(6),
-        provisional_limit: Duration::from_secs(2),
+        provisional_timeout: Duration::from_secs(2),
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 300,
         flow_record: FlowRecordSettings::default(),
-        stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        stop_timeout: Duration::from_secs(2),
+        warm_up_bounds: COLD_BOUNDS,
     };
     let incarnation = Incarnation(now.as_micros());
     let contacts = Contacts::new(vec![REPLICA]);
     PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts)
 }
 
-impl Lives {
+impl RestartWorld {
     /// An agent beside a back end that has called once.
-    pub fn new() -> Lives {
-        let mut lives = Lives::without_call(true, false);
-        lives.call();
+    pub fn new() -> RestartWorld {
+        let mut lives = RestartWorld::unregistered(true, false);
+        lives.register();
         lives
     }
 
-    pub fn without_call(says_birth: bool, keeps_name: bool) -> Lives {
+    pub fn unregistered(says_birth: bool, keeps_name: bool) -> RestartWorld {
         let now = Timestamp::from_millis(1_000);
-        let mut lives = Lives {
+        let mut lives = RestartWorld {
             now,
             agent: new_agent(now),
-            life: None,
-            lives: 0,
+            backend: None,
+            incarnations: 0,
             frozen: false,
             waiting: VecDeque::new(),
             callers: BTreeMap::new(),
             resets: Vec::new(),
-            not_held: Vec::new(),
-            held: Vec::new(),
+            returned_packets: Vec::new(),
+            owned_flows: Vec::new(),
             events: Vec::new(),
-            bare: Vec::new(),
+            dataless_packets: Vec::new(),
             says_birth,
             keeps_name,
             next_sequence: 0,
             incarnation: now.as_micros(),
         };
-        lives.start_life();
+        lives.restart_backend();
         lives
     }
 
     /// The back end starts again, and has no flow.
-    pub fn start_life(&mut self) {
-        self.lives += 1;
+    pub fn restart_backend(&mut self) {
+        self.incarnations += 1;
         let number = match self.keeps_name {
             true => 1,
-            false => self.lives,
+            false => self.incarnations,
         };
-        self.life = Some(Life {
+        self.backend = Some(BackendIncarnation {
             id: format!("backend-{number}"),
-            born: self.says_birth.then_some(self.lives * 1_000),
-            calls: 0,
+            started_at_millis: self.says_birth.then_some(self.incarnations * 1_000),
+            registrations: 0,
             flows: BTreeMap::new(),
         });
         self.waiting.clear();
         self.frozen = false;
     }
 
-    pub fn life(&self) -> Life {
-        self.life.clone().expect("one runs")
+    pub fn incarnation(&self) -> BackendIncarnation {
+        self.backend.clone().expect("one runs")
     }
 
     /// The back end calls.
-    pub fn call(&mut self) {
-        let Some(life) = &mut self.life else { return };
-        life.calls += 1;
+    pub fn register(&mut self) {
+        let Some(life) = &mut self.backend else { return };
+        life.registrations += 1;
         let life = life.clone();
-        self.call_of(&life);
+        self.register_incarnation(&life);
     }
 
     /// A call of a life arrives, now or late.
-    pub fn call_of(&mut self, life: &Life) {
+    pub fn register_incarnation(&mut self, life: &BackendIncarnation) {
         let call = Registration {
             id: life.id.clone(),
             service: SERVICE.to_owned(),
-            born: life.born,
-            call_number: life.calls,
-            capacity: 100,
+            started_at_millis: life.started_at_millis,
+            sequence: life.registrations,
+            slots: 100,
             draining: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         let taken = self.agent.handle_registration(self.now, &call);
@@ -184,7 +184,7 @@
 
     /// A caller opens a flow, also anew under the same port. Returns whether it is open.
     pub fn open(&mut self, port: u16) -> bool {
-        let is_open = self.open_half(port);
+        let is_open = self.open_without_ack(port);
         if is_open {
             self.acknowledge(port);
         }
@@ -192,10 +192,10 @@
     }
 
     /// The same, before the caller acknowledges the answer. Returns whether there is one.
-    pub fn open_half(&mut self, port: u16) -> bool {
+    pub fn open_without_ack(&mut self, port: u16) -> bool {
         self.callers.remove(&port);
         let opening = PacketView {
-            synchronize: true,
+            syn: true,
             ..empty(caller(port), ROUTE)
         };
         self.carry(CarryReason::OpenQueued, &opening);
@@ -203,7 +203,7 @@
     }
 
     /// The caller's flow is at another back end.
-    pub fn hold_elsewhere(&mut self, port: u16, sequence: u32) {
+    pub fn open_elsewhere(&mut self, port: u16, sequence: u32) {
         let flow = CallerFlow {
             sequence,
             was_reset: false,
@@ -226,20 +226,20 @@
     /// The caller ends its flow; the back end learns of it.
     pub fn finish(&mut self, port: u16) {
         let packet = PacketView {
-            finish: true,
+            fin: true,
             ..self.packet(port, 0)
         };
         self.carry(CarryReason::Deliver, &packet);
         self.callers.remove(&port);
-        if let Some(life) = &mut self.life {
+        if let Some(life) = &mut self.backend {
             life.flows.remove(&port);
         }
     }
 
     fn packet(&self, port: u16, data_bytes: u16) -> PacketView {
         PacketView {
-            acknowledge: true,
-            acknowledged: self.callers[&port].sequence.wrapping_add(1),
+            ack: true,
+            ack_number: self.callers[&port].sequence.wrapping_add(1),
             data_bytes,
             ..empty(caller(port), ROUTE)
         }
@@ -258,13 +258,13 @@
     }
 
     /// A balancer hands a packet to the agent to try.
-    pub fn try_packet(&mut self, port: u16, data_bytes: u16) {
+    pub fn deliver_speculatively(&mut self, port: u16, data_bytes: u16) {
         let packet = self.packet(port, data_bytes);
         self.carry(CarryReason::Try, &packet);
     }
 
     /// A balancer asks for a flow.
-    pub fn seek(&mut self, port: u16) {
+    pub fn query(&mut self, port: u16) {
         let sought = SoughtFlow {
             flow: flow_id(port).into(),
             acknowledged: self.callers[&port].sequence.wrapping_add(1),
@@ -285,7 +285,7 @@
     }
 
     /// What a record of a life holds.
-    pub fn record(&self, life: &Life) -> FormerFlows {
+    pub fn record(&self, life: &BackendIncarnation) -> FormerFlows {
         let mut columns = FlowColumns {
             routes: vec![pack_address(ROUTE)],
             ..FlowColumns::default()
@@ -297,8 +297,8 @@
             columns.sequences.push(*sequence);
             columns.acknowledged_steps.push(1 / ACKNOWLEDGED_STEP);
             let witness = PacketView {
-                acknowledge: true,
-                acknowledged: sequence.wrapping_add(1),
+                ack: true,
+                ack_number: sequence.wrapping_add(1),
                 ..empty(caller(*port), ROUTE)
             };
             witnesses.push(encode(&witness));
@@ -315,7 +315,7 @@
     }
 
     /// A replica hands a record to the agent.
-    pub fn recall(&mut self, record: FormerFlows) {
+    pub fn recover(&mut self, record: FormerFlows) {
         let record = FormerFlows {
             incarnation: self.incarnation,
             ..record
@@ -346,9 +346,9 @@
     }
 
     /// Ports whose callers hold flows that the back end does not have.
-    pub fn dead(&self) -> Vec<u16> {
+    pub fn orphaned_ports(&self) -> Vec<u16> {
         let lives = |port: &u16, flow: &CallerFlow| {
-            let life = self.life.as_ref();
+            let life = self.backend.as_ref();
             life.and_then(|life| life.flows.get(port)) == Some(&flow.sequence)
         };
         let dead = self
@@ -383,7 +383,7 @@
                     PassThroughBody::NotHeld(not_held) => self.take_not_held(not_held),
                     PassThroughBody::Holds(holds) => {
                         let held = holds.flows.iter().map(|held| FlowId::from(held.flow));
-                        self.held.extend(held);
+                        self.owned_flows.extend(held);
                     }
                     _ => {}
                 },
@@ -398,7 +398,7 @@
         if not_held.was_open {
             self.assert_dead(id.caller.port(), not_held.acknowledged);
         }
-        self.not_held.push(not_held);
+        self.returned_packets.push(not_held);
     }
 
     /// A flow that lives must never be told as gone.
@@ -407,22 +407,22 @@
             return;
         };
         let is_meant = acknowledged.wrapping_sub(flow.sequence) < SEQUENCE_STEP;
-        let is_dead = self.dead().contains(&port);
+        let is_dead = self.orphaned_ports().contains(&port);
         assert!(!is_meant || is_dead, "the flow of port {port} lives");
     }
 
     fn reach_caller(&mut self, packet: &[u8]) {
         let view = TestCodec.view(packet).expect("a packet");
         let port = view.destination.port();
-        if view.reset {
-            self.assert_dead(port, view.sequence);
+        if view.rst {
+            self.assert_dead(port, view.sequence_number);
             self.resets.push((self.now, port));
             if let Some(flow) = self.callers.get_mut(&port) {
                 flow.was_reset = true;
             }
-        } else if view.synchronize {
+        } else if view.syn {
             let flow = CallerFlow {
-                sequence: view.sequence,
+                sequence: view.sequence_number,
                 was_reset: false,
             };
             self.callers.insert(port, flow);
@@ -431,18 +431,18 @@
 
     fn reach_backend(&mut self, view: PacketView) {
         let port = view.source.port();
-        let is_bare = view.data_bytes == 0 && !view.is_opening();
-        if is_bare && !view.finish {
-            self.bare.push(port);
+        let is_bare = view.data_bytes == 0 && !view.is_syn();
+        if is_bare && !view.fin {
+            self.dataless_packets.push(port);
         }
-        let Some(life) = &mut self.life else { return };
-        if view.is_opening() {
+        let Some(life) = &mut self.backend else { return };
+        if view.is_syn() {
             self.next_sequence = self.next_sequence.wrapping_add(SEQUENCE_STEP);
             life.flows.insert(port, self.next_sequence);
             let answer = PacketView {
-                synchronize: true,
-                acknowledge: true,
-                sequence: self.next_sequence,
+                syn: true,
+                ack: true,
+                sequence_number: self.next_sequence,
                 ..empty(ROUTE, view.source)
             };
             self.agent.handle_backend_packet(self.now, &encode(&answer));
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -30,7 +30,7 @@
     start_agent_with(now, PROVISIONAL_LIMIT)
 }
 
-fn start_agent_with(now: Timestamp, provisional_limit: Duration) -> Agent {
+fn start_agent_with(now: Timestamp, provisional_timeout: Duration) -> Agent {
     let settings = PassThroughAgentSettings {
         address: AGENT,
         zone: "a".to_owned(),
@@ -38,11 +38,11 @@
         first_start: false,
         report_interval: Duration::from_millis(500),
         silence_limit: Duration::from_secs(6),
-        provisional_limit,
+        provisional_timeout,
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 2,
-        stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        stop_timeout: Duration::from_secs(2),
+        warm_up_bounds: COLD_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
     let incarnation = Incarnation(now.as_micros());
@@ -58,11 +58,11 @@
     let call = Registration {
         id: "backend-1".to_owned(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number,
-        capacity: 4,
+        started_at_millis: None,
+        sequence: call_number,
+        slots: 4,
         draining,
-        cold: Duration::ZERO,
+        cold_for: Duration::ZERO,
         ..Registration::default()
     };
     let taken = agent.handle_registration(now, &call);
@@ -82,7 +82,7 @@
     reason: CarryReason,
 ) -> Option<DeclineReason> {
     let opening = PacketView {
-        synchronize: true,
+        syn: true,
         ..empty(caller(port), ROUTE)
     };
     let carry = Carry {
@@ -113,7 +113,7 @@
 /// The back end repeats data of a flow that it had before the agent started.
 fn let_backend_speak(agent: &mut Agent, now: Timestamp) {
     let data = PacketView {
-        acknowledge: true,
+        ack: true,
         data_bytes: 100,
         ..empty(ROUTE, caller(9))
     };
@@ -188,7 +188,7 @@
         exchange(&mut agent, &mut replica, start);
         let left_at = start + Duration::from_millis(700);
         match withdrawn {
-            true => agent.handle_withdrawal(left_at, "backend-1"),
+            true => agent.handle_deregistration(left_at, "backend-1"),
             false => register(&mut agent, left_at, 7, true),
         }
         exchange(&mut agent, &mut replica, left_at);
@@ -210,8 +210,8 @@
     assert_eq!(open(&mut agent, start, 1), Some(DeclineReason::NoBackend));
     assert_eq!(offer(&mut agent, start, 2, last_resort), None);
     let answer = PacketView {
-        synchronize: true,
-        acknowledge: true,
+        syn: true,
+        ack: true,
         ..empty(ROUTE, caller(2))
     };
     agent.handle_backend_packet(start, &encode(&answer));
@@ -240,7 +240,7 @@
 /// The back end's address returns the opening packet of a flow.
 fn return_opening(agent: &mut Agent, now: Timestamp, port: u16) -> Vec<PassThroughOutput> {
     let returned = PacketView {
-        synchronize: true,
+        syn: true,
         returned: true,
         ..empty(caller(port), ROUTE)
     };
@@ -335,7 +335,7 @@
         remembered: true,
         ..group
     };
-    for replica in agent.contacts_mut().all() {
+    for replica in agent.known_replicas_mut().all() {
         let answer = PassThroughBody::Group(answer.clone());
         agent.handle_message(now, replica, answer);
     }
--- a/crates/petrellatch-core/tests/pass_through/returning_site.rs
+++ b/crates/petrellatch-core/tests/pass_through/returning_site.rs
@@ -135,11 +135,11 @@
             first_start: false,
             report_interval: Duration::from_millis(500),
             silence_limit: Duration::from_secs(600),
-            provisional_limit: Duration::from_secs(2),
+            provisional_timeout: Duration::from_secs(2),
             flow_lifetime: Duration::from_secs(600),
             queue_factor: 3,
-            stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            stop_timeout: Duration::from_secs(2),
+            warm_up_bounds: COLD_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let life = Incarnation(self.now.as_micros() + u64::from(index));
@@ -148,11 +148,11 @@
         let call = Registration {
             id: address.to_string(),
             service: SERVICE.to_owned(),
-            born: None,
-            call_number,
-            capacity: 4,
+            started_at_millis: None,
+            sequence: call_number,
+            slots: 4,
             draining: false,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         let taken = agent.handle_registration(self.now, &call);
@@ -206,8 +206,8 @@
     /// A caller sends data on a flow that the balancer does not know.
     pub fn request(&mut self, port: u16) {
         let packet = PacketView {
-            acknowledge: true,
-            acknowledged: 1,
+            ack: true,
+            ack_number: 1,
             data_bytes: 50,
             ..empty(caller(port), ROUTE)
         };
@@ -341,7 +341,7 @@
                 }
                 PassThroughOutput::ToCaller { packet, .. } => {
                     let view = TestCodec.view(&packet).expect("a packet");
-                    self.resets += usize::from(view.reset);
+                    self.resets += usize::from(view.rst);
                 }
                 _ => {}
             }
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -37,11 +37,11 @@
         first_start: false,
         report_interval: Duration::from_millis(500),
         silence_limit: Duration::from_secs(6),
-        provisional_limit: Duration::from_secs(2),
+        provisional_timeout: Duration::from_secs(2),
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 2,
-        stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        stop_timeout: Duration::from_secs(2),
+        warm_up_bounds: COLD_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
     let contacts = Contacts::new(vec![replica_address(1)]);
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -90,11 +90,11 @@
     let call = Registration {
         id: "backend-2".to_owned(),
         service: SERVICE.to_owned(),
-        born: None,
-        call_number: 2,
-        capacity: SLOTS,
+        started_at_millis: None,
+        sequence: 2,
+        slots: SLOTS,
         draining: false,
-        cold: Duration::from_secs(60),
+        cold_for: Duration::from_secs(60),
         ..Registration::default()
     };
     // It warms up, and yet answers earlier than the warm one.
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
@@ -8,7 +8,7 @@
     CarryReason, DeclineReason, Declined, PassThroughBody, pack_address,
 };
 
-use super::queueing::{Desk, SLOTS};
+use super::queueing::{LoadedAgent, SLOTS};
 use super::world::MILLI;
 
 const URGENT: u32 = 1;
@@ -28,17 +28,17 @@
 }
 
 /// An agent whose back end has answered requests, the last ones a while ago.
-fn rested_desk() -> Desk {
-    let mut desk = Desk::new(WORK);
+fn rested_desk() -> LoadedAgent {
+    let mut desk = LoadedAgent::new(WORK);
     desk.now = desk.now + Duration::from_secs(1);
-    desk.opening.deadline_millis = IMPATIENT_MILLIS;
+    desk.offer_template.deadline_millis = IMPATIENT_MILLIS;
     desk
 }
 
 /// Offers flows of some priorities, at so many a second each, for ten seconds.
 fn offer(rates: &[(u32, u32)]) -> BTreeMap<u32, Outcome> {
     let mut desk = rested_desk();
-    desk.opening.deadline_millis = 0;
+    desk.offer_template.deadline_millis = 0;
     let mut priorities: BTreeMap<u64, u32> = BTreeMap::new();
     let mut outcomes: BTreeMap<u32, Outcome> = BTreeMap::new();
     let mut inside: VecDeque<SocketAddrV4> = VecDeque::new();
@@ -47,7 +47,7 @@
     for millis in 0..10_000 {
         while working.front().is_some_and(|(ends, _)| *ends <= millis) {
             let (_, flow) = working.pop_front().expect("seen");
-            desk.answer(flow);
+            desk.respond(flow);
         }
         for (priority, rate) in rates {
             random = random
@@ -56,7 +56,7 @@
             if (random >> 33) % 1_000 >= u64::from(*rate) {
                 continue;
             }
-            desk.opening.priority = *priority;
+            desk.offer_template.priority = *priority;
             let taken = desk.request(OBJECTIVE_MILLIS, CarryReason::OpenQueued);
             priorities.insert(pack_address(desk.latest_caller()), *priority);
             inside.extend(taken);
@@ -70,12 +70,12 @@
         if desk.agent.poll_timeout() <= desk.now {
             desk.agent.handle_timeout(desk.now);
         }
-        for flow in desk.opened() {
+        for flow in desk.take_dequeued() {
             let priority = priorities[&pack_address(flow)];
             outcomes.entry(priority).or_default().taken_at.push(millis);
             inside.push_back(flow);
         }
-        for body in desk.told.drain(..) {
+        for body in desk.replies.drain(..) {
             if let PassThroughBody::Declined(declined) = body {
                 let priority = priorities[&declined.flow.caller];
                 outcomes
@@ -124,15 +124,15 @@
 fn priorities_that_come_alone_have_the_whole_queue() {
     for priority in [0, URGENT, LESS_URGENT] {
         let mut desk = rested_desk();
-        desk.opening.priority = priority;
+        desk.offer_template.priority = priority;
         assert_eq!(desk.fill(OBJECTIVE_MILLIS), SLOTS * 4);
     }
 }
 
 /// The foretold turns of the declined flows, in microseconds.
-fn turns(desk: &mut Desk) -> Vec<u32> {
+fn turns(desk: &mut LoadedAgent) -> Vec<u32> {
     desk.agent.poll_output();
-    let told = desk.told.drain(..).filter_map(|body| match body {
+    let told = desk.replies.drain(..).filter_map(|body| match body {
         PassThroughBody::Declined(declined) => Some(declined),
         _ => None,
     });
@@ -160,8 +160,8 @@
 
 #[test]
 fn no_turn_is_foretold_without_known_times() {
-    let mut desk = Desk::without_answers();
-    desk.opening.deadline_millis = IMPATIENT_MILLIS;
+    let mut desk = LoadedAgent::without_responses();
+    desk.offer_template.deadline_millis = IMPATIENT_MILLIS;
     desk.fill(OBJECTIVE_MILLIS);
     assert_eq!(turns(&mut desk), [0]);
 }
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -7,7 +7,7 @@
 use lz4_flex::compress_prepend_size;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ColdBounds, Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    WarmUpBounds, Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
     Registration, service_digest,
 };
@@ -24,7 +24,7 @@
 pub const SERVICE: &str = "desk";
 pub const OTHER_SERVICE: &str = "files";
 /// As wide as nobody notices.
-pub const COLD_BOUNDS: ColdBounds = ColdBounds {
+pub const COLD_BOUNDS: WarmUpBounds = WarmUpBounds {
     excess: 1.5,
     slack: 5.0,
 };
@@ -283,11 +283,11 @@
             first_start: false,
             report_interval: Duration::from_millis(500),
             silence_limit: Duration::from_secs(6),
-            provisional_limit: Duration::from_secs(2),
+            provisional_timeout: Duration::from_secs(2),
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 3,
-            stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            stop_timeout: Duration::from_secs(2),
+            warm_up_bounds: COLD_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let agent = PassThroughAgent::new(
@@ -319,11 +319,11 @@
         let call = Registration {
             id: format!("backend-{index}"),
             service: (self.service_of)(index).to_owned(),
-            born: None,
-            call_number,
-            capacity,
+            started_at_millis: None,
+            sequence: call_number,
+            slots: capacity,
             draining,
-            cold: Duration::ZERO,
+            cold_for: Duration::ZERO,
             ..Registration::default()
         };
         self.call(index, &call);
@@ -496,10 +496,10 @@
         let view = TestCodec.view(packet).expect("a packet");
         let backend = self.backends.get_mut(&agent).expect("known");
         backend.received.push(view);
-        if !view.is_opening() {
+        if !view.is_syn() {
             if self.resetting.contains(&agent) && view.data_bytes > 0 {
                 let reset = PacketView {
-                    reset: true,
+                    rst: true,
                     ..empty(view.destination, view.source)
                 };
                 self.answer_from_backend(agent, &reset);
@@ -511,8 +511,8 @@
                 self.answer_from_backend(agent, &returned);
             } else if self.quick_backends && view.data_bytes > 0 {
                 let acknowledgement = PacketView {
-                    acknowledge: true,
-                    sequence: first_sequence(agent).wrapping_add(1),
+                    ack: true,
+                    sequence_number: first_sequence(agent).wrapping_add(1),
                     ..empty(view.destination, view.source)
                 };
                 self.answer_from_backend(agent, &acknowledgement);
@@ -529,9 +529,9 @@
         }
         backend.flows.insert(view.source);
         let answer = PacketView {
-            synchronize: true,
-            acknowledge: true,
-            sequence: first_sequence(agent),
+            syn: true,
+            ack: true,
+            sequence_number: first_sequence(agent),
             ..empty(view.destination, view.source)
         };
         self.answer_from_backend(agent, &answer);
@@ -551,9 +551,9 @@
             .flows
             .insert(caller(port));
         let data = PacketView {
-            acknowledge: true,
+            ack: true,
             data_bytes: 100,
-            sequence: first_sequence(agent).wrapping_add(1),
+            sequence_number: first_sequence(agent).wrapping_add(1),
             ..empty(ROUTE, caller(port))
         };
         self.answer_from_backend(agent, &data);
@@ -562,8 +562,8 @@
 
     pub fn open(&mut self, port: u16, copy: u32) {
         let packet = PacketView {
-            synchronize: true,
-            acknowledged: copy,
+            syn: true,
+            ack_number: copy,
             ..empty(caller(port), ROUTE)
         };
         self.balancer.handle_packet(self.now, &encode(&packet));
@@ -575,7 +575,7 @@
         let elsewhere = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
         for port in 1..=flows {
             let packet = PacketView {
-                synchronize: true,
+                syn: true,
                 ..empty(caller(30_000 + port), ROUTE)
             };
             let carry = Carry {
@@ -594,8 +594,8 @@
     /// The caller sends data on a flow that this agent's back end answered.
     pub fn request(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
-            acknowledge: true,
-            acknowledged: first_sequence(agent).wrapping_add(1),
+            ack: true,
+            ack_number: first_sequence(agent).wrapping_add(1),
             data_bytes: 50,
             ..empty(caller(port), ROUTE)
         };
@@ -606,9 +606,9 @@
     /// The caller ends a flow that this agent's back end answered.
     pub fn finish(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
-            acknowledge: true,
-            finish: true,
-            acknowledged: first_sequence(agent).wrapping_add(1),
+            ack: true,
+            fin: true,
+            ack_number: first_sequence(agent).wrapping_add(1),
             ..empty(caller(port), ROUTE)
         };
         self.balancer.handle_packet(self.now, &encode(&packet));
@@ -618,16 +618,16 @@
     /// The agent whose back end answered the caller's opening packet.
     pub fn answered_by(&self, port: u16) -> Option<SocketAddrV4> {
         let answer = self.callers.iter().rev().find(|view| {
-            view.destination == caller(port) && view.synchronize && view.acknowledge
+            view.destination == caller(port) && view.syn && view.ack
         })?;
         let agents = self.agents.keys();
         agents
             .copied()
-            .find(|agent| first_sequence(*agent) == answer.sequence)
+            .find(|agent| first_sequence(*agent) == answer.sequence_number)
     }
 
     pub fn resets(&self) -> usize {
-        self.callers.iter().filter(|view| view.reset).count()
+        self.callers.iter().filter(|view| view.rst).count()
     }
 
     /// Packets with data that reached the back end beside this agent.
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -76,7 +76,7 @@
         let wakeup = event_loop.wait(agent.poll_timeout(), more)?;
         let now = event_loop.clock.now();
         if let Some(settings) = wakeup.settings {
-            agent.contacts_mut().set_seeds(settings.seeds);
+            agent.known_replicas_mut().set_seeds(settings.seeds);
         }
         for token in wakeup.tokens {
             for http in &mut http {
@@ -135,7 +135,7 @@
             Err(refusal) => CallAnswer::RegistrationRefused(refusal),
         },
         Call::Withdraw { id } => {
-            agent.handle_withdrawal(now, &id);
+            agent.handle_deregistration(now, &id);
             CallAnswer::Registered
         }
         Call::Replace(_) | Call::Read | Call::OrderZone { .. } | Call::Policies(_) => {
@@ -155,11 +155,11 @@
         first_start: addresses.first_start,
         report_interval: REPORT_INTERVAL,
         silence_limit: addresses.registration_interval * MISSED_REGISTRATIONS,
-        provisional_limit: addresses.registration_interval * PROVISIONAL_REGISTRATIONS,
+        provisional_timeout: addresses.registration_interval * PROVISIONAL_REGISTRATIONS,
         flow_lifetime: settings.flow_lifetime,
         queue_factor: QUEUE_FACTOR,
-        stop_limit: STOP_WAIT.min(settings.stop_limit / 2),
-        cold_bounds: addresses.cold_bounds,
+        stop_timeout: STOP_WAIT.min(settings.stop_limit / 2),
+        warm_up_bounds: addresses.cold_bounds,
         flow_record: addresses.flow_record,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -204,7 +204,7 @@
     let packets = counters(&registry, LINK_PACKETS_TOTAL, help, "outcome");
     for (outcome, total) in [
         ("waited", link.waited),
-        ("copy", link.copies),
+        ("copy", link.duplicates),
         ("dropped", link.dropped),
     ] {
         raise(&packets.with_label_values(&[outcome]), total);
@@ -281,12 +281,12 @@
     let help = "Slots that the open flows kept busy in the last seconds.";
     set(&gauge(&registry, DEMAND_MILLISLOTS, help), demand);
     let help = "Mean time that the back end works on a request.";
-    let work = agent.work_micros(now);
+    let work = agent.processing_micros(now);
     set(&gauge(&registry, WORK_MICROSECONDS, help), work);
-    tell_recorded(&registry, agent.flow_record(), agent.recall_outcome());
+    tell_recorded(&registry, agent.flow_record_stats(), agent.recovery_outcome());
     let latencies = agent.latencies();
     let help = "Admission of a flow to the back end's answer.";
-    let answer = histogram(FIRST_ANSWER_SECONDS, help, &latencies.first_answer);
+    let answer = histogram(FIRST_ANSWER_SECONDS, help, &latencies.first_response);
     let help = "Between two calls of the back end.";
     let gap = histogram(REGISTRATION_GAP_SECONDS, help, &latencies.registration_gap);
     encode(&registry, [answer, gap])
@@ -386,7 +386,7 @@
     }
     let help = "Such proofs under way.";
     let pending = gauge(registry, PROOFS_PENDING, help);
-    set(&pending, agent.pending_proofs());
+    set(&pending, agent.pending_restart_probes());
 }
 
 /// What each placement policy did at a balancer.
--- a/crates/petrellatch/src/runtime/pass_through/settings.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use petrellatch_core::pass_through::{ColdBounds, FlowRecordSettings};
+use petrellatch_core::pass_through::{WarmUpBounds, FlowRecordSettings};
 
 /// What the settings of the record of open flows may be.
 pub mod flow_record_bounds {
@@ -86,7 +86,7 @@
     /// About how often a back end registers again.
     pub registration_interval: Duration,
     /// What a back end that warms up may get.
-    pub cold_bounds: ColdBounds,
+    pub cold_bounds: WarmUpBounds,
     /// The record of open flows that replicas keep.
     pub flow_record: FlowRecordSettings,
 }
