--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -7,7 +7,7 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Configuration, Contacts, FlowId, PacketCodec, PacketView, PassThroughBalancer,
+    Configuration, KnownReplicas, FlowId, PacketCodec, PacketView, PassThroughBalancer,
     PassThroughBalancerSettings,
 };
 use petrellatch_proto::pass_through::{
@@ -154,7 +154,7 @@
         stop_delay: Duration::from_secs(1),
         link_bytes_per_second: None,
     };
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     let mut balancer = PassThroughBalancer::new(now, settings, Codec, Incarnation(6), contacts);
     set_up(&mut balancer, now);
     let before = resident_bytes();
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -37,7 +37,7 @@
 use crate::pass_through::flows::former_recall::{FormerRecall, RecallOutcome};
 use crate::pass_through::flows::gathered_questions::GatheredQuestions;
 use crate::pass_through::flows::tried_flows::TriedFlows;
-use crate::pass_through::group::contacts::Contacts;
+use crate::pass_through::group::known_replicas::KnownReplicas;
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::latency::LatencyHistogram;
 use crate::pass_through::output::PassThroughOutput;
@@ -149,7 +149,7 @@
     codec: C,
     incarnation: Incarnation,
     service: u64,
-    contacts: Contacts,
+    contacts: KnownReplicas,
     registration: RegistrationState,
     flows: AgentFlows,
     tried: TriedFlows,
@@ -205,7 +205,7 @@
         settings: PassThroughAgentSettings,
         codec: C,
         incarnation: Incarnation,
-        contacts: Contacts,
+        contacts: KnownReplicas,
     ) -> Self {
         let provisional_limit = settings.provisional_limit.min(MAX_PROVISIONAL_LIMIT);
         let has_former = !settings.first_start && !settings.flow_record.age.is_zero();
@@ -255,7 +255,7 @@
     }
 
     /// The replicas that this agent knows.
-    pub fn contacts_mut(&mut self) -> &mut Contacts {
+    pub fn contacts_mut(&mut self) -> &mut KnownReplicas {
         &mut self.contacts
     }
 
@@ -376,7 +376,7 @@
     fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &Group) {
         self.handle_zones(from, group.zones.as_ref());
         let known = self.contacts.all();
-        self.contacts.handle_group(group);
+        self.contacts.handle_group_status(group);
         let has_more = !self.contacts.all().is_subset(&known);
         self.registration.recall(&group.leaving);
         if group.answers_report {
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/recording.rs
@@ -12,7 +12,7 @@
 use crate::event::EventKind;
 use crate::pass_through::flows::flow_recorder::FlowRecordFigures;
 use crate::pass_through::flows::former_recall::{RecallEnd, RecallOutcome};
-use crate::pass_through::group::agent_replicas::is_chosen;
+use crate::pass_through::group::replica_assignment::is_assigned;
 use crate::pass_through::packet::PacketCodec;
 use crate::time::Timestamp;
 
@@ -50,7 +50,7 @@
         let replicas: Vec<u64> = known.iter().copied().map(pack_address).collect();
         let count = self.settings.flow_record.keepers;
         let is_keeper =
-            |replica: &SocketAddrV4| is_chosen(agent, pack_address(*replica), &replicas, count);
+            |replica: &SocketAddrV4| is_assigned(agent, pack_address(*replica), &replicas, count);
         known.into_iter().filter(is_keeper).collect()
     }
 
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -33,8 +33,8 @@
 use super::flows::flow_search::SearchStep;
 use super::flows::flow_searches::FlowSearches;
 use super::flows::seek_budget::SeekBudget;
-use super::group::attachments::Attachments;
-use super::group::contacts::Contacts;
+use super::group::preferred_replicas::PreferredReplicas;
+use super::group::known_replicas::KnownReplicas;
 use super::group::evacuations::Evacuations;
 use super::latency::LatencyHistogram;
 use super::link::link_queue::LinkQueue;
@@ -131,8 +131,8 @@
     settings: PassThroughBalancerSettings,
     codec: C,
     incarnation: Incarnation,
-    contacts: Contacts,
-    attachments: Attachments,
+    contacts: KnownReplicas,
+    attachments: PreferredReplicas,
     routes: RouteTable,
     evacuations: Evacuations,
     agents: AgentDirectory,
@@ -194,7 +194,7 @@
         settings: PassThroughBalancerSettings,
         codec: C,
         incarnation: Incarnation,
-        contacts: Contacts,
+        contacts: KnownReplicas,
     ) -> Self {
         let link_bytes_per_second = settings.link_bytes_per_second;
         PassThroughBalancer {
@@ -204,7 +204,7 @@
             codec,
             incarnation,
             contacts,
-            attachments: Attachments::new(incarnation.0),
+            attachments: PreferredReplicas::new(incarnation.0),
             routes: RouteTable::default(),
             evacuations: Evacuations::default(),
             hints: FlowHints::default(),
@@ -243,7 +243,7 @@
     }
 
     /// The replicas that this balancer knows.
-    pub fn contacts_mut(&mut self) -> &mut Contacts {
+    pub fn contacts_mut(&mut self) -> &mut KnownReplicas {
         &mut self.contacts
     }
 
--- a/crates/petrellatch-core/src/pass_through/balancer/news.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/news.rs
@@ -20,10 +20,10 @@
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
     pub(super) fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &Group) {
-        self.contacts.handle_group(group);
+        self.contacts.handle_group_status(group);
         self.handle_zones(group.zones.as_ref());
         self.handle_policies(group.policies.as_ref());
-        self.attachments.note_answer(now, from, group.serves);
+        self.attachments.note_reply(now, from, group.serves);
         if !group.serves {
             // Another replica takes its place.
             self.follow_at = self.follow_at.min(now + REPAIR_INTERVAL);
--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -233,7 +233,7 @@
 
     /// Takes the zones out of service.
     pub(crate) fn set_evacuated(&mut self, evacuations: &Evacuations) {
-        let zones = evacuations.evacuated();
+        let zones = evacuations.evacuated_zones();
         self.evacuated = zones.map(|record| zone_digest(&record.zone)).collect();
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
@@ -99,7 +99,7 @@
 
     /// Asks another replica which agents there are, after the start.
     pub(super) fn fetch_directory(&mut self, now: Timestamp) {
-        let own = node_address(self.replica.id().node);
+        let own = address_of_node_id(self.replica.id().node);
         let mut peers = self.contacts.all();
         peers.remove(&own);
         if let Some(peer) = self.directory_fetch.next(now, &peers) {
@@ -171,7 +171,7 @@
         let followers = &self.followers;
         let current = || remembered(followers.followers(), followers.agents_to_remember());
         if let Some(bytes) = self.daemon_memory.save(now, current) {
-            self.outputs.push_back(ConfigurationOutput::Remember(bytes));
+            self.outputs.push_back(ConfigurationOutput::SaveDaemons(bytes));
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/calls.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/calls.rs
@@ -7,7 +7,7 @@
 
 use crate::consensus::PersistRequest;
 use crate::event::Event;
-use crate::pass_through::group::flow_records::FlowRecordWrite;
+use crate::pass_through::group::flow_record_store::FlowRecordWrite;
 use crate::pass_through::policies::placement_policies::PolicyRefusal;
 use crate::pass_through::policies::policy_check::ExplainedPolicy;
 use crate::pass_through::routes::configuration::Configuration;
@@ -20,7 +20,7 @@
     /// Read the newest configuration.
     Read,
     /// Take a zone out of service, or back into it.
-    OrderZone {
+    SetZoneEvacuated {
         /// The zone.
         zone: String,
         /// Whether it goes out of service.
@@ -58,7 +58,7 @@
 
 /// Why an order about a zone is refused; nothing of it is done.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-pub enum ZoneOrderRefusal {
+pub enum ZoneCommandRefusal {
     /// There is no such zone.
     #[snafu(display("there is no zone {zone}"))]
     UnknownZone {
@@ -86,9 +86,9 @@
     /// The newest configuration.
     Read(Configuration),
     /// The order about a zone holds for good.
-    ZoneOrdered,
+    ZoneCommandApplied,
     /// The order about a zone is refused.
-    ZoneOrderRefused(ZoneOrderRefusal),
+    ZoneCommandRefused(ZoneCommandRefusal),
     /// The change of the policies holds for good.
     PolicyChanged {
         /// Index of the policies.
@@ -99,13 +99,13 @@
     /// The policy, or a change of the policies, is refused.
     PolicyRefused(PolicyRefusal),
     /// Nothing is wrong with the policy.
-    PolicySound,
+    PolicyValid,
     /// What the policy of a service decides.
     PolicyExplained(ExplainedPolicy),
     /// The newest policies.
     Policies(PolicyRecords),
     /// Another replica leads.
-    Elsewhere {
+    NotLeader {
         /// Its address for messages between processes.
         leader: SocketAddrV4,
     },
@@ -119,16 +119,16 @@
         match self {
             ConfigurationResponse::Accepted { version } => format!("accepted({version})"),
             ConfigurationResponse::Read(read) => format!("read({})", read.version),
-            ConfigurationResponse::ZoneOrdered => "zone_ordered".to_owned(),
-            ConfigurationResponse::ZoneOrderRefused(refusal) => format!("refused({refusal})"),
+            ConfigurationResponse::ZoneCommandApplied => "zone_ordered".to_owned(),
+            ConfigurationResponse::ZoneCommandRefused(refusal) => format!("refused({refusal})"),
             ConfigurationResponse::PolicyChanged { index, .. } => format!("policies({index})"),
             ConfigurationResponse::PolicyRefused(refusal) => format!("refused({refusal})"),
-            ConfigurationResponse::PolicySound => "sound".to_owned(),
+            ConfigurationResponse::PolicyValid => "sound".to_owned(),
             ConfigurationResponse::PolicyExplained(explained) => {
                 format!("explained({})", explained.service)
             }
             ConfigurationResponse::Policies(read) => format!("policies({})", read.index),
-            ConfigurationResponse::Elsewhere { leader } => format!("elsewhere({leader})"),
+            ConfigurationResponse::NotLeader { leader } => format!("elsewhere({leader})"),
             ConfigurationResponse::Unavailable => "unavailable".to_owned(),
         }
     }
@@ -146,9 +146,9 @@
     },
     /// Write and sync, then call [`ConfigurationNode::handle_persisted`].
     Persist(PersistRequest),
-    /// Save this for the next life's [`ConfigurationNode::recall_daemons`], in
+    /// Save this for the next life's [`ConfigurationNode::load_daemons`], in
     /// place of what was saved before. It may get lost.
-    Remember(Vec<u8>),
+    SaveDaemons(Vec<u8>),
     /// Write to the file of the records of open flows, then call
     /// [`ConfigurationNode::handle_flow_records_written`]. There is one write at a time.
     WriteFlowRecords(FlowRecordWrite),
--- a/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
@@ -7,7 +7,7 @@
 impl ConfigurationNode {
     /// Takes what a former life wrote to the file of records, in that order. Returns whether
     /// all of it could be read.
-    pub fn recall_flow_records(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
+    pub fn load_flow_records(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
         self.flow_records.recall(now, saved)
     }
 
@@ -23,7 +23,7 @@
     }
 
     /// The records of open flows that this replica keeps.
-    pub fn flow_records(&self, now: Timestamp) -> FlowRecordsKept {
+    pub fn flow_record_stats(&self, now: Timestamp) -> FlowRecordStoreStats {
         self.flow_records.figures(now)
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
@@ -56,7 +56,7 @@
         }
         self.memory_exchange.asks += 1;
         self.memory_exchange.ask_at = Some(now + ASK_INTERVAL);
-        let own = node_address(self.replica.id().node);
+        let own = address_of_node_id(self.replica.id().node);
         let expected = self.followers.expected();
         let peers = self.member_addresses().into_iter();
         let peers = peers.filter(|peer| *peer != own && !expected.has_told_all(*peer));
@@ -71,7 +71,7 @@
 
     fn member_addresses(&self) -> Vec<SocketAddrV4> {
         let members = self.replica.membership().members().iter();
-        members.map(|it| node_address(it.replica.node)).collect()
+        members.map(|it| address_of_node_id(it.replica.node)).collect()
     }
 
     /// Tells another replica which agents this one remembers. One that has lost its
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -34,10 +34,10 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-use super::group::contacts::Contacts;
+use super::group::known_replicas::KnownReplicas;
 use super::group::daemon_memory::{DaemonMemory, remembered};
 use super::group::evacuations::Evacuations;
-use super::group::flow_records::{FlowRecords, FlowRecordsKept};
+use super::group::flow_record_store::{FlowRecords, FlowRecordStoreStats};
 use super::group::followers::Followers;
 use super::group::group_keeper::GroupKeeper;
 use super::group::told_changes::ToldChanges;
@@ -47,7 +47,7 @@
 use super::routes::replacements::Replacements;
 
 pub use calls::{
-    ConfigurationOutput, ConfigurationRequest, ConfigurationResponse, ZoneOrderRefusal,
+    ConfigurationOutput, ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal,
 };
 pub use settings::ConfigurationNodeSettings;
 
@@ -70,7 +70,7 @@
     /// From the request of a replacement until it was accepted.
     pub acceptance: LatencyHistogram,
     /// From the request of a write until it was synced.
-    pub sync: LatencyHistogram,
+    pub log_sync: LatencyHistogram,
 }
 
 #[derive(Debug)]
@@ -112,7 +112,7 @@
     told_changes: ToldChanges,
     /// Revision of the directory that balancers were told last.
     pushed_revision: u64,
-    contacts: Contacts,
+    contacts: KnownReplicas,
     /// The version before the first change that balancers were not told.
     news_since: Option<u64>,
     keeper: GroupKeeper,
@@ -143,36 +143,36 @@
 }
 
 /// The identifier of the replica at this address.
-pub fn node_at(address: SocketAddrV4) -> NodeId {
+pub fn node_id_of_address(address: SocketAddrV4) -> NodeId {
     NodeId(pack_address(address))
 }
 
-/// The address of a replica whose identifier [`node_at`] made.
-pub fn node_address(node: NodeId) -> SocketAddrV4 {
+/// The address of a replica whose identifier [`node_id_of_address`] made.
+pub fn address_of_node_id(node: NodeId) -> SocketAddrV4 {
     unpack_address(node.0)
 }
 
 impl ConfigurationNode {
-    /// Starts a life of a replica. Nodes in `start` are made by [`node_at`].
+    /// Starts a life of a replica. Nodes in `start` are made by [`node_id_of_address`].
     pub fn new(now: Timestamp, settings: ConfigurationNodeSettings, start: ReplicaStart) -> Self {
         let flow_records = FlowRecords::new(
             now,
-            settings.flow_record_bytes,
-            settings.flow_record_lifetime,
+            settings.max_flow_record_bytes,
+            settings.flow_record_ttl,
         );
         let mut random = ChaCha8Rng::seed_from_u64(start.seed.wrapping_add(1));
         let followers = Followers::new(now, random.random());
         let founders = start.bootstrap.as_ref().map(Membership::members);
         let founders = founders.unwrap_or_default().iter();
-        let seeds = founders.map(|founder| node_address(founder.replica.node));
+        let seeds = founders.map(|founder| address_of_node_id(founder.replica.node));
         let seeds = seeds.collect();
         ConfigurationNode {
             replica: Replica::new(now, settings.replica.clone(), start),
             random,
             keeper: GroupKeeper::new(
-                settings.losses,
-                settings.zone_losses,
-                settings.member_silence_limit,
+                settings.max_lost_replicas,
+                settings.max_lost_zones,
+                settings.member_silence_timeout,
             ),
             zone_told_at: now,
             zone_tellings: 0,
@@ -187,7 +187,7 @@
             pushed_revision: followers.revision(),
             followers,
             told_changes: ToldChanges::default(),
-            contacts: Contacts::new(seeds),
+            contacts: KnownReplicas::new(seeds),
             news_since: None,
             daemon_memory: DaemonMemory::new(now),
             flow_records,
@@ -210,7 +210,7 @@
 
     /// Takes what a former life asked to be remembered. Returns whether it could
     /// be read.
-    pub fn recall_daemons(&mut self, saved: &[u8]) -> bool {
+    pub fn load_daemons(&mut self, saved: &[u8]) -> bool {
         let is_readable = self.daemon_memory.recall(saved);
         let agents = self.daemon_memory.saved_agents();
         self.followers.expected_mut().recall(agents);
@@ -251,7 +251,7 @@
     /// Replaces the replicas that the settings name.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.replica
-            .set_contacts(seeds.iter().copied().map(node_at));
+            .set_contacts(seeds.iter().copied().map(node_id_of_address));
     }
 
     /// Whether a planned stop is complete.
@@ -264,7 +264,7 @@
         if self.stop_at.is_some() {
             return;
         }
-        self.stop_at = Some(now + self.settings.stop_limit);
+        self.stop_at = Some(now + self.settings.stop_timeout);
         if self.replica.transfer_leadership(now).is_err() {
             self.stopped = true;
         }
@@ -277,7 +277,7 @@
             PassThroughBody::Group(group) => {
                 self.note_whole_takeover(from, &group);
                 self.note_remembered(from, &group);
-                self.contacts.handle_group(&group);
+                self.contacts.handle_group_status(&group);
                 self.apply_contacts();
             }
             PassThroughBody::Report(report) => self.handle_report(now, from, report),
@@ -285,7 +285,7 @@
             PassThroughBody::Directory(directory) => {
                 self.handle_directory(now, from, directory);
             }
-            PassThroughBody::ReplicaZone(told) => self.keeper.note_zone(node_at(from), told.zone),
+            PassThroughBody::ReplicaZone(told) => self.keeper.note_zone(node_id_of_address(from), told.zone),
             PassThroughBody::EvacuationsKnown(known) => {
                 self.followers
                     .note_evacuations_known(known.address, known.index);
@@ -335,7 +335,7 @@
             ConfigurationRequest::ExplainPolicy { service } => {
                 self.handle_policy_explanation(now, token, service);
             }
-            ConfigurationRequest::OrderZone {
+            ConfigurationRequest::SetZoneEvacuated {
                 zone,
                 evacuated,
                 allow_last,
@@ -356,7 +356,7 @@
     /// Notes that a write is synced.
     pub fn handle_persisted(&mut self, now: Timestamp, ticket: PersistTicket) {
         if let Some(since) = self.write_since.take() {
-            self.latencies.sync.record(now.saturating_since(since));
+            self.latencies.log_sync.record(now.saturating_since(since));
         }
         self.replica.handle_persisted(now, ticket);
         self.drain(now);
@@ -420,7 +420,7 @@
             return;
         };
         let joins = matches!(message.body, Some(ConsensusBody::JoinRequest(_)));
-        self.replica.handle_message(now, node_at(from), message);
+        self.replica.handle_message(now, node_id_of_address(from), message);
         if joins && self.replica.role() != Role::Leader {
             // The newcomer may know no replica but this one.
             let group = self.group(now);
@@ -429,12 +429,12 @@
     }
 
     fn apply_contacts(&mut self) {
-        let nodes = self.contacts.all().into_iter().map(node_at);
+        let nodes = self.contacts.all().into_iter().map(node_id_of_address);
         self.replica.set_contacts(nodes);
     }
 
     fn disk_is_stalled(&self, now: Timestamp) -> bool {
-        let limit = self.settings.write_limit;
+        let limit = self.settings.write_timeout;
         let is_late = |since| now.saturating_since(since) >= limit;
         self.write_since.is_some_and(is_late)
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/own_zone.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/own_zone.rs
@@ -26,10 +26,10 @@
         let zone = self.settings.zone.clone();
         self.keeper.note_zone(own, zone.clone());
         let members = self.replica.membership().members().iter();
-        let members = members.map(|member| node_address(member.replica.node));
+        let members = members.map(|member| address_of_node_id(member.replica.node));
         let others: BTreeSet<SocketAddrV4> = members.chain(self.contacts.all()).collect();
         for other in others {
-            if node_at(other) != own {
+            if node_id_of_address(other) != own {
                 let told = ReplicaZone { zone: zone.clone() };
                 self.send(other, PassThroughBody::ReplicaZone(told));
             }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -39,7 +39,7 @@
         let command = ConfigurationState::policy_command(&change);
         match self.replica.propose(now, command) {
             Ok(_) => {
-                let deadline = now + self.settings.request_limit;
+                let deadline = now + self.settings.request_timeout;
                 self.policy_changes.add(change.change, token, deadline);
             }
             Err(_) => self.respond_elsewhere(token),
@@ -54,7 +54,7 @@
         policy: &PlacementPolicy,
     ) {
         match policy_check::check(policy, &self.followers.backends(now)) {
-            Ok(()) => self.respond(token, ConfigurationResponse::PolicySound),
+            Ok(()) => self.respond(token, ConfigurationResponse::PolicyValid),
             Err(refusal) => self.respond(token, ConfigurationResponse::PolicyRefused(refusal)),
         }
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
@@ -19,7 +19,7 @@
         match output {
             ReplicaOutput::Send { to, message } => {
                 let body = PassThroughBody::Consensus(message.encode_to_vec());
-                self.send(node_address(to), body);
+                self.send(address_of_node_id(to), body);
             }
             ReplicaOutput::Persist(request) => {
                 self.write_since = Some(now);
@@ -86,7 +86,7 @@
         let version = self.configuration().version;
         for (token, deadline) in self.replacements.take_reached(version) {
             let left = deadline.saturating_since(now);
-            let time = self.settings.request_limit.saturating_sub(left);
+            let time = self.settings.request_timeout.saturating_sub(left);
             self.latencies.acceptance.record(time);
             self.respond(token, ConfigurationResponse::Accepted { version });
         }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -18,7 +18,7 @@
             self.respond_elsewhere(token);
             return;
         }
-        let deadline = now + self.settings.request_limit;
+        let deadline = now + self.settings.request_timeout;
         self.replacements.add(token, deadline, configuration);
         self.propose_next(now);
     }
@@ -69,7 +69,7 @@
     ) {
         let read = PendingRead::Operator {
             token,
-            deadline: now + self.settings.request_limit,
+            deadline: now + self.settings.request_timeout,
             subject,
         };
         self.request_read(now, read);
@@ -122,7 +122,7 @@
                 let confirmed = Confirmed {
                     confirm,
                     version,
-                    zones: self.evacuations().news_since(0),
+                    zones: self.evacuations().updates_since(0),
                     policies: self.policies().news_since(0),
                 };
                 self.send(address, PassThroughBody::Confirmed(confirmed));
@@ -135,8 +135,8 @@
         let leader = self.replica.leader();
         let other = leader.filter(|leader| *leader != self.replica.id().node);
         let response = match other {
-            Some(leader) => ConfigurationResponse::Elsewhere {
-                leader: node_address(leader),
+            Some(leader) => ConfigurationResponse::NotLeader {
+                leader: address_of_node_id(leader),
             },
             None => ConfigurationResponse::Unavailable,
         };
--- a/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
@@ -11,28 +11,28 @@
     /// Of the replicated log.
     pub replica: ReplicaSettings,
     /// How many machines may be lost at once.
-    pub losses: usize,
+    pub max_lost_replicas: usize,
     /// How many zones may be lost at once: none or one.
-    pub zone_losses: usize,
+    pub max_lost_zones: usize,
     /// The zone of this replica.
     pub zone: String,
     /// A silent member is removed after this, if enough others stay.
-    pub member_silence_limit: Duration,
+    pub member_silence_timeout: Duration,
     /// A request that is not answered by then gets the answer that its
     /// outcome is unknown.
-    pub request_limit: Duration,
+    pub request_timeout: Duration,
     /// A leader whose disk holds up a write for longer stops leading.
-    pub write_limit: Duration,
+    pub write_timeout: Duration,
     /// The longest that a planned stop waits for a successor.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// All zones. Orders about others are refused; if there are none here, orders
     /// about any zone are taken.
     pub zones: BTreeSet<String>,
     /// What the records of open flows may take in memory, in bytes.
-    pub flow_record_bytes: usize,
+    pub max_flow_record_bytes: usize,
     /// A record is forgotten if its agent was not heard of for so long: no flow rests for
     /// longer.
-    pub flow_record_lifetime: Duration,
+    pub flow_record_ttl: Duration,
 }
 
 impl Default for ConfigurationNodeSettings {
@@ -47,16 +47,16 @@
                 elects_at_start: true,
                 ..ReplicaSettings::default()
             },
-            losses: 1,
-            zone_losses: 0,
+            max_lost_replicas: 1,
+            max_lost_zones: 0,
             zone: String::new(),
-            member_silence_limit: Duration::from_secs(8),
-            request_limit: Duration::from_millis(850),
-            write_limit: Duration::from_millis(400),
-            stop_limit: Duration::from_secs(1),
+            member_silence_timeout: Duration::from_secs(8),
+            request_timeout: Duration::from_millis(850),
+            write_timeout: Duration::from_millis(400),
+            stop_timeout: Duration::from_secs(1),
             zones: BTreeSet::new(),
-            flow_record_bytes: 16 * 1024 * 1024,
-            flow_record_lifetime: Duration::from_secs(60),
+            max_flow_record_bytes: 16 * 1024 * 1024,
+            flow_record_ttl: Duration::from_secs(60),
         }
     }
 }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
@@ -90,7 +90,7 @@
     /// The group, with the orders about zones unless the receiver knows them.
     pub(super) fn group_with_zones(&self, now: Timestamp, known: u64) -> Group {
         Group {
-            zones: self.evacuations().news_since(known),
+            zones: self.evacuations().updates_since(known),
             ..self.group(now)
         }
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_orders.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_orders.rs
@@ -16,7 +16,7 @@
         let is_known = zones.is_empty() || zones.contains(&order.zone);
         if !is_known && !self.evacuations().contains(&order.zone) {
             let zone = order.zone;
-            self.refuse_zone_order(token, ZoneOrderRefusal::UnknownZone { zone });
+            self.refuse_zone_order(token, ZoneCommandRefusal::UnknownZone { zone });
             return;
         }
         if self.replica.role() != Role::Leader {
@@ -28,13 +28,13 @@
             && let Some(service) = self.service_left_without_zone(now, &order.zone)
         {
             let zone = order.zone;
-            self.refuse_zone_order(token, ZoneOrderRefusal::LastZone { zone, service });
+            self.refuse_zone_order(token, ZoneCommandRefusal::LastZone { zone, service });
             return;
         }
         let command = ConfigurationState::zone_command(&order);
         match self.replica.propose(now, command) {
             Ok(_) => {
-                let deadline = now + self.settings.request_limit;
+                let deadline = now + self.settings.request_timeout;
                 self.zone_orders.add(order.order, token, deadline);
             }
             Err(_) => self.respond_elsewhere(token),
@@ -51,9 +51,9 @@
         self.followers.service_without_zone(stays)
     }
 
-    fn refuse_zone_order(&mut self, token: u64, refusal: ZoneOrderRefusal) {
+    fn refuse_zone_order(&mut self, token: u64, refusal: ZoneCommandRefusal) {
         self.emit_event(EventKind::ZoneOrderRefused, refusal.to_string());
-        self.respond(token, ConfigurationResponse::ZoneOrderRefused(refusal));
+        self.respond(token, ConfigurationResponse::ZoneCommandRefused(refusal));
     }
 
     /// An order was applied: whoever waits for it is answered, and daemons are told.
@@ -72,7 +72,7 @@
             self.zone_news.note_order(now);
         }
         if let Some(token) = self.zone_orders.take(order.order) {
-            self.respond(token, ConfigurationResponse::ZoneOrdered);
+            self.respond(token, ConfigurationResponse::ZoneCommandApplied);
         }
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/daemon_memory.rs
+++ b/crates/petrellatch-core/src/pass_through/group/daemon_memory.rs
@@ -14,7 +14,7 @@
 
 use crate::time::Timestamp;
 
-use super::agent_replicas::is_chosen;
+use super::replica_assignment::is_assigned;
 
 /// Between two looks at whether agents changed, and two writes at least: a write takes
 /// the disk from the log for some 15 ms.
@@ -131,7 +131,7 @@
         while told.len() < limit
             && let Some(agent) = self.untold.agents.pop()
         {
-            if is_chosen(agent, own, replicas, TOLD_BY) {
+            if is_assigned(agent, own, replicas, TOLD_BY) {
                 told.push(agent);
             }
         }
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -25,7 +25,7 @@
     }
 
     /// The zones out of service, by name.
-    pub fn evacuated(&self) -> impl Iterator<Item = &ZoneRecord> {
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneRecord> {
         self.zones.values().filter(|record| record.evacuated)
     }
 
@@ -78,14 +78,14 @@
     }
 
     /// What somebody who knows the orders up to `known` has to be told, if anything.
-    pub(crate) fn news_since(&self, known: u64) -> Option<ZoneRecords> {
+    pub(crate) fn updates_since(&self, known: u64) -> Option<ZoneRecords> {
         (self.index > known).then(|| self.to_message())
     }
 }
 
 impl fmt::Display for Evacuations {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let zones: Vec<&str> = self.evacuated().map(|it| it.zone.as_str()).collect();
+        let zones: Vec<&str> = self.evacuated_zones().map(|it| it.zone.as_str()).collect();
         write!(
             formatter,
             "index={} evacuated={}",
--- a/crates/petrellatch-core/src/pass_through/group/flow_records.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -46,7 +46,7 @@
 
 /// What a replica keeps, as numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FlowRecordsKept {
+pub struct FlowRecordStoreStats {
     /// Agents that have a record here.
     pub records: usize,
     /// Their flows.
@@ -191,9 +191,9 @@
         }
     }
 
-    pub(crate) fn figures(&self, now: Timestamp) -> FlowRecordsKept {
+    pub(crate) fn figures(&self, now: Timestamp) -> FlowRecordStoreStats {
         let kept = self.agents.values().filter_map(|agent| agent.kept.as_ref());
-        FlowRecordsKept {
+        FlowRecordStoreStats {
             records: kept.clone().count(),
             flows: kept.map(|kept| kept.flows.len()).sum(),
             bytes: self.bytes,
--- a/crates/petrellatch-core/src/pass_through/group/contacts.rs
+++ b/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
@@ -7,19 +7,19 @@
 
 /// The addresses that the settings name, and those that the group told.
 #[derive(Clone, Debug, Default)]
-pub struct Contacts {
+pub struct KnownReplicas {
     seeds: Vec<SocketAddrV4>,
     group: Vec<SocketAddrV4>,
     group_index: u64,
     leader: Option<SocketAddrV4>,
 }
 
-impl Contacts {
+impl KnownReplicas {
     /// Starts from the addresses in the settings.
     pub fn new(seeds: Vec<SocketAddrV4>) -> Self {
-        Contacts {
+        KnownReplicas {
             seeds,
-            ..Contacts::default()
+            ..KnownReplicas::default()
         }
     }
 
@@ -29,7 +29,7 @@
     }
 
     /// Takes what a replica told, unless something newer is known.
-    pub fn handle_group(&mut self, group: &Group) {
+    pub fn handle_group_status(&mut self, group: &Group) {
         if group.serves {
             self.leader = (group.leader != 0).then(|| unpack_address(group.leader));
         } else {
--- a/crates/petrellatch-core/src/pass_through/group/attachments.rs
+++ b/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
@@ -29,16 +29,16 @@
 /// group: each daemon has an order of its own, and takes the first ones that
 /// answer and hear a leader.
 #[derive(Debug)]
-pub(crate) struct Attachments {
+pub(crate) struct PreferredReplicas {
     /// Stands for the daemon in its order of replicas.
     salt: u64,
     replicas: BTreeMap<SocketAddrV4, Attachment>,
     chosen: Vec<SocketAddrV4>,
 }
 
-impl Attachments {
+impl PreferredReplicas {
     pub(crate) fn new(salt: u64) -> Self {
-        Attachments {
+        PreferredReplicas {
             salt,
             replicas: BTreeMap::new(),
             chosen: Vec::new(),
@@ -75,7 +75,7 @@
     }
 
     /// Notes an answer. A replica that does not serve is avoided.
-    pub(crate) fn note_answer(&mut self, now: Timestamp, replica: SocketAddrV4, serves: bool) {
+    pub(crate) fn note_reply(&mut self, now: Timestamp, replica: SocketAddrV4, serves: bool) {
         let attachment = self.replicas.entry(replica).or_default();
         attachment.asked_at = None;
         if serves {
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -40,14 +40,14 @@
 };
 pub use configuration_node::{
     ConfigurationNode, ConfigurationNodeLatencies, ConfigurationNodeSettings, ConfigurationOutput,
-    ConfigurationRequest, ConfigurationResponse, ZoneOrderRefusal, node_address, node_at,
+    ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal, address_of_node_id, node_id_of_address,
 };
 pub use digest::{backend_digest, service_digest};
 pub use flows::flow_recorder::{FlowRecordFigures, FlowRecordSettings};
 pub use flows::former_recall::RecallOutcome;
-pub use group::contacts::Contacts;
+pub use group::known_replicas::KnownReplicas;
 pub use group::evacuations::Evacuations;
-pub use group::flow_records::{FlowRecordWrite, FlowRecordsKept};
+pub use group::flow_record_store::{FlowRecordWrite, FlowRecordStoreStats};
 pub use latency::LatencyHistogram;
 pub use link::link_queue::LinkCounters;
 pub use output::PassThroughOutput;
--- a/crates/petrellatch-core/tests/pass_through/changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/changes.rs
@@ -19,11 +19,11 @@
     let mut group = Group::start(3);
     group.replace(4, 1);
     let leader = group.leader().expect("there is one");
-    let tokens = [9, 7, 9, 12, 4].map(|version| group.ask(leader, replace(version, 3)));
+    let tokens = [9, 7, 9, 12, 4].map(|version| group.request(leader, replace(version, 3)));
     group.run(SECOND);
     for token in tokens {
         assert_matches!(
-            group.answer(token),
+            group.response(token),
             Some(ConfigurationResponse::Accepted { .. })
         );
     }
@@ -63,14 +63,14 @@
     let follower = (1..=3)
         .find(|index| *index != leader)
         .expect("there is one");
-    let newer = group.ask(follower, replace(5, 1));
-    let older = group.ask(follower, replace(3, 1));
+    let newer = group.request(follower, replace(5, 1));
+    let older = group.request(follower, replace(3, 1));
     assert_matches!(
-        group.answer(newer),
-        Some(ConfigurationResponse::Elsewhere { .. })
+        group.response(newer),
+        Some(ConfigurationResponse::NotLeader { .. })
     );
     assert_matches!(
-        group.answer(older),
+        group.response(older),
         Some(ConfigurationResponse::Accepted { version: 4 })
     );
 }
@@ -80,12 +80,12 @@
     let mut group = Group::start(3);
     group.replace(4, 1);
     let leader = group.leader().expect("there is one");
-    group.set_disk_answers(leader, false);
-    let lost = group.ask(leader, replace(5, 1));
+    group.set_disk_responds(leader, false);
+    let lost = group.request(leader, replace(5, 1));
     group.run_until(3 * SECOND, "another leader", |it| {
         it.leader().is_some_and(|index| index != leader)
     });
-    assert_matches!(group.answer(lost), Some(ConfigurationResponse::Unavailable));
+    assert_matches!(group.response(lost), Some(ConfigurationResponse::Unavailable));
     group.replace(6, 2);
     assert_eq!(group.read().version, 6);
 }
--- a/crates/petrellatch-core/tests/pass_through/cold_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/cold_backends.rs
@@ -17,7 +17,7 @@
 /// One agent, to which the balancer offers all flows.
 fn world() -> World {
     let mut world = World::new(0, CAPACITY);
-    world.cold_rate = COLD_RATE;
+    world.warm_up_rate = COLD_RATE;
     world.start_agent(1);
     world.restart_balancer();
     world
@@ -34,7 +34,7 @@
         cold,
         ..Registration::default()
     };
-    world.call(1, &call);
+    world.send_registration(1, &call);
     world.run(5 * MILLI);
 }
 
@@ -101,7 +101,7 @@
     call(&mut world, "one", 1, 4 * SECOND);
     arrivals(&mut world, 1_000, SECOND);
     world.start_agent(1);
-    world.speak(agent_address(1), 900);
+    world.send_backend_data(agent_address(1), 900);
     world.run(50 * MILLI);
     let times = arrivals(&mut world, 3_000, 3 * SECOND / 2);
     let most = most_in_a_second(&times);
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -8,9 +8,9 @@
 fn a_flow_opens_and_its_packets_follow() {
     let mut world = World::new(3, 2);
     world.open(1, 0);
-    let agent = world.answered_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an answer");
     world.request(1, agent);
-    assert_eq!(world.data_at(agent), 1);
+    assert_eq!(world.data_packets_at(agent), 1);
     assert_eq!(world.resets(), 0);
 }
 
@@ -19,15 +19,15 @@
     let mut world = World::new(2, 2);
     for port in 1..=4 {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("an answer");
         world.request(port, agent);
     }
     for agent in [agent_address(1), agent_address(2)] {
-        assert_eq!(world.data_at(agent), 2);
+        assert_eq!(world.data_packets_at(agent), 2);
     }
     for port in 5..=12 {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("it is queued");
+        let agent = world.accepted_by(port).expect("it is queued");
         world.request(port, agent);
     }
     world.open(13, 0);
@@ -40,11 +40,11 @@
         let mut world = World::new(6, 2);
         let others = (1..=6).filter(|index| *index != free);
         for index in others {
-            world.fill_from_elsewhere(index, 6);
+            world.fill_from_other_balancer(index, 6);
         }
-        world.fill_from_elsewhere(free, 3);
+        world.fill_from_other_balancer(free, 3);
         world.open(1, 0);
-        assert_eq!(world.answered_by(1), Some(agent_address(free)));
+        assert_eq!(world.accepted_by(1), Some(agent_address(free)));
         assert_eq!(world.resets(), 0);
     }
 }
@@ -58,7 +58,7 @@
     }
     world.run(100 * MILLI);
     for port in 1..=6 {
-        assert_eq!(world.answered_by(port), Some(agent_address(2)));
+        assert_eq!(world.accepted_by(port), Some(agent_address(2)));
     }
 }
 
@@ -66,15 +66,15 @@
 fn a_draining_back_end_gets_no_new_flow_and_keeps_its_open_ones() {
     let mut world = World::new(2, 4);
     world.open(1, 0);
-    let agent = world.answered_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an answer");
     world.request(1, agent);
     world.register(agent.ip().octets()[3], 4, true, 2);
     for port in 2..=5 {
         world.open(port, 0);
-        assert_ne!(world.answered_by(port), Some(agent));
+        assert_ne!(world.accepted_by(port), Some(agent));
     }
     world.request(1, agent);
-    assert_eq!(world.data_at(agent), 2);
+    assert_eq!(world.data_packets_at(agent), 2);
 }
 
 #[test]
@@ -83,19 +83,19 @@
     world.register(1, 4, true, 5);
     world.register(1, 4, false, 4);
     world.open(1, 0);
-    assert_eq!(world.answered_by(1), None);
+    assert_eq!(world.accepted_by(1), None);
     let agent = world.agents.get_mut(&agent_address(1)).expect("known");
     agent.handle_withdrawal(world.now, "backend-1");
     world.register(1, 4, false, 9);
     world.open(2, 0);
-    assert_eq!(world.answered_by(2), None);
+    assert_eq!(world.accepted_by(2), None);
 }
 
 #[test]
 fn a_restarted_balancer_finds_open_flows() {
     let mut world = World::new(3, 4);
     world.open(1, 0);
-    let agent = world.answered_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an answer");
     world.request(1, agent);
     let agents = std::mem::take(&mut world.agents);
     let mut restarted = World::new(0, 0);
@@ -104,9 +104,9 @@
     restarted.backends = std::mem::take(&mut world.backends);
     restarted.run(Duration::from_secs(1));
     restarted.request(1, agent);
-    assert_eq!(restarted.data_at(agent), 2);
+    assert_eq!(restarted.data_packets_at(agent), 2);
     let others = restarted.agents.keys().filter(|other| **other != agent);
-    let strays: usize = others.map(|other| restarted.data_at(*other)).sum();
+    let strays: usize = others.map(|other| restarted.data_packets_at(*other)).sum();
     assert_eq!(strays, 0, "no other back end may see the flow");
 }
 
@@ -120,7 +120,7 @@
     let before = world.resets();
     for port in 101..=106 {
         world.open(port, 0);
-        assert!(world.answered_by(port).is_some(), "slots are free");
+        assert!(world.accepted_by(port).is_some(), "slots are free");
     }
     assert_eq!(world.resets(), before);
 }
@@ -137,7 +137,7 @@
     assert_eq!(reached, 0);
     world.run(100 * MILLI);
     world.open(31, 0);
-    assert!(world.answered_by(31).is_some());
+    assert!(world.accepted_by(31).is_some());
 }
 
 #[test]
@@ -151,7 +151,7 @@
         assert_eq!(world.resets(), 0, "in round {round}");
     }
     let budget = 2_000 + 2_000 * 210 / 1_000;
-    assert!(world.seeks <= budget, "{} questions", world.seeks);
+    assert!(world.flow_queries <= budget, "{} questions", world.flow_queries);
     let received: usize = world.backends.values().map(|it| it.received.len()).sum();
     assert!(
         received <= 300,
@@ -163,7 +163,7 @@
 fn agents_that_all_answer_late_are_not_all_asked_in_turn() {
     let mut world = World::new(6, 4);
     // Every answer takes longer than the first limit.
-    world.answers_take(150 * MILLI);
+    world.delay_replies(150 * MILLI);
     for port in 1..=20 {
         world.open(port, 0);
         world.run(200 * MILLI);
@@ -204,7 +204,7 @@
     }
     world.run(200 * MILLI);
     world.open(2_000, 0);
-    let agent = world.answered_by(2_000).expect("an answer");
+    let agent = world.accepted_by(2_000).expect("an answer");
     world.request(2_000, agent);
     world.run(Duration::from_secs(5));
     let (flows, _) = world.balancer.sizes();
@@ -219,7 +219,7 @@
     }
     world.run(5 * MILLI);
     world.open(1, 0);
-    assert!(world.answered_by(1).is_some(), "a back end was alive");
+    assert!(world.accepted_by(1).is_some(), "a back end was alive");
     assert_eq!(world.resets(), 0);
 }
 
@@ -227,7 +227,7 @@
 fn a_refusal_tells_what_the_agents_answered() {
     let mut world = World::new(3, 2);
     for index in 1..=3 {
-        world.fill_from_elsewhere(index, 6);
+        world.fill_from_other_balancer(index, 6);
     }
     world.open(1, 0);
     let refusal = world.refusals.pop().expect("everybody is full");
@@ -265,11 +265,11 @@
     let mut world = World::new(3, 4);
     world.request(1, agent_address(2));
     world.run(300 * MILLI);
-    assert_eq!(world.data_at(agent_address(2)), 0);
+    assert_eq!(world.data_packets_at(agent_address(2)), 0);
     // The back end repeats what the caller has not acknowledged.
-    world.speak(agent_address(2), 1);
+    world.send_backend_data(agent_address(2), 1);
     world.request(1, agent_address(2));
-    assert_eq!(world.data_at(agent_address(2)), 1);
-    assert_eq!(world.data_at(agent_address(1)), 0);
-    assert_eq!(world.data_at(agent_address(3)), 0);
+    assert_eq!(world.data_packets_at(agent_address(2)), 1);
+    assert_eq!(world.data_packets_at(agent_address(1)), 0);
+    assert_eq!(world.data_packets_at(agent_address(3)), 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/dead_back_ends.rs
+++ b/crates/petrellatch-core/tests/pass_through/dead_back_ends.rs
@@ -16,9 +16,9 @@
 fn world_with_dead_flow() -> (World, SocketAddrV4) {
     let mut world = World::new(AGENTS, 4);
     world.open(PORT, 0);
-    let agent = world.answered_by(PORT).expect("an answer");
+    let agent = world.accepted_by(PORT).expect("an answer");
     world.request(PORT, agent);
-    world.speak(agent, PORT);
+    world.send_backend_data(agent, PORT);
     let bare = PacketView {
         acknowledge: true,
         acknowledged: first_sequence(agent).wrapping_add(101),
@@ -40,7 +40,7 @@
         cold: Duration::ZERO,
         ..Registration::default()
     };
-    world.call(agent.ip().octets()[3], &call);
+    world.send_registration(agent.ip().octets()[3], &call);
     world.run(20 * MILLI);
     assert_eq!(world.resets(), 1, "the agent has told it");
     world.callers.clear();
@@ -56,13 +56,13 @@
     let reset = world.callers.iter().find(|view| view.reset);
     let acknowledged = first_sequence(agent).wrapping_add(1);
     assert_eq!(reset.map(|view| view.sequence), Some(acknowledged));
-    assert_eq!(world.data_at(agent), 1, "the new life gets nothing of it");
+    assert_eq!(world.data_packets_at(agent), 1, "the new life gets nothing of it");
 }
 
 #[test]
 fn a_caller_that_has_ended_its_flow_is_not_reset() {
     let (mut world, agent) = world_with_dead_flow();
-    world.finish(PORT, agent);
+    world.close_flow(PORT, agent);
     world.run(10 * MILLI);
     assert_eq!(world.resets(), 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
@@ -45,7 +45,7 @@
     tell_balancer(&mut world, 7, true);
     world.open(PORT, 0);
     assert_eq!(world.resets(), 1, "refused without a wait");
-    assert_eq!(world.answered_by(PORT), None);
+    assert_eq!(world.accepted_by(PORT), None);
     assert!(
         world.refusals[0].contains("asked=0") && world.refusals[0].contains("evacuated=3"),
         "{:?}",
@@ -57,7 +57,7 @@
 
     tell_balancer(&mut world, 8, false);
     world.open(PORT + 1, 0);
-    assert!(world.answered_by(PORT + 1).is_some());
+    assert!(world.accepted_by(PORT + 1).is_some());
 }
 
 #[test]
@@ -70,14 +70,14 @@
     tell_agent(&mut world, 1, 8, false);
     world.run(300 * MILLI);
     world.open(PORT + 1, 0);
-    assert!(world.answered_by(PORT + 1).is_some());
+    assert!(world.accepted_by(PORT + 1).is_some());
 }
 
 #[test]
 fn an_open_flow_goes_on_in_a_zone_out_of_service() {
     let mut world = World::new(1, 2);
     world.open(PORT, 0);
-    let agent = world.answered_by(PORT).expect("it is taken");
+    let agent = world.accepted_by(PORT).expect("it is taken");
     world.request(PORT, agent);
     tell_balancer(&mut world, 7, true);
     tell_agent(&mut world, 1, 7, true);
@@ -85,7 +85,7 @@
         world.run(500 * MILLI);
         world.request(PORT, agent);
     }
-    assert_eq!(world.data_at(agent), 21);
+    assert_eq!(world.data_packets_at(agent), 21);
     assert_eq!(world.resets(), 0);
 }
 
@@ -97,7 +97,7 @@
     tell_balancer(&mut world, 7, true);
     tell_agent(&mut world, 1, 7, true);
     world.open(PORT, 0);
-    assert!(world.answered_by(PORT).is_some());
+    assert!(world.accepted_by(PORT).is_some());
 }
 
 #[test]
@@ -112,6 +112,6 @@
     world.start_balancer_with(confirmed);
     assert!(world.balancer.is_ready(world.now));
     world.open(PORT, 0);
-    assert_eq!(world.answered_by(PORT), None);
+    assert_eq!(world.accepted_by(PORT), None);
     assert_eq!(world.resets(), 1);
 }
--- a/crates/petrellatch-core/tests/pass_through/evacuation_orders.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuation_orders.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use petrellatch_core::pass_through::{ConfigurationResponse, ZoneOrderRefusal};
+use petrellatch_core::pass_through::{ConfigurationResponse, ZoneCommandRefusal};
 use petrellatch_proto::pass_through::{
     AgentState, EvacuationsKnown, PassThroughBody, Report, pack_address,
 };
@@ -40,7 +40,7 @@
         evacuations_index: known,
         ..Report::default()
     };
-    group.hear(replica, agent, PassThroughBody::Report(report));
+    group.receive(replica, agent, PassThroughBody::Report(report));
 }
 
 /// A group with one agent in each of two zones, and its leader, which has heard both.
@@ -55,7 +55,7 @@
 
 /// How often an agent was told of orders about zones since the last look.
 fn told(group: &mut Group, agent: u8) -> usize {
-    let sent = std::mem::take(&mut group.sent_outside);
+    let sent = std::mem::take(&mut group.sent_to_daemons);
     let tells = |(_, to, body): &&(u8, u8, PassThroughBody)| {
         *to == agent && matches!(body, PassThroughBody::Group(group) if group.zones.is_some())
     };
@@ -65,24 +65,24 @@
 #[test]
 fn an_order_holds_at_all_replicas_beside_the_configuration() {
     let mut group = founded(3);
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     group.run(SECOND);
     for replica in 1..=3 {
-        assert_eq!(group.evacuated_at(replica), ["east"]);
+        assert_eq!(group.evacuated_zones_at(replica), ["east"]);
     }
     group.replace(9, 4);
     assert_eq!(group.read().version, 9);
-    group.order_zone_for_sure("east", false);
+    group.set_zone_evacuated_and_wait("east", false);
     group.run(SECOND);
     for replica in 1..=3 {
-        assert!(group.evacuated_at(replica).is_empty());
+        assert!(group.evacuated_zones_at(replica).is_empty());
     }
 }
 
 #[test]
 fn an_acknowledged_order_survives_the_end_of_all_processes() {
     let mut group = founded(3);
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     for replica in 1..=3 {
         group.kill(replica);
     }
@@ -91,13 +91,13 @@
     }
     let leader = leader(&mut group);
     group.run(SECOND);
-    assert_eq!(group.evacuated_at(leader), ["east"]);
+    assert_eq!(group.evacuated_zones_at(leader), ["east"]);
 }
 
 #[test]
 fn an_acknowledged_order_survives_a_lost_disk_and_reaches_a_new_replica() {
     let mut group = founded(5);
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     let first = leader(&mut group);
     // Many changes later the order is only in snapshots.
     for version in 10..1_300 {
@@ -109,8 +109,8 @@
     group.run(4 * SECOND);
     let voters = group.voters();
     assert!(voters.contains(&9), "{voters:?}");
-    assert_eq!(group.evacuated_at(9), ["east"]);
-    assert_eq!(group.evacuated_at(first), ["east"]);
+    assert_eq!(group.evacuated_zones_at(9), ["east"]);
+    assert_eq!(group.evacuated_zones_at(first), ["east"]);
 }
 
 #[test]
@@ -118,77 +118,77 @@
     let mut group = founded(3);
     let first = leader(&mut group);
     let follower = (1..=3).find(|it| *it != first).expect("there are three");
-    let token = group.order_zone(follower, "east", true);
-    let elsewhere = ConfigurationResponse::Elsewhere {
+    let token = group.set_zone_evacuated(follower, "east", true);
+    let elsewhere = ConfigurationResponse::NotLeader {
         leader: address(first),
     };
-    assert_eq!(group.answer(token), Some(&elsewhere));
+    assert_eq!(group.response(token), Some(&elsewhere));
 
     group.cut_off(first);
-    let token = group.order_zone(first, "east", true);
+    let token = group.set_zone_evacuated(first, "east", true);
     group.run(2 * SECOND);
     assert_eq!(
-        group.answer(token),
+        group.response(token),
         Some(&ConfigurationResponse::Unavailable)
     );
-    group.order_zone_for_sure("west", true);
+    group.set_zone_evacuated_and_wait("west", true);
     group.heal();
     group.run(2 * SECOND);
     for replica in 1..=3 {
-        assert_eq!(group.evacuated_at(replica), ["west"], "at {replica}");
+        assert_eq!(group.evacuated_zones_at(replica), ["west"], "at {replica}");
     }
 }
 
 #[test]
 fn repeats_change_nothing_and_of_two_quick_orders_the_later_one_holds() {
     let mut group = founded(3);
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     let leader = leader(&mut group);
     let index = group.node(leader).evacuations().index();
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     assert_eq!(group.node(leader).evacuations().index(), index);
 
     let tokens = [
-        group.order_zone(leader, "east", false),
-        group.order_zone(leader, "west", true),
-        group.order_zone(leader, "west", false),
-        group.order_zone(leader, "east", true),
+        group.set_zone_evacuated(leader, "east", false),
+        group.set_zone_evacuated(leader, "west", true),
+        group.set_zone_evacuated(leader, "west", false),
+        group.set_zone_evacuated(leader, "east", true),
     ];
     group.run(SECOND);
     for token in tokens {
         assert_eq!(
-            group.answer(token),
-            Some(&ConfigurationResponse::ZoneOrdered)
+            group.response(token),
+            Some(&ConfigurationResponse::ZoneCommandApplied)
         );
     }
-    assert_eq!(group.evacuated_at(leader), ["east"]);
+    assert_eq!(group.evacuated_zones_at(leader), ["east"]);
 }
 
 #[test]
 fn the_last_zone_of_a_service_is_refused_and_nothing_is_done() {
     let (mut group, leader) = with_two_agents();
-    group.order_zone_for_sure("east", true);
-    let token = group.order_zone(leader, "west", true);
-    let refusal = ZoneOrderRefusal::LastZone {
+    group.set_zone_evacuated_and_wait("east", true);
+    let token = group.set_zone_evacuated(leader, "west", true);
+    let refusal = ZoneCommandRefusal::LastZone {
         zone: "west".to_owned(),
         service: "desk".to_owned(),
     };
-    let refused = ConfigurationResponse::ZoneOrderRefused(refusal);
-    assert_eq!(group.answer(token), Some(&refused));
-    assert_eq!(group.evacuated_at(leader), ["east"]);
+    let refused = ConfigurationResponse::ZoneCommandRefused(refusal);
+    assert_eq!(group.response(token), Some(&refused));
+    assert_eq!(group.evacuated_zones_at(leader), ["east"]);
     // It is no longer the last one.
-    group.order_zone_for_sure("east", false);
-    group.order_zone_for_sure("west", true);
+    group.set_zone_evacuated_and_wait("east", false);
+    group.set_zone_evacuated_and_wait("west", true);
 }
 
 #[test]
 fn the_leader_tells_agents_of_the_zone_until_they_know() {
     let (mut group, leader) = with_two_agents();
     told(&mut group, AGENT);
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     group.run(SECOND);
     let others = group
-        .sent_outside
+        .sent_to_daemons
         .iter()
         .filter(|(_, to, _)| *to == OTHER_AGENT);
     let others = others.count();
@@ -204,7 +204,7 @@
         address: pack_address(address(AGENT)),
         index: group.node(leader).evacuations().index(),
     };
-    group.hear(leader, AGENT, PassThroughBody::EvacuationsKnown(known));
+    group.receive(leader, AGENT, PassThroughBody::EvacuationsKnown(known));
     group.run(SECOND);
     assert_eq!(told(&mut group, AGENT), 0);
     assert_eq!(group.node(leader).agents_behind(), 0);
@@ -213,7 +213,7 @@
 #[test]
 fn an_agent_that_never_answers_is_told_again_when_it_reports() {
     let (mut group, leader) = with_two_agents();
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     group.run(4 * SECOND);
     told(&mut group, AGENT);
     group.run(SECOND / 2);
@@ -231,7 +231,7 @@
         report(&mut group, replica, AGENT, "east", 0);
         report(&mut group, replica, OTHER_AGENT, "west", 0);
     }
-    group.order_zone_for_sure("east", true);
+    group.set_zone_evacuated_and_wait("east", true);
     group.kill(first);
     told(&mut group, AGENT);
     let next = leader(&mut group);
--- a/crates/petrellatch-core/tests/pass_through/failing_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/failing_backends.rs
@@ -7,10 +7,10 @@
 /// A caller opens a flow and sends a request; returns the agent that took it.
 fn ask(world: &mut World, port: u16) -> u8 {
     world.open(port, 0);
-    let agent = world.answered_by(port).expect("somebody takes it");
+    let agent = world.accepted_by(port).expect("somebody takes it");
     world.request(port, agent);
     if !world.resetting.contains(&agent) {
-        world.speak(agent, port);
+        world.send_backend_data(agent, port);
     }
     world.run(3 * MILLI);
     agent.ip().octets()[3]
@@ -24,7 +24,7 @@
 
 fn world(agents: u8, sick: &[u8]) -> World {
     let mut world = World::new(agents, 4);
-    world.quick_backends = true;
+    world.backends_ack_at_once = true;
     world.resetting = sick.iter().map(|agent| agent_address(*agent)).collect();
     world
 }
@@ -73,14 +73,14 @@
     let mut taken = 0;
     for port in FIRST_OWN_PORT..FIRST_OWN_PORT + 60 {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("somebody takes it");
+        let agent = world.accepted_by(port).expect("somebody takes it");
         if agent == sick {
             taken += 1;
             world.backends.get_mut(&sick).expect("known").flows.clear();
         }
         world.request(port, agent);
         if agent != sick {
-            world.speak(agent, port);
+            world.send_backend_data(agent, port);
         }
         world.run(3 * MILLI);
     }
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -9,7 +9,7 @@
 use lz4_flex::compress_prepend_size;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
     Registration,
 };
@@ -22,13 +22,13 @@
 use prost::Message;
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{COLD_BOUNDS, REPLICA, SERVICE};
+use super::world::{WARM_UP_BOUNDS, REPLICA, SERVICE};
 
 /// A link of 3.7 Mbit/s, in bytes a second.
 pub const LINK_BYTES_PER_SECOND: u64 = 462_500;
 /// Slots of a back end, and its work on a request.
 pub const SLOTS: u32 = 2;
-pub const WORK_MICROS: u64 = 33_000;
+pub const PROCESSING_MICROS: u64 = 33_000;
 /// One way, in microseconds.
 const WAY: u64 = 500;
 /// Packets that would wait for longer at a link are lost.
@@ -86,11 +86,11 @@
 /// What happened in a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Second {
-    pub asked: [u32; 2],
+    pub requests: [u32; 2],
     pub served: [u32; 2],
     pub refused: u32,
     /// For the flows that were refused.
-    pub questions: u32,
+    pub offers: u32,
     pub suspected: u32,
 }
 
@@ -144,8 +144,8 @@
     }
 
     /// What all back ends can do, in requests a second.
-    pub fn capacity(&self) -> f64 {
-        self.agents.len() as f64 * f64::from(SLOTS) * 1e6 / WORK_MICROS as f64
+    pub fn max_request_rate(&self) -> f64 {
+        self.agents.len() as f64 * f64::from(SLOTS) * 1e6 / PROCESSING_MICROS as f64
     }
 
     /// Callers send so many requests a second of each priority, for some seconds.
@@ -174,11 +174,11 @@
         let mut sum = Second::default();
         for second in &self.seconds[seconds] {
             for priority in 0..2 {
-                sum.asked[priority] += second.asked[priority];
+                sum.requests[priority] += second.requests[priority];
                 sum.served[priority] += second.served[priority];
             }
             sum.refused += second.refused;
-            sum.questions += second.questions;
+            sum.offers += second.offers;
             sum.suspected += second.suspected;
         }
         sum
@@ -272,7 +272,7 @@
             return;
         }
         let at = self.now;
-        self.second(at).asked[priority] += 1;
+        self.second(at).requests[priority] += 1;
         self.try_again(at, 0, priority);
     }
 
@@ -431,7 +431,7 @@
             && let Some(view) = back_end.queue.pop_front()
         {
             back_end.working += 1;
-            self.schedule(WORK_MICROS, Event::Done(address, view));
+            self.schedule(PROCESSING_MICROS, Event::Done(address, view));
         }
     }
 
@@ -465,7 +465,7 @@
         if view.reset {
             self.calls.remove(&flow);
             self.second(now).refused += 1;
-            self.second(now).questions += questions;
+            self.second(now).offers += questions;
             if tries < RETRIES && now + RETRY < first_at + DEADLINE {
                 let tries = tries + 1;
                 let again = Event::Again {
@@ -529,11 +529,11 @@
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 3,
         stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        cold_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
     let life = Incarnation(u64::from(u32::from(*address.ip())));
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     let mut agent = PassThroughAgent::new(now, settings, TestCodec, life, contacts);
     let call = Registration {
         id: address.to_string(),
@@ -558,7 +558,7 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: Some(LINK_BYTES_PER_SECOND),
     };
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     let life = Incarnation(7 + 2 * index);
     let mut balancer = PassThroughBalancer::new(now, settings, TestCodec, life, contacts);
     let route = |priority: usize| RouteRecord {
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -330,7 +330,7 @@
 #[test]
 fn a_replica_without_room_keeps_nothing_of_the_record() {
     let node = ConfigurationNodeSettings {
-        flow_record_bytes: 8 * 1024,
+        max_flow_record_bytes: 8 * 1024,
         ..ConfigurationNodeSettings::default()
     };
     let mut world = RecordWorld::with(3, FlowRecordSettings::default(), node);
@@ -341,7 +341,7 @@
     world.run(20 * SECOND);
     assert!(world.kept_at(replica(1)).is_empty());
     let now = world.now;
-    let kept = world.replica_mut(replica(1)).flow_records(now);
+    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
     assert!(kept.bytes <= 8 * 1024 && kept.refused > 0, "{kept:?}");
     assert!(kept.refused < 8, "it is not asked all the time: {kept:?}");
     assert_eq!(world.agent.flow_record().full, 3);
@@ -354,7 +354,7 @@
 #[test]
 fn neither_small_records_nor_parts_of_large_ones_pass_the_bound() {
     let node = ConfigurationNodeSettings {
-        flow_record_bytes: 8 * 1024,
+        max_flow_record_bytes: 8 * 1024,
         ..ConfigurationNodeSettings::default()
     };
     for parts in [1, 2] {
@@ -372,10 +372,10 @@
             world
                 .replica_mut(replica(1))
                 .handle_message(now, AGENT, body);
-            let kept = world.replica_mut(replica(1)).flow_records(now);
+            let kept = world.replica_mut(replica(1)).flow_record_stats(now);
             assert!(kept.bytes <= 8 * 1024, "{kept:?}");
         }
-        let kept = world.replica_mut(replica(1)).flow_records(now);
+        let kept = world.replica_mut(replica(1)).flow_record_stats(now);
         assert!(kept.refused > 900, "{kept:?}");
     }
 }
@@ -465,10 +465,10 @@
     world.cut.insert(replica(1));
     world.run(62 * SECOND);
     let now = world.now;
-    let kept = world.replica_mut(replica(1)).flow_records(now);
+    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
     assert_eq!((kept.records, kept.bytes), (0, 0));
     world.start_replica(replica(1));
-    let kept = world.replica_mut(replica(1)).flow_records(now);
+    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
     assert_eq!(kept.records, 0, "in the file as well");
 }
 
--- a/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
@@ -7,7 +7,7 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, Contacts,
+    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, KnownReplicas,
     FlowRecordSettings, FlowRecordWrite, PacketView, PassThroughAgent, PassThroughAgentSettings,
     PassThroughOutput, Registration, service_digest,
 };
@@ -20,7 +20,7 @@
 
 use super::codec::{TestCodec, empty, encode};
 use super::replica::start_replica_with;
-use super::world::{BALANCER, COLD_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{BALANCER, WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
 
 pub const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 /// First sequence number of the back end in all flows.
@@ -113,7 +113,7 @@
     pub fn start_replica(&mut self, address: SocketAddrV4) {
         let mut node = start_replica_with(self.now, address, address, self.node.clone());
         let file = self.files.entry(address).or_default();
-        let is_readable = node.recall_flow_records(self.now, file);
+        let is_readable = node.load_flow_records(self.now, file);
         if !is_readable {
             self.events
                 .push(Event::new(EventKind::FlowRecordsNotSaved, "start"));
@@ -358,9 +358,9 @@
         flow_lifetime: Duration::from_secs(600),
         queue_factor: 3,
         stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        cold_bounds: WARM_UP_BOUNDS,
         flow_record,
     };
-    let contacts = Contacts::new(seeds);
+    let contacts = KnownReplicas::new(seeds);
     PassThroughAgent::new(now, settings, TestCodec, Incarnation(life), contacts)
 }
--- a/crates/petrellatch-core/tests/pass_through/goodbyes.rs
+++ b/crates/petrellatch-core/tests/pass_through/goodbyes.rs
@@ -17,7 +17,7 @@
     for index in 1..=agents {
         world.start_agent(index);
         world.register(index, CAPACITY, false, 1);
-        world.tell_agent(index, false);
+        world.acknowledge_report(index, false);
     }
     world.restart_balancer();
     world
@@ -58,7 +58,7 @@
             for copy in 0..4 {
                 let port = port * 4 + copy;
                 let agent = agent_address(port as u8);
-                world.say_whole_directory();
+                world.notify_complete_directory();
                 world.request(port, agent);
                 world.run(TOLD_WITHIN);
                 told += 1;
@@ -74,14 +74,14 @@
     for agents in [46, 163] {
         let mut world = world_after_loss_of_power(agents);
         world.open(1, 0);
-        let agent = world.answered_by(1).expect("an answer");
+        let agent = world.accepted_by(1).expect("an answer");
         world.request(1, agent);
         stop(&mut world, agent);
         assert!(world.backends[&agent].flows.contains(&caller(1)));
         world.restart_balancer();
         world.repeat_reports();
         for _ in 0..12 {
-            world.say_whole_directory();
+            world.notify_complete_directory();
             world.request(1, agent);
             world.run(200 * MILLI);
         }
@@ -94,14 +94,14 @@
     for agents in [46, 163] {
         let mut world = world_after_loss_of_power(agents);
         world.open(1, 0);
-        let agent = world.answered_by(1).expect("an answer");
+        let agent = world.accepted_by(1).expect("an answer");
         world.request(1, agent);
         world.restart_agent(agent.ip().octets()[3], CAPACITY);
         stop(&mut world, agent);
         world.restart_balancer();
         world.repeat_reports();
         for _ in 0..12 {
-            world.say_whole_directory();
+            world.notify_complete_directory();
             world.request(1, agent);
             world.run(200 * MILLI);
         }
@@ -118,7 +118,7 @@
         world.run(700 * MILLI);
         stop(&mut world, agent);
         call_all(&mut world, agents, 2);
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(TOLD_WITHIN);
         assert_eq!(world.resets(), 1, "{agents} agents");
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -11,7 +11,7 @@
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
     Configuration, ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput,
-    ConfigurationRequest, ConfigurationResponse, node_at,
+    ConfigurationRequest, ConfigurationResponse, node_id_of_address,
 };
 use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, ServiceRecord, ShareRecord};
 
@@ -71,7 +71,7 @@
     next_incarnation: u64,
     /// What replicas sent to others than replicas: the sender, the receiver's
     /// number and the message.
-    pub sent_outside: Vec<(u8, u8, PassThroughBody)>,
+    pub sent_to_daemons: Vec<(u8, u8, PassThroughBody)>,
     /// Of machine number `n` is element `n`; empty if all are in one.
     zones: Vec<&'static str>,
 }
@@ -97,7 +97,7 @@
             answers: BTreeMap::new(),
             next_token: 0,
             next_incarnation: 5_000,
-            sent_outside: Vec::new(),
+            sent_to_daemons: Vec::new(),
             zones,
         };
         for index in 1..=count {
@@ -135,11 +135,11 @@
         let now = self.now;
         let machine = self.machines.get_mut(&index).expect("it is known");
         let founders = machine.seeds.iter().map(|seed| ReplicaId {
-            node: node_at(address(*seed)),
+            node: node_id_of_address(address(*seed)),
             incarnation: founder(*seed),
         });
         let start = ReplicaStart {
-            id: node_at(address(index)),
+            id: node_id_of_address(address(index)),
             incarnation: machine.incarnation,
             seed: u64::from(index) + now.as_micros(),
             persisted: machine.disk.clone(),
@@ -148,8 +148,8 @@
         let mut settings = ConfigurationNodeSettings::default();
         if let Some(zone) = self.zones.get(usize::from(index)) {
             settings.zone = (*zone).to_owned();
-            settings.zone_losses = 1;
-            settings.losses = 2;
+            settings.max_lost_zones = 1;
+            settings.max_lost_replicas = 2;
         }
         machine.node = Some(ConfigurationNode::new(now, settings, start));
     }
@@ -177,7 +177,7 @@
     }
 
     /// Lets a disk answer or not.
-    pub fn set_disk_answers(&mut self, index: u8, answers: bool) {
+    pub fn set_disk_responds(&mut self, index: u8, answers: bool) {
         self.machines
             .get_mut(&index)
             .expect("it is known")
@@ -237,7 +237,7 @@
     }
 
     /// Asks a machine; returns the token of the answer.
-    pub fn ask(&mut self, index: u8, request: ConfigurationRequest) -> u64 {
+    pub fn request(&mut self, index: u8, request: ConfigurationRequest) -> u64 {
         self.next_token += 1;
         let (now, token) = (self.now, self.next_token);
         if let Some(node) = self
@@ -252,28 +252,28 @@
     }
 
     /// Orders a zone out of service, or back.
-    pub fn order_zone(&mut self, index: u8, zone: &str, evacuated: bool) -> u64 {
-        let request = ConfigurationRequest::OrderZone {
+    pub fn set_zone_evacuated(&mut self, index: u8, zone: &str, evacuated: bool) -> u64 {
+        let request = ConfigurationRequest::SetZoneEvacuated {
             zone: zone.to_owned(),
             evacuated,
             allow_last: false,
             ordered_at_millis: 1_700_000_000_000,
         };
-        self.ask(index, request)
+        self.request(index, request)
     }
 
     /// Orders a zone through the leader, again until that is acknowledged.
-    pub fn order_zone_for_sure(&mut self, zone: &str, evacuated: bool) {
+    pub fn set_zone_evacuated_and_wait(&mut self, zone: &str, evacuated: bool) {
         for _ in 0..10 {
             self.run_until(Duration::from_secs(10), "a leader", |it| {
                 it.leader().is_some()
             });
             let leader = self.leader().expect("there is one");
-            let token = self.order_zone(leader, zone, evacuated);
+            let token = self.set_zone_evacuated(leader, zone, evacuated);
             self.run_until(Duration::from_secs(2), "an answer", |it| {
-                it.answer(token).is_some()
+                it.response(token).is_some()
             });
-            if self.answer(token) == Some(&ConfigurationResponse::ZoneOrdered) {
+            if self.response(token) == Some(&ConfigurationResponse::ZoneCommandApplied) {
                 return;
             }
         }
@@ -281,9 +281,9 @@
     }
 
     /// The zones out of service, as a replica knows them.
-    pub fn evacuated_at(&self, index: u8) -> Vec<String> {
+    pub fn evacuated_zones_at(&self, index: u8) -> Vec<String> {
         let node = self.machines[&index].node.as_ref().expect("it runs");
-        let zones = node.evacuations().evacuated();
+        let zones = node.evacuations().evacuated_zones();
         zones.map(|record| record.zone.clone()).collect()
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Hands a replica a message of another process.
-    pub fn hear(&mut self, index: u8, from: u8, body: PassThroughBody) {
+    pub fn receive(&mut self, index: u8, from: u8, body: PassThroughBody) {
         let now = self.now;
         let machine = self.machines.get_mut(&index).expect("it is known");
         let node = machine.node.as_mut().expect("it runs");
@@ -302,7 +302,7 @@
     }
 
     /// The answer, if it has come.
-    pub fn answer(&self, token: u64) -> Option<&ConfigurationResponse> {
+    pub fn response(&self, token: u64) -> Option<&ConfigurationResponse> {
         self.answers.get(&token)
     }
 
@@ -314,10 +314,10 @@
         });
         let leader = self.leader().expect("there is one");
         let request = ConfigurationRequest::Replace(configuration(version, routes));
-        let token = self.ask(leader, request);
+        let token = self.request(leader, request);
         self.run_until(Duration::from_secs(2), "an acknowledgement", |it| {
             matches!(
-                it.answer(token),
+                it.response(token),
                 Some(ConfigurationResponse::Accepted { .. })
             )
         });
@@ -329,11 +329,11 @@
             it.leader().is_some()
         });
         let leader = self.leader().expect("there is one");
-        let token = self.ask(leader, ConfigurationRequest::Read);
+        let token = self.request(leader, ConfigurationRequest::Read);
         self.run_until(Duration::from_secs(2), "an answer", |it| {
-            it.answer(token).is_some()
+            it.response(token).is_some()
         });
-        match self.answer(token) {
+        match self.response(token) {
             Some(ConfigurationResponse::Read(read)) => read.clone(),
             other => panic!("no configuration: {other:?}"),
         }
@@ -399,7 +399,7 @@
                 ConfigurationOutput::Send { to, body } => {
                     let to = to.ip().octets()[3];
                     if to >= FIRST_OUTSIDE {
-                        self.sent_outside.push((index, to, body));
+                        self.sent_to_daemons.push((index, to, body));
                         continue;
                     }
                     self.messages.push_back((now + DELAY, index, to, body));
@@ -411,7 +411,7 @@
                     self.answers.insert(token, response);
                 }
                 ConfigurationOutput::WriteFlowRecords(_)
-                | ConfigurationOutput::Remember(_)
+                | ConfigurationOutput::SaveDaemons(_)
                 | ConfigurationOutput::Event(_) => {}
             }
         }
--- a/crates/petrellatch-core/tests/pass_through/last_words.rs
+++ b/crates/petrellatch-core/tests/pass_through/last_words.rs
@@ -5,14 +5,14 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, FlowRecordSettings, PassThroughAgent, PassThroughAgentSettings, PassThroughOutput,
+    KnownReplicas, FlowRecordSettings, PassThroughAgent, PassThroughAgentSettings, PassThroughOutput,
     Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{AgentState, Group, PassThroughBody, Report, pack_address};
 
 use super::codec::TestCodec;
-use super::world::{COLD_BOUNDS, MILLI, REPLICA, SERVICE, agent_address};
+use super::world::{WARM_UP_BOUNDS, MILLI, REPLICA, SERVICE, agent_address};
 
 const STOP_LIMIT: Duration = Duration::from_secs(2);
 const AWAITS_BACKEND: Duration = Duration::from_millis(1_300);
@@ -59,10 +59,10 @@
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 3,
             stop_limit: STOP_LIMIT,
-            cold_bounds: COLD_BOUNDS,
+            cold_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
-        let contacts = Contacts::new(vec![REPLICA]);
+        let contacts = KnownReplicas::new(vec![REPLICA]);
         let agent = PassThroughAgent::new(now, settings, TestCodec, Incarnation(9), contacts);
         Leaving {
             now,
--- a/crates/petrellatch-core/tests/pass_through/late_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_callers.rs
@@ -13,7 +13,7 @@
 
 fn world(agents: u8, slots: u32) -> World {
     let mut world = World::new(agents, slots);
-    world.objective_millis = OBJECTIVE_MILLIS;
+    world.latency_objective_millis = OBJECTIVE_MILLIS;
     world.restart_balancer();
     world
 }
@@ -22,14 +22,14 @@
 fn occupy(world: &mut World, port: u16) {
     world.open(port, FRESH);
     world.request(port, agent_address(AGENT));
-    assert_eq!(world.answered_by(port), Some(agent_address(AGENT)));
+    assert_eq!(world.accepted_by(port), Some(agent_address(AGENT)));
 }
 
 #[test]
 fn an_old_caller_gets_a_free_place_at_once() {
     let mut world = world(1, 2);
     world.open(1, OLD);
-    assert!(world.answered_by(1).is_some());
+    assert!(world.accepted_by(1).is_some());
 }
 
 #[test]
@@ -38,15 +38,15 @@
     occupy(&mut world, 1);
     occupy(&mut world, 2);
     world.open(3, OLD);
-    assert_eq!((world.answered_by(3), world.resets()), (None, 0));
+    assert_eq!((world.accepted_by(3), world.resets()), (None, 0));
     // A fresh one goes before it, into the queue of the back end.
     occupy(&mut world, 4);
-    world.speak(agent_address(AGENT), 1);
-    assert_eq!(world.answered_by(3), None, "no slot is free");
+    world.send_backend_data(agent_address(AGENT), 1);
+    assert_eq!(world.accepted_by(3), None, "no slot is free");
     // A further copy asks nobody.
     world.open(3, OLD);
-    world.speak(agent_address(AGENT), 2);
-    assert!(world.answered_by(3).is_some());
+    world.send_backend_data(agent_address(AGENT), 2);
+    assert!(world.accepted_by(3).is_some());
     assert_eq!(world.resets(), 0);
 }
 
@@ -84,7 +84,7 @@
     occupy(&mut world, 1);
     occupy(&mut world, 2);
     world.open(3, OLD);
-    assert!(world.answered_by(3).is_some(), "it is queued as ever");
+    assert!(world.accepted_by(3).is_some(), "it is queued as ever");
 }
 
 #[test]
@@ -94,10 +94,10 @@
     occupy(&mut world, 2);
     world.open(3, OLD);
     world.register(AGENT, 2, true, 9);
-    world.speak(agent_address(AGENT), 1);
-    world.speak(agent_address(AGENT), 2);
+    world.send_backend_data(agent_address(AGENT), 1);
+    world.send_backend_data(agent_address(AGENT), 2);
     assert_eq!(world.resets(), 1);
-    assert_eq!(world.answered_by(3), None);
+    assert_eq!(world.accepted_by(3), None);
 }
 
 #[test]
@@ -119,12 +119,12 @@
     world.run(250 * MILLI);
     world.open(2, FRESH);
     world.run(100 * MILLI);
-    assert_eq!((world.answered_by(2), world.resets()), (None, 0));
+    assert_eq!((world.accepted_by(2), world.resets()), (None, 0));
     world.confirm();
     world.settle();
-    assert!(world.answered_by(2).is_some());
+    assert!(world.accepted_by(2).is_some());
     assert_eq!(
-        world.answered_by(1),
+        world.accepted_by(1),
         None,
         "its caller has sent a copy since"
     );
@@ -139,5 +139,5 @@
     world.start_agent(AGENT);
     world.register(AGENT, 2, false, 1);
     world.run(20 * MILLI);
-    assert!(world.answered_by(1).is_some());
+    assert!(world.accepted_by(1).is_some());
 }
--- a/crates/petrellatch-core/tests/pass_through/late_calls.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_calls.rs
@@ -19,14 +19,14 @@
         cold: Duration::ZERO,
         ..Registration::default()
     };
-    world.call(AGENT, &call);
+    world.send_registration(AGENT, &call);
     world.run(MILLI);
 }
 
 /// Whether a new flow is taken.
 fn takes_flows(world: &mut World, port: u16) -> bool {
     world.open(port, 0);
-    world.answered_by(port).is_some()
+    world.accepted_by(port).is_some()
 }
 
 /// An agent that has started beside a back end that may have called before.
@@ -139,7 +139,7 @@
         cold: Duration::ZERO,
         ..Registration::default()
     };
-    world.call(AGENT, &call);
+    world.send_registration(AGENT, &call);
     world.run(MILLI);
 }
 
@@ -205,7 +205,7 @@
     let mut world = restarted();
     call_born(&mut world, 1_000, 40, true);
     withdraw(&mut world);
-    world.restart_agent_with_memory(AGENT);
+    world.restart_agent_with_draining(AGENT);
     call_born(&mut world, 1_000, 41, false);
     assert!(!takes_flows(&mut world, 1));
     call_born(&mut world, 11_000, 1, false);
--- a/crates/petrellatch-core/tests/pass_through/lives.rs
+++ b/crates/petrellatch-core/tests/pass_through/lives.rs
@@ -6,7 +6,7 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, FlowId, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    KnownReplicas, FlowId, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughOutput, Registration, backend_digest, service_digest,
 };
 use petrellatch_core::{EventKind, Timestamp};
@@ -16,7 +16,7 @@
 };
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{COLD_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
 
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const REPLICA: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
@@ -97,10 +97,10 @@
         queue_factor: 300,
         flow_record: FlowRecordSettings::default(),
         stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        cold_bounds: WARM_UP_BOUNDS,
     };
     let incarnation = Incarnation(now.as_micros());
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts)
 }
 
--- a/crates/petrellatch-core/tests/pass_through/long_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/long_flows.rs
@@ -62,7 +62,7 @@
             self.next_port += 1;
             self.world.callers.clear();
             self.world.open(port, 0);
-            if let Some(agent) = self.world.answered_by(port) {
+            if let Some(agent) = self.world.accepted_by(port) {
                 self.flows.insert(port, (agent, self.world.now));
             }
             self.run(5);
@@ -105,7 +105,7 @@
         for (agent, desk) in &mut self.desks {
             let done = desk.working.extract_if(.., |(at, _)| *at <= now);
             for (_, port) in done.collect::<Vec<_>>() {
-                self.world.speak(*agent, port);
+                self.world.send_backend_data(*agent, port);
             }
             while desk.working.len() < SLOTS as usize {
                 let Some(port) = desk.waiting.pop_front() else {
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -11,7 +11,7 @@
 fn world_with_flow(port: u16) -> (World, std::net::SocketAddrV4) {
     let mut world = World::new(AGENTS, CAPACITY);
     world.open(port, 0);
-    let agent = world.answered_by(port).expect("an answer");
+    let agent = world.accepted_by(port).expect("an answer");
     world.request(port, agent);
     (world, agent)
 }
@@ -37,18 +37,18 @@
 fn a_flow_that_balancer_and_agent_forgot_is_kept() {
     let (mut world, agent) = world_with_flow(1);
     forget_everything(&mut world);
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.request(1, agent);
     assert_eq!(
-        world.data_at(agent),
+        world.data_packets_at(agent),
         1,
         "its back end has the packet at once"
     );
     assert!(strays(&world, agent) < usize::from(AGENTS), "one each");
-    world.speak(agent, 1);
+    world.send_backend_data(agent, 1);
     world.run(500 * MILLI);
     world.request(1, agent);
-    assert_eq!(world.data_at(agent), 2, "it is known again");
+    assert_eq!(world.data_packets_at(agent), 2, "it is known again");
     assert!(
         strays(&world, agent) < usize::from(AGENTS),
         "nobody else is tried again"
@@ -60,30 +60,30 @@
 fn back_ends_that_were_tried_in_vain_end_no_flow_that_was_found() {
     let (mut world, agent) = world_with_flow(1);
     forget_everything(&mut world);
-    world.say_whole_directory();
-    world.quick_backends = true;
+    world.notify_complete_directory();
+    world.backends_ack_at_once = true;
     world.request(1, agent);
     world.run(Duration::from_secs(1));
     assert_eq!(world.resets(), 0);
     world.request(1, agent);
-    assert_eq!(world.data_at(agent), 2);
+    assert_eq!(world.data_packets_at(agent), 2);
 }
 
 #[test]
 fn a_flow_whose_caller_ended_it_in_vain_stays_known() {
     let (mut world, agent) = world_with_flow(1);
     // The end overtakes a request, whose packet is lost. The back end waits for that.
-    world.finish(1, agent);
+    world.close_flow(1, agent);
     world.run(Duration::from_secs(5));
     let new_ones = (1..=AGENTS).filter(|index| agent_address(*index) != agent);
     new_ones.for_each(|index| world.restart_agent(index, CAPACITY));
     world.restart_balancer();
-    world.say_whole_directory();
+    world.notify_complete_directory();
     for backend in world.backends.values_mut() {
         backend.received.clear();
     }
     world.request(1, agent);
-    assert_eq!(world.data_at(agent), 1, "the copy of the request arrives");
+    assert_eq!(world.data_packets_at(agent), 1, "the copy of the request arrives");
     assert_eq!(strays(&world, agent), 0);
 }
 
@@ -94,7 +94,7 @@
     for backend in world.backends.values_mut() {
         backend.flows.clear();
     }
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.request(1, agent);
     assert_eq!(world.resets(), 1, "its caller can open another one");
     let reset = world.callers.last().expect("the reset");
@@ -114,9 +114,9 @@
     world.run(300 * MILLI);
     assert_eq!(strays(&world, agent), 0);
     assert_eq!(world.resets(), 0);
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.run(500 * MILLI);
-    assert!(world.data_at(agent) > 0, "the packet has waited");
+    assert!(world.data_packets_at(agent) > 0, "the packet has waited");
 }
 
 #[test]
@@ -125,8 +125,8 @@
     forget_everything(&mut world);
     world.request(1, agent);
     world.run(Duration::from_secs(15));
-    let [told] = world.not_found.as_slice() else {
-        panic!("one line, not {:?}", world.not_found);
+    let [told] = world.inconclusive_searches.as_slice() else {
+        panic!("one line, not {:?}", world.inconclusive_searches);
     };
     let inputs = "directory_whole=false awaits=true ended=false";
     assert!(told.contains(inputs), "{told}");
@@ -137,7 +137,7 @@
 fn a_flow_whose_agent_stands_still_does_not_wander() {
     let (mut world, agent) = world_with_flow(1);
     forget_everything(&mut world);
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.frozen = vec![agent];
     for _ in 0..3 {
         world.request(1, agent);
@@ -150,9 +150,9 @@
     );
     assert_eq!(world.resets(), 0);
     world.frozen.clear();
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.run(600 * MILLI);
-    assert!(world.data_at(agent) > 0);
+    assert!(world.data_packets_at(agent) > 0);
     assert_eq!(world.resets(), 0);
 }
 
@@ -160,7 +160,7 @@
 fn a_slow_back_end_is_not_taken_for_one_without_the_flow() {
     let (mut world, agent) = world_with_flow(1);
     forget_everything(&mut world);
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.request(1, agent);
     // The back end has the packet and works on it for long.
     world.run(Duration::from_secs(1));
@@ -169,7 +169,7 @@
         strays(&world, agent) < usize::from(AGENTS),
         "nobody else is tried again"
     );
-    world.speak(agent, 1);
+    world.send_backend_data(agent, 1);
     world.request(1, agent);
     assert_eq!(world.resets(), 0);
 }
@@ -190,13 +190,13 @@
     forget_everything(&mut world);
     let gone = (1..=AGENTS).map(agent_address).find(|it| *it != agent);
     world.frozen = vec![gone.expect("others")];
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.request(1, agent);
     world.run(Duration::from_secs(2));
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.request(1, agent);
     world.run(500 * MILLI);
-    assert!(world.data_at(agent) > 0);
+    assert!(world.data_packets_at(agent) > 0);
     assert_eq!(world.resets(), 0);
 }
 
@@ -206,7 +206,7 @@
     world.restart_balancer();
     world.frozen = vec![agent];
     for _ in 0..15 {
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(200 * MILLI);
     }
@@ -219,7 +219,7 @@
     let mut agents = Vec::new();
     for port in 1..=100 {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("an answer");
         world.request(port, agent);
         agents.push((port, agent));
     }
@@ -229,13 +229,13 @@
     }
     world.run(10 * MILLI);
     assert!(
-        world.seeks <= 3 * usize::from(AGENTS),
+        world.flow_queries <= 3 * usize::from(AGENTS),
         "{} questions",
-        world.seeks
+        world.flow_queries
     );
     for agent in (1..=AGENTS).map(agent_address) {
         let flows = agents.iter().filter(|(_, it)| *it == agent).count();
-        assert_eq!(world.data_at(agent), 2 * flows, "at {agent}");
+        assert_eq!(world.data_packets_at(agent), 2 * flows, "at {agent}");
     }
     assert_eq!(world.resets(), 0);
 }
@@ -243,8 +243,8 @@
 #[test]
 fn the_end_of_a_flow_that_nobody_has_is_not_answered() {
     let mut world = World::new(AGENTS, CAPACITY);
-    world.say_whole_directory();
-    world.finish(1, agent_address(1));
+    world.notify_complete_directory();
+    world.close_flow(1, agent_address(1));
     world.run(500 * MILLI);
     assert_eq!(world.resets(), 0);
 }
@@ -253,18 +253,18 @@
 fn one_agent_passes_a_packet_on_to_many_others() {
     let mut world = World::new(20, CAPACITY);
     world.open(1, 0);
-    let agent = world.answered_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an answer");
     world.request(1, agent);
     for index in 1..=20 {
         world.restart_agent(index, CAPACITY);
     }
     world.restart_balancer();
-    world.quick_backends = true;
-    world.say_whole_directory();
+    world.backends_ack_at_once = true;
+    world.notify_complete_directory();
     world.request(1, agent);
     world.run(300 * MILLI);
-    assert_eq!(world.tries_sent, 1, "by the balancer");
-    assert_eq!(world.data_at(agent), 2, "the others passed it on");
+    assert_eq!(world.speculative_deliveries, 1, "by the balancer");
+    assert_eq!(world.data_packets_at(agent), 2, "the others passed it on");
     assert_eq!(world.resets(), 0);
     for backend in world.backends.values_mut() {
         backend.flows.clear();
@@ -286,10 +286,10 @@
         for index in 1..=AGENTS {
             world.start_agent(index);
             world.register(index, CAPACITY, false, 2);
-            world.tell_agent(index, had_former_life);
+            world.acknowledge_report(index, had_former_life);
         }
         world.run(500 * MILLI);
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(100 * MILLI);
         assert_eq!(world.resets(), 1);
@@ -308,7 +308,7 @@
     world.restart_balancer();
     world.frozen = (1..=AGENTS).map(agent_address).collect();
     for _ in 0..20 {
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(200 * MILLI);
     }
@@ -319,14 +319,14 @@
 fn a_balancer_whose_answers_are_slow_takes_no_agent_for_gone() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
-    world.answers_take(300 * MILLI);
+    world.delay_replies(300 * MILLI);
     for port in 100..=140 {
         world.open(port, 0);
         world.run(50 * MILLI);
     }
     world.frozen = vec![agent];
     for _ in 0..20 {
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(200 * MILLI);
     }
@@ -338,29 +338,29 @@
     let (mut world, agent) = world_with_flow(1);
     world.frozen = vec![agent];
     world.restart_balancer();
-    world.answers_take(20 * MILLI);
+    world.delay_replies(20 * MILLI);
     world.request(1, agent);
     world.run(5 * MILLI);
     world.frozen.clear();
     world.repeat_reports();
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.run(200 * MILLI);
     assert_eq!(world.resets(), 0);
-    assert_eq!(world.data_at(agent), 2);
+    assert_eq!(world.data_packets_at(agent), 2);
 }
 
 #[test]
 fn a_search_that_waits_for_a_whole_directory_has_its_verdict_with_it() {
     let mut world = World::new(AGENTS, CAPACITY);
-    (1..=AGENTS).for_each(|index| world.tell_agent(index, false));
+    (1..=AGENTS).for_each(|index| world.acknowledge_report(index, false));
     world.restart_balancer();
     for waited in [200 * MILLI, 500 * MILLI] {
         let told = world.resets();
-        world.forget_whole_directory();
+        world.notify_incomplete_directory();
         world.request(waited.as_millis() as u16, agent_address(1));
         world.run(waited);
         assert_eq!(world.resets(), told, "an agent may be missing");
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.run(2 * MILLI);
         assert_eq!(world.resets(), told + 1, "after {waited:?}");
     }
--- a/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
@@ -18,12 +18,12 @@
     let mut owners = Vec::new();
     for port in 1..=FLOWS {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("an answer");
         world.request(port, agent);
         owners.push(agent);
     }
     world.restart_balancer_with_link(Some(THIN_LINK));
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.balancer_bytes = 0;
     (world, owners)
 }
@@ -36,7 +36,7 @@
 
 /// How many of the flows got a second packet to their back ends.
 fn found(world: &World, owners: &[SocketAddrV4]) -> usize {
-    let is_found = |owner: &&SocketAddrV4| world.data_at(**owner) >= 2;
+    let is_found = |owner: &&SocketAddrV4| world.data_packets_at(**owner) >= 2;
     owners.iter().filter(is_found).count()
 }
 
@@ -71,7 +71,7 @@
     repeat_requests(&mut world, &owners);
     world.run(400 * MILLI);
     world.frozen = vec![owners[0]];
-    world.say_whole_directory();
+    world.notify_complete_directory();
     repeat_requests(&mut world, &owners);
     world.run(800 * MILLI);
     assert_eq!(world.resets(), 0);
@@ -94,7 +94,7 @@
         backend.received.clear();
     }
     world.run(10 * MILLI);
-    world.say_whole_directory();
+    world.notify_complete_directory();
     repeat_requests(&mut world, &owners);
     world.run(Duration::from_secs(1));
     assert_eq!(world.resets(), owners.len());
@@ -104,7 +104,7 @@
 fn questions_leave_a_thin_link_to_new_flows() {
     let mut world = World::new(AGENTS, CAPACITY);
     world.restart_balancer_with_link(Some(THIN_LINK));
-    world.say_whole_directory();
+    world.notify_complete_directory();
     world.balancer_bytes = 0;
     world.frozen = (1..=AGENTS).step_by(4).map(agent_address).collect();
     for _ in 0..10 {
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -22,7 +22,7 @@
 fn world_with_flow(agents: u8) -> (World, SocketAddrV4) {
     let mut world = World::with_services(agents, CAPACITY, service_of);
     world.open(1, 0);
-    let agent = world.answered_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an answer");
     world.request(1, agent);
     (world, agent)
 }
@@ -31,7 +31,7 @@
 fn forget_and_repeat(world: &mut World, agent: SocketAddrV4) {
     world.restart_balancer();
     for _ in 0..5 {
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(200 * MILLI);
     }
@@ -39,7 +39,7 @@
 
 fn assert_is_served(world: &World, agent: SocketAddrV4, subject: &str) {
     assert_eq!(world.resets(), 0, "a living flow was reset: {subject}");
-    assert!(world.data_at(agent) > 1, "it is not served: {subject}");
+    assert!(world.data_packets_at(agent) > 1, "it is not served: {subject}");
 }
 
 #[test]
@@ -50,14 +50,14 @@
         forget_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("moved, {agents} agents"));
         world.open(2, 0);
-        let other = world.answered_by(2).expect("an answer");
+        let other = world.accepted_by(2).expect("an answer");
         world.request(2, other);
         world.change_route(&[(SERVICE, 1)]);
         forget_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("moved back, {agents} agents"));
         world.request(2, other);
         world.run(200 * MILLI);
-        assert!(world.data_at(other) > 1, "a flow of the time between");
+        assert!(world.data_packets_at(other) > 1, "a flow of the time between");
         assert_eq!(world.resets(), 0);
     }
 }
@@ -70,18 +70,18 @@
         let mut flows = Vec::new();
         for port in 1..=4 {
             world.open(port, 0);
-            flows.push((port, world.answered_by(port).expect("an answer")));
+            flows.push((port, world.accepted_by(port).expect("an answer")));
         }
         for (lost, kept) in [(SERVICE, OTHER_SERVICE), (OTHER_SERVICE, SERVICE)] {
             world.change_route(&[(kept, 1)]);
             world.restart_balancer();
-            world.say_whole_directory();
+            world.notify_complete_directory();
             for (port, agent) in &flows {
-                let before = world.data_at(*agent);
+                let before = world.data_packets_at(*agent);
                 world.request(*port, *agent);
                 world.run(200 * MILLI);
                 let subject = format!("without {lost}, {agents} agents");
-                assert_eq!(world.data_at(*agent), before + 1, "{subject}");
+                assert_eq!(world.data_packets_at(*agent), before + 1, "{subject}");
             }
         }
         assert_eq!(world.resets(), 0);
@@ -94,7 +94,7 @@
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[]);
         world.restart_balancer();
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(500 * MILLI);
         assert_eq!(world.resets(), 0, "dropped, {agents} agents");
@@ -109,7 +109,7 @@
     for agents in SIZES {
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[(OTHER_SERVICE, 1)]);
-        world.quick_backends = true;
+        world.backends_ack_at_once = true;
         world.restart_agent(agent.ip().octets()[3], CAPACITY);
         forget_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("{agents} agents"));
@@ -124,7 +124,7 @@
         world.restart_balancer();
         world.frozen = vec![agent];
         for _ in 0..10 {
-            world.say_whole_directory();
+            world.notify_complete_directory();
             world.request(1, agent);
             world.run(200 * MILLI);
         }
@@ -141,7 +141,7 @@
         world.restart_agent(index, CAPACITY);
         world.backends.get_mut(&agent).expect("known").flows.clear();
         world.restart_balancer();
-        world.say_whole_directory();
+        world.notify_complete_directory();
         world.request(1, agent);
         world.run(Duration::from_millis(200));
         assert_eq!(world.resets(), 1, "{agents} agents");
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -310,7 +310,7 @@
                 data_bytes: 10,
                 ..empty(ROUTE, caller(port))
             };
-            self.world.answer_from_backend(agent, &answer);
+            self.world.send_from_backend(agent, &answer);
         } else if advances && state.recovers {
             state.recovers = false;
             let missing = (base..state.sent).filter(|number| !state.arrived[*number]);
@@ -325,7 +325,7 @@
         let now = self.world.now;
         while let Some(output) = self.world.balancer.poll_output() {
             if matches!(output, PassThroughOutput::Event(_)) {
-                self.world.carry_out(BALANCER, output);
+                self.world.handle_output(BALANCER, output);
             } else {
                 self.count_bytes(&output);
                 self.link.send(now, output);
@@ -338,7 +338,7 @@
             .is_some_and(|(at, _)| *at <= now)
         {
             let (_, output) = self.link.under_way.pop_front().expect("there is one");
-            self.world.carry_out(BALANCER, output);
+            self.world.handle_output(BALANCER, output);
         }
         let agents: Vec<SocketAddrV4> = self.world.agents.keys().copied().collect();
         for agent in agents {
@@ -352,7 +352,7 @@
                 .get_mut(&agent)
                 .and_then(|it| it.poll_output())
             {
-                self.world.carry_out(agent, output);
+                self.world.handle_output(agent, output);
             }
         }
     }
--- a/crates/petrellatch-core/tests/pass_through/news.rs
+++ b/crates/petrellatch-core/tests/pass_through/news.rs
@@ -6,7 +6,7 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
+    KnownReplicas, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
 use petrellatch_proto::pass_through::{
     ConfigurationChange, ConfigurationPart, Confirmed, Group, PassThroughBody, RouteRecord,
@@ -29,7 +29,7 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
     };
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     let mut balancer =
         PassThroughBalancer::new(START, settings, TestCodec, Incarnation(6), contacts);
     balancer.handle_message(START, REPLICA, part(0, 3));
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -50,7 +50,7 @@
         labels: BTreeMap::from([(key.to_owned(), value.to_owned())]),
         ..Registration::default()
     };
-    world.call(index, &call);
+    world.send_registration(index, &call);
 }
 
 /// A world in which the back ends of `labelled` have a label, and all have reported.
@@ -80,7 +80,7 @@
     for port in ports {
         world.open(port, 0);
         world.run(2 * MILLI);
-        agents.push(world.answered_by(port).expect("an answer"));
+        agents.push(world.accepted_by(port).expect("an answer"));
     }
     agents
 }
@@ -90,11 +90,11 @@
     let mut landed = BTreeMap::new();
     for port in ports {
         world.open(port, 0);
-        let agent = world.answered_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("an answer");
         *landed.entry(agent).or_default() += 1;
         world.request(port, agent);
-        world.speak(agent, port);
-        world.finish(port, agent);
+        world.send_backend_data(agent, port);
+        world.close_flow(port, agent);
         world.run(MILLI);
     }
     landed
@@ -247,7 +247,7 @@
         for _ in 0..2 {
             world.open(port, 0);
             world.run(400 * MILLI);
-            let agent = world.answered_by(port).expect("an answer");
+            let agent = world.accepted_by(port).expect("an answer");
             let index = agent.ip().octets()[3];
             assert_eq!(index <= 4, is_first, "change {change}");
             port += 1;
@@ -255,11 +255,11 @@
     }
     world.frozen.clear();
     for (port, owner) in (1..).zip(&owners) {
-        let before = world.data_at(*owner);
+        let before = world.data_packets_at(*owner);
         world.request(port, *owner);
         world.run(200 * MILLI);
         assert!(
-            world.data_at(*owner) > before,
+            world.data_packets_at(*owner) > before,
             "the flow of port {port} moved"
         );
     }
@@ -293,7 +293,7 @@
     let mut world = World::new(2, CAPACITY);
     world.start_agent(1);
     // Packets show that a back end is there, which has not called this life of its agent.
-    world.speak(agent_address(1), 900);
+    world.send_backend_data(agent_address(1), 900);
     world.run(SECOND);
     tell(
         &mut world,
@@ -352,9 +352,9 @@
     assert_eq!(world.resets(), 1);
     assert!(world.refusals[0].contains("no_eligible_backend"));
     assert_eq!(world.without_eligible.len(), 1);
-    let before = world.data_at(owner);
+    let before = world.data_packets_at(owner);
     world.request(1, owner);
-    assert!(world.data_at(owner) > before, "an open flow was touched");
+    assert!(world.data_packets_at(owner) > before, "an open flow was touched");
     tell(&mut world, 2, &[policy("newer", "true", "1.0")]);
     open_flows(&mut world, 3..6);
 }
@@ -364,13 +364,13 @@
     let mut world = labelled_world(3, &[], "none", "");
     let weight = "backend.name == 'backend-2' ? 0.0 : 1.0";
     tell(&mut world, 1, &[policy("spare", "true", weight)]);
-    world.fill_from_elsewhere(1, 4 * CAPACITY as u16);
-    world.fill_from_elsewhere(3, 4 * CAPACITY as u16);
+    world.fill_from_other_balancer(1, 4 * CAPACITY as u16);
+    world.fill_from_other_balancer(3, 4 * CAPACITY as u16);
     for port in 1..=10 {
         world.open(port, 0);
         world.run(20 * MILLI);
     }
-    let spare = (1..=10).filter(|port| world.answered_by(*port) == Some(agent_address(2)));
+    let spare = (1..=10).filter(|port| world.accepted_by(*port) == Some(agent_address(2)));
     assert_eq!(spare.count(), 0);
 }
 
@@ -382,7 +382,7 @@
     world.resetting = vec![agent_address(1)];
     for port in FIRST_OWN_PORT..FIRST_OWN_PORT + 20 {
         world.open(port, 0);
-        if let Some(agent) = world.answered_by(port) {
+        if let Some(agent) = world.accepted_by(port) {
             world.request(port, agent);
         }
         world.run(MILLI);
@@ -392,7 +392,7 @@
     // further question.
     world.open(100, 0);
     world.run(5 * MILLI);
-    assert_eq!(world.answered_by(100), Some(agent_address(1)));
+    assert_eq!(world.accepted_by(100), Some(agent_address(1)));
     assert_eq!(world.balancer.counters().further_asked, before);
 }
 
@@ -408,13 +408,13 @@
     let weight = "backend.zone == service.zone ? 1.0 : 0.000001";
     tell(&mut world, 1, &[policy("near", "true", weight)]);
     for index in 1..=12 {
-        world.fill_from_elsewhere(index, 2);
+        world.fill_from_other_balancer(index, 2);
     }
     // By the balancer's old news all of them have room.
     for port in 1..=10 {
         world.open(port, 0);
         world.run(5 * MILLI);
-        let agent = world.answered_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("an answer");
         assert!(agent.ip().octets()[3] > 12, "{agent} has no room");
     }
 }
@@ -450,7 +450,7 @@
     world.run(SECOND);
     world.open(10, 0);
     world.run(5 * MILLI);
-    assert_eq!(world.answered_by(10), None, "its label is another one now");
+    assert_eq!(world.accepted_by(10), None, "its label is another one now");
     let figures = world.balancer.policy_figures();
     assert_eq!(figures[0].eligible, 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -60,9 +60,9 @@
 /// Asks the leader and waits for the answer.
 fn ask(group: &mut Group, request: ConfigurationRequest) -> ConfigurationResponse {
     let leader = leader(group);
-    let token = group.ask(leader, request);
-    group.run_until(2 * SECOND, "an answer", |it| it.answer(token).is_some());
-    group.answer(token).expect("there is one").clone()
+    let token = group.request(leader, request);
+    group.run_until(2 * SECOND, "an answer", |it| it.response(token).is_some());
+    group.response(token).expect("there is one").clone()
 }
 
 fn index_of(response: &ConfigurationResponse) -> u64 {
@@ -136,11 +136,11 @@
     let far = policy("near", "backend.zone == 'far'", &["desk"]);
     let old = policy("near", "backend.age_seconds > 60.0", &["desk"]);
     let tokens = [
-        group.ask(leader, put(&far, Some(base))),
-        group.ask(leader, put(&old, Some(base))),
+        group.request(leader, put(&far, Some(base))),
+        group.request(leader, put(&old, Some(base))),
     ];
     group.run(SECOND);
-    let answers = tokens.map(|token| group.answer(token).expect("an answer").clone());
+    let answers = tokens.map(|token| group.response(token).expect("an answer").clone());
     let index = index_of(&answers[0]);
     let refusal = PolicyRefusal::Conflict {
         based_on: base,
@@ -170,7 +170,7 @@
     let leader = leader(&mut group);
     assert_eq!(group.node(leader).policies().index(), 0);
     let sound = ConfigurationRequest::CheckPolicy(policy("sound", "true", &[]));
-    assert_eq!(ask(&mut group, sound), ConfigurationResponse::PolicySound);
+    assert_eq!(ask(&mut group, sound), ConfigurationResponse::PolicyValid);
 }
 
 #[test]
@@ -208,14 +208,14 @@
             ..Follow::default()
         })
     };
-    group.hear(leader, BALANCER, attach(0));
-    group.sent_outside.clear();
+    group.receive(leader, BALANCER, attach(0));
+    group.sent_to_daemons.clear();
     let index = index_of(&ask(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
     let told = |group: &Group| {
-        let sent = group.sent_outside.iter();
+        let sent = group.sent_to_daemons.iter();
         let told = sent.filter_map(|(_, _, body)| match body {
             PassThroughBody::Group(group) => group.policies.as_ref().map(|it| it.index),
             _ => None,
@@ -223,10 +223,10 @@
         told.collect::<Vec<u64>>()
     };
     assert_eq!(told(&group), [index]);
-    group.sent_outside.clear();
-    group.hear(leader, BALANCER, attach(index));
+    group.sent_to_daemons.clear();
+    group.receive(leader, BALANCER, attach(index));
     assert!(told(&group).is_empty());
-    group.hear(leader, BALANCER, attach(0));
+    group.receive(leader, BALANCER, attach(0));
     assert_eq!(told(&group), [index]);
 }
 
@@ -238,17 +238,17 @@
         put(&policy("near", "true", &["desk"]), None),
     ));
     let leader = leader(&mut group);
-    group.sent_outside.clear();
+    group.sent_to_daemons.clear();
     let follow = Follow {
         incarnation: 1,
         confirm: 5,
         policies_index: index,
         ..Follow::default()
     };
-    group.hear(leader, BALANCER, PassThroughBody::Follow(follow));
+    group.receive(leader, BALANCER, PassThroughBody::Follow(follow));
     group.run(SECOND);
     let confirmed = group
-        .sent_outside
+        .sent_to_daemons
         .iter()
         .find_map(|(_, _, body)| match body {
             PassThroughBody::Confirmed(confirmed) => Some(confirmed),
@@ -263,9 +263,9 @@
     let mut group = founded(3);
     let first = leader(&mut group);
     group.cut_off(first);
-    let token = group.ask(first, put(&policy("near", "true", &["desk"]), None));
+    let token = group.request(first, put(&policy("near", "true", &["desk"]), None));
     group.run(3 * SECOND);
-    let answer = group.answer(token);
+    let answer = group.response(token);
     assert_eq!(answer, Some(&ConfigurationResponse::Unavailable));
     group.heal();
     group.run(3 * SECOND);
@@ -302,7 +302,7 @@
         }),
         ..Report::default()
     };
-    group.hear(leader, AGENT, PassThroughBody::Report(report));
+    group.receive(leader, AGENT, PassThroughBody::Report(report));
     group.run(300 * Duration::from_millis(1));
     let request = ConfigurationRequest::ExplainPolicy {
         service: "desk".to_owned(),
@@ -396,7 +396,7 @@
                     ConfigurationResponse::PolicyChanged { index, .. } => break index,
                     // Sent again unchanged, as operators do.
                     ConfigurationResponse::Unavailable
-                    | ConfigurationResponse::Elsewhere { .. } => {}
+                    | ConfigurationResponse::NotLeader { .. } => {}
                     other => panic!("{other:?}"),
                 }
             };
--- a/crates/petrellatch-core/tests/pass_through/pressure.rs
+++ b/crates/petrellatch-core/tests/pass_through/pressure.rs
@@ -33,7 +33,7 @@
 /// Callers ask for `times` the capacity.
 fn press(balancers: usize, agents: u16, times: f64) -> Pressed {
     let mut fleet = Fleet::new(balancers, agents);
-    let capacity = fleet.capacity();
+    let capacity = fleet.max_request_rate();
     let both = |share: f64| [capacity * share * 0.3, capacity * share * 0.7];
     fleet.run(both(ORDINARY), BEFORE);
     fleet.run(both(times), PRESSED);
@@ -41,13 +41,13 @@
     let pressed = fleet.sum(1..4);
     let after = fleet.sum(5..6);
     let total = |counts: [u32; 2]| f64::from(counts[0] + counts[1]);
-    let best = (capacity * PRESSED as f64).min(total(pressed.asked));
+    let best = (capacity * PRESSED as f64).min(total(pressed.requests));
     let result = Pressed {
         times,
         served: total(pressed.served) / best,
-        after: total(after.served) / total(after.asked),
+        after: total(after.served) / total(after.requests),
         refused: f64::from(pressed.refused),
-        messages: 2.0 * f64::from(pressed.questions),
+        messages: 2.0 * f64::from(pressed.offers),
     };
     println!(
         "{balancers} balancers, {agents} agents, {times} times: served {:.3}, after {:.3}, \
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -7,13 +7,13 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughOutput, Registration, service_digest,
 };
 use petrellatch_proto::pass_through::{Carry, CarryReason, PassThroughBody};
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::COLD_BOUNDS;
+use super::world::WARM_UP_BOUNDS;
 
 const SERVICE: &str = "desk";
 pub const BALANCER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 99), 7000);
@@ -59,10 +59,10 @@
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 2,
             stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            cold_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
-        let contacts = Contacts::new(Vec::new());
+        let contacts = KnownReplicas::new(Vec::new());
         let mut agent = PassThroughAgent::new(now, settings, TestCodec, Incarnation(1), contacts);
         let call = Registration {
             id: "backend-1".to_owned(),
--- a/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
@@ -36,7 +36,7 @@
                 ConfigurationOutput::Persist(request) => {
                     node.handle_persisted(*now, request.ticket);
                 }
-                ConfigurationOutput::Remember(bytes) => saved.push(bytes),
+                ConfigurationOutput::SaveDaemons(bytes) => saved.push(bytes),
                 ConfigurationOutput::Send {
                     to,
                     body: PassThroughBody::Group(group),
@@ -82,7 +82,7 @@
     let (saved, _) = run(&mut node, &mut now, Duration::from_secs(6));
     let saved = saved.last().expect("something is saved");
     let mut node = start_replica(now, REPLICA, REPLICA);
-    assert!(node.recall_daemons(saved));
+    assert!(node.load_daemons(saved));
     let (_, told) = run(&mut node, &mut now, Duration::from_secs(2));
     let times = |daemon| told.iter().filter(|to| **to == daemon).count();
     assert_eq!(times(BALANCER), 1, "once, as soon as there is a leader");
@@ -103,5 +103,5 @@
 fn what_cannot_be_read_is_left_out() {
     let now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
-    assert!(!node.recall_daemons(&[0xFF; 9]));
+    assert!(!node.load_daemons(&[0xFF; 9]));
 }
--- a/crates/petrellatch-core/tests/pass_through/replica.rs
+++ b/crates/petrellatch-core/tests/pass_through/replica.rs
@@ -5,7 +5,7 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::consensus::{Membership, PersistentState, ReplicaId, ReplicaStart};
 use petrellatch_core::identity::Incarnation;
-use petrellatch_core::pass_through::{ConfigurationNode, ConfigurationNodeSettings, node_at};
+use petrellatch_core::pass_through::{ConfigurationNode, ConfigurationNodeSettings, node_id_of_address};
 
 /// Starts the replica at `address` of a group that the replica at `founder`
 /// founded alone.
@@ -25,8 +25,8 @@
     settings: ConfigurationNodeSettings,
 ) -> ConfigurationNode {
     let id = |address| ReplicaId {
-        node: node_at(address),
-        incarnation: Incarnation(node_at(address).0),
+        node: node_id_of_address(address),
+        incarnation: Incarnation(node_id_of_address(address).0),
     };
     let start = ReplicaStart {
         id: id(address).node,
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -5,7 +5,7 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationOutput, Contacts, FlowRecordSettings, PacketView,
+    ConfigurationNode, ConfigurationOutput, KnownReplicas, FlowRecordSettings, PacketView,
     PassThroughAgent, PassThroughAgentSettings, PassThroughOutput, Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
@@ -15,7 +15,7 @@
 
 use super::codec::{TestCodec, empty, encode};
 use super::replica::start_replica;
-use super::world::COLD_BOUNDS;
+use super::world::WARM_UP_BOUNDS;
 
 const SERVICE: &str = "desk";
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
@@ -42,11 +42,11 @@
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 2,
         stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        cold_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
     let incarnation = Incarnation(now.as_micros());
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts)
 }
 
--- a/crates/petrellatch-core/tests/pass_through/returned_openings.rs
+++ b/crates/petrellatch-core/tests/pass_through/returned_openings.rs
@@ -6,7 +6,7 @@
 fn an_agent_whose_back_end_returned_an_opening_is_asked_last_for_a_while() {
     let mut world = World::new(4, 8);
     let shedding = agent_address(1);
-    world.shedding = vec![shedding];
+    world.returning_syns = vec![shedding];
     // The others have 24 slots.
     for port in 1..=20 {
         world.open(port, 0);
@@ -14,6 +14,6 @@
     let returned = world.backends[&shedding].received.len();
     assert!(returned <= 1, "{returned} flows went to it");
     for port in 1..=20 {
-        assert!(world.answered_by(port).is_some());
+        assert!(world.accepted_by(port).is_some());
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/returning_site.rs
+++ b/crates/petrellatch-core/tests/pass_through/returning_site.rs
@@ -10,9 +10,9 @@
 use petrellatch_core::consensus::{Membership, PersistentState, ReplicaId, ReplicaStart};
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, Contacts,
+    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, KnownReplicas,
     FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent, PassThroughAgentSettings,
-    PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput, Registration, node_at,
+    PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput, Registration, node_id_of_address,
 };
 use petrellatch_proto::pass_through::{
     ConfigurationChange, ConfigurationPart, Confirmed, Directory, DirectoryChange, Follow,
@@ -21,7 +21,7 @@
 use prost::Message;
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{BALANCER, COLD_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{BALANCER, WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
 
 const STEP: Duration = Duration::from_millis(5);
 /// Somebody who only asks whether a directory is whole.
@@ -107,8 +107,8 @@
 
     pub fn start_replica(&mut self, address: SocketAddrV4) {
         let id = |address| ReplicaId {
-            node: node_at(address),
-            incarnation: Incarnation(node_at(address).0),
+            node: node_id_of_address(address),
+            incarnation: Incarnation(node_id_of_address(address).0),
         };
         let start = ReplicaStart {
             id: id(address).node,
@@ -120,7 +120,7 @@
         let settings = ConfigurationNodeSettings::default();
         let mut node = ConfigurationNode::new(self.now, settings, start);
         if let Some(memory) = self.memories.get(&address) {
-            node.recall_daemons(memory);
+            node.load_daemons(memory);
         }
         self.replicas.insert(address, node);
     }
@@ -139,11 +139,11 @@
             flow_lifetime: Duration::from_secs(600),
             queue_factor: 3,
             stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            cold_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let life = Incarnation(self.now.as_micros() + u64::from(index));
-        let contacts = Contacts::new(REPLICAS.to_vec());
+        let contacts = KnownReplicas::new(REPLICAS.to_vec());
         let mut agent = PassThroughAgent::new(self.now, settings, TestCodec, life, contacts);
         let call = Registration {
             id: address.to_string(),
@@ -169,7 +169,7 @@
             stop_delay: Duration::from_secs(2),
             link_bytes_per_second: None,
         };
-        let contacts = Contacts::new(REPLICAS.to_vec());
+        let contacts = KnownReplicas::new(REPLICAS.to_vec());
         let now = self.now;
         let mut balancer =
             PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts);
@@ -315,7 +315,7 @@
                     ConfigurationOutput::Persist(request) => {
                         node.handle_persisted(now, request.ticket);
                     }
-                    ConfigurationOutput::Remember(bytes) => {
+                    ConfigurationOutput::SaveDaemons(bytes) => {
                         self.writes += 1;
                         self.memories.insert(*address, bytes);
                     }
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -7,14 +7,14 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationOutput, Contacts, FlowRecordSettings, PassThroughAgent,
+    ConfigurationNode, ConfigurationOutput, KnownReplicas, FlowRecordSettings, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
 use petrellatch_proto::pass_through::{Confirmed, Follow, Group, PassThroughBody, pack_address};
 
 use super::codec::TestCodec;
 use super::replica::start_replica;
-use super::world::COLD_BOUNDS;
+use super::world::WARM_UP_BOUNDS;
 
 const STEP: Duration = Duration::from_millis(10);
 const SECOND: Duration = Duration::from_secs(1);
@@ -41,10 +41,10 @@
         flow_lifetime: Duration::from_secs(60),
         queue_factor: 2,
         stop_limit: Duration::from_secs(2),
-        cold_bounds: COLD_BOUNDS,
+        cold_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
-    let contacts = Contacts::new(vec![replica_address(1)]);
+    let contacts = KnownReplicas::new(vec![replica_address(1)]);
     let incarnation = Incarnation(u64::from(index) + 1);
     PassThroughAgent::new(START, settings, TestCodec, incarnation, contacts)
 }
@@ -219,7 +219,7 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
     };
-    let contacts = Contacts::new((1..=REPLICAS).map(replica_address).collect());
+    let contacts = KnownReplicas::new((1..=REPLICAS).map(replica_address).collect());
     let incarnation = Incarnation(incarnation);
     PassThroughBalancer::new(START, settings, TestCodec, incarnation, contacts)
 }
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -26,7 +26,7 @@
     let mut flows = Vec::new();
     for port in first_port..first_port + callers {
         world.open(port, 0);
-        if let Some(agent) = world.answered_by(port) {
+        if let Some(agent) = world.accepted_by(port) {
             world.request(port, agent);
             flows.push((port, agent));
         }
@@ -40,13 +40,13 @@
 
 fn answer(world: &mut World, flows: &[(u16, SocketAddrV4)], agent: SocketAddrV4) {
     for (port, _) in flows.iter().filter(|(_, it)| *it == agent) {
-        world.speak(agent, *port);
-        world.finish(*port, agent);
+        world.send_backend_data(agent, *port);
+        world.close_flow(*port, agent);
     }
 }
 
 fn placed_at(world: &World, ports: std::ops::Range<u16>, index: u8) -> usize {
-    let placed = ports.filter(|port| world.answered_by(*port) == Some(agent_address(index)));
+    let placed = ports.filter(|port| world.accepted_by(*port) == Some(agent_address(index)));
     placed.count()
 }
 
@@ -98,7 +98,7 @@
         ..Registration::default()
     };
     // It warms up, and yet answers earlier than the warm one.
-    world.call(
+    world.send_registration(
         FAST,
         &Registration {
             id: "backend-1".to_owned(),
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -7,7 +7,7 @@
 use lz4_flex::compress_prepend_size;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ColdBounds, Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    ColdBounds, KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
     Registration, service_digest,
 };
@@ -24,7 +24,7 @@
 pub const SERVICE: &str = "desk";
 pub const OTHER_SERVICE: &str = "files";
 /// As wide as nobody notices.
-pub const COLD_BOUNDS: ColdBounds = ColdBounds {
+pub const WARM_UP_BOUNDS: ColdBounds = ColdBounds {
     excess: 1.5,
     slack: 5.0,
 };
@@ -64,34 +64,34 @@
     pub callers: Vec<PacketView>,
     pub frozen: Vec<SocketAddrV4>,
     /// Agents whose back ends return all opening packets.
-    pub shedding: Vec<SocketAddrV4>,
+    pub returning_syns: Vec<SocketAddrV4>,
     /// Agents whose back ends reset flows at their first request.
     pub resetting: Vec<SocketAddrV4>,
     /// Agents whose back ends do nothing.
     pub silent: Vec<SocketAddrV4>,
     pub revision: u64,
     /// Questions for unknown flows.
-    pub seeks: usize,
+    pub flow_queries: usize,
     /// What the balancer logged of refused flows.
     pub refusals: Vec<String>,
     /// What the balancer logged of policies that leave nobody.
     pub without_eligible: Vec<String>,
     /// What the balancer logged of searches without a verdict.
-    pub not_found: Vec<String>,
+    pub inconclusive_searches: Vec<String>,
     /// Packets that the balancer sent to agents to try.
-    pub tries_sent: usize,
+    pub speculative_deliveries: usize,
     /// Bytes of messages of and to the balancer.
     pub balancer_bytes: usize,
     /// Messages to the balancer that are under way, if they take time.
     delayed: VecDeque<(Timestamp, SocketAddrV4, PassThroughBody)>,
     answer_delay: Duration,
     /// Back ends acknowledge data at once.
-    pub quick_backends: bool,
+    pub backends_ack_at_once: bool,
     /// By when the configuration wants requests to be answered, in milliseconds.
-    pub objective_millis: u32,
+    pub latency_objective_millis: u32,
     /// What the configuration says that a cold back end bears, in requests in
     /// 1,000 s.
-    pub cold_rate: u32,
+    pub warm_up_rate: u32,
     /// The service of each agent.
     service_of: fn(u8) -> &'static str,
     /// The zone of each agent that starts from now on.
@@ -118,21 +118,21 @@
             backends: BTreeMap::new(),
             callers: Vec::new(),
             frozen: Vec::new(),
-            shedding: Vec::new(),
+            returning_syns: Vec::new(),
             resetting: Vec::new(),
             silent: Vec::new(),
             revision: 0,
-            seeks: 0,
+            flow_queries: 0,
             refusals: Vec::new(),
             without_eligible: Vec::new(),
-            not_found: Vec::new(),
-            tries_sent: 0,
+            inconclusive_searches: Vec::new(),
+            speculative_deliveries: 0,
             balancer_bytes: 0,
             delayed: VecDeque::new(),
             answer_delay: Duration::ZERO,
-            quick_backends: false,
-            cold_rate: 0,
-            objective_millis: 0,
+            backends_ack_at_once: false,
+            warm_up_rate: 0,
+            latency_objective_millis: 0,
             service_of,
             zone_of: |_| "a",
             version: 3,
@@ -190,7 +190,7 @@
             shares: self.shares.iter().map(share).collect(),
             annotation: Vec::new(),
             position: 0,
-            objective_millis: self.objective_millis,
+            objective_millis: self.latency_objective_millis,
             ..RouteRecord::default()
         };
         let is_dropped = self.shares.is_empty();
@@ -202,7 +202,7 @@
             annotation: None,
             put_services: vec![ServiceRecord {
                 service: SERVICE.to_owned(),
-                cold_millirequests_per_second: self.cold_rate,
+                cold_millirequests_per_second: self.warm_up_rate,
             }],
             ..ConfigurationChange::default()
         };
@@ -223,7 +223,7 @@
     }
 
     /// The replica says that it has told of every agent that runs.
-    pub fn say_whole_directory(&mut self) {
+    pub fn notify_complete_directory(&mut self) {
         let group = Group {
             directory_revision: self.revision,
             serves: true,
@@ -235,7 +235,7 @@
     }
 
     /// The replica says that it may not know every agent that runs.
-    pub fn forget_whole_directory(&mut self) {
+    pub fn notify_incomplete_directory(&mut self) {
         let group = Group {
             directory_revision: self.revision,
             serves: true,
@@ -246,7 +246,7 @@
     }
 
     /// A replica answers an agent's report.
-    pub fn tell_agent(&mut self, index: u8, had_former_life: bool) {
+    pub fn acknowledge_report(&mut self, index: u8, had_former_life: bool) {
         let group = Group {
             had_former_life,
             answers_report: true,
@@ -287,7 +287,7 @@
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 3,
             stop_limit: Duration::from_secs(2),
-            cold_bounds: COLD_BOUNDS,
+            cold_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
         let agent = PassThroughAgent::new(
@@ -295,7 +295,7 @@
             settings,
             TestCodec,
             Incarnation(self.now.as_micros() + u64::from(index)),
-            Contacts::new(vec![REPLICA]),
+            KnownReplicas::new(vec![REPLICA]),
         );
         self.agents.insert(address, agent);
         self.backends.entry(address).or_default();
@@ -303,7 +303,7 @@
 
     /// Starts an agent again. A replica tells it which back ends its former life reported
     /// as leaving.
-    pub fn restart_agent_with_memory(&mut self, index: u8) {
+    pub fn restart_agent_with_draining(&mut self, index: u8) {
         let address = pack_address(agent_address(index));
         let leaving = self.reports[&address].leaving.clone();
         self.start_agent(index);
@@ -326,11 +326,11 @@
             cold: Duration::ZERO,
             ..Registration::default()
         };
-        self.call(index, &call);
+        self.send_registration(index, &call);
     }
 
     /// The back end beside an agent calls.
-    pub fn call(&mut self, index: u8, call: &Registration) {
+    pub fn send_registration(&mut self, index: u8, call: &Registration) {
         let agent = self.agents.get_mut(&agent_address(index)).expect("known");
         let taken = agent.handle_registration(self.now, call);
         taken.expect("it is of the agent's service");
@@ -344,7 +344,7 @@
     }
 
     /// Messages of agents take so long to reach the balancer.
-    pub fn answers_take(&mut self, duration: Duration) {
+    pub fn delay_replies(&mut self, duration: Duration) {
         self.answer_delay = duration;
     }
 
@@ -387,7 +387,7 @@
             let mut quiet = true;
             while let Some(output) = self.balancer.poll_output() {
                 quiet = false;
-                self.carry_out(BALANCER, output);
+                self.handle_output(BALANCER, output);
             }
             let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
             for address in addresses {
@@ -400,7 +400,7 @@
                     .and_then(PassThroughAgent::poll_output)
                 {
                     quiet = false;
-                    self.carry_out(address, output);
+                    self.handle_output(address, output);
                 }
             }
             if quiet {
@@ -409,7 +409,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, from: SocketAddrV4, output: PassThroughOutput) {
+    pub fn handle_output(&mut self, from: SocketAddrV4, output: PassThroughOutput) {
         let now = self.now;
         if let PassThroughOutput::Send { to, body } = &output
             && (from == BALANCER || *to == BALANCER)
@@ -432,8 +432,8 @@
                 }
             }
             PassThroughOutput::Send { to, body } => {
-                self.seeks += usize::from(matches!(body, PassThroughBody::Seek(_)));
-                self.tries_sent += usize::from(from == BALANCER && is_try(&body));
+                self.flow_queries += usize::from(matches!(body, PassThroughBody::Seek(_)));
+                self.speculative_deliveries += usize::from(from == BALANCER && is_try(&body));
                 if self.frozen.contains(&to) {
                     return;
                 }
@@ -453,7 +453,7 @@
                 self.without_eligible.push(event.subject);
             }
             PassThroughOutput::Event(event) if event.kind == EventKind::FlowNotFound => {
-                self.not_found.push(event.subject);
+                self.inconclusive_searches.push(event.subject);
             }
             PassThroughOutput::Event(_) => {}
         }
@@ -502,29 +502,29 @@
                     reset: true,
                     ..empty(view.destination, view.source)
                 };
-                self.answer_from_backend(agent, &reset);
+                self.send_from_backend(agent, &reset);
             } else if !backend.flows.contains(&view.source) {
                 let returned = PacketView {
                     returned: true,
                     ..view
                 };
-                self.answer_from_backend(agent, &returned);
-            } else if self.quick_backends && view.data_bytes > 0 {
+                self.send_from_backend(agent, &returned);
+            } else if self.backends_ack_at_once && view.data_bytes > 0 {
                 let acknowledgement = PacketView {
                     acknowledge: true,
                     sequence: first_sequence(agent).wrapping_add(1),
                     ..empty(view.destination, view.source)
                 };
-                self.answer_from_backend(agent, &acknowledgement);
+                self.send_from_backend(agent, &acknowledgement);
             }
             return;
         }
-        if self.shedding.contains(&agent) {
+        if self.returning_syns.contains(&agent) {
             let returned = PacketView {
                 returned: true,
                 ..view
             };
-            self.answer_from_backend(agent, &returned);
+            self.send_from_backend(agent, &returned);
             return;
         }
         backend.flows.insert(view.source);
@@ -534,17 +534,17 @@
             sequence: first_sequence(agent),
             ..empty(view.destination, view.source)
         };
-        self.answer_from_backend(agent, &answer);
+        self.send_from_backend(agent, &answer);
     }
 
-    pub fn answer_from_backend(&mut self, agent: SocketAddrV4, view: &PacketView) {
+    pub fn send_from_backend(&mut self, agent: SocketAddrV4, view: &PacketView) {
         let now = self.now;
         let agent = self.agents.get_mut(&agent).expect("known");
         agent.handle_backend_packet(now, &encode(view));
     }
 
     /// The back end beside an agent sends data on a flow that it has.
-    pub fn speak(&mut self, agent: SocketAddrV4, port: u16) {
+    pub fn send_backend_data(&mut self, agent: SocketAddrV4, port: u16) {
         self.backends
             .get_mut(&agent)
             .expect("known")
@@ -556,7 +556,7 @@
             sequence: first_sequence(agent).wrapping_add(1),
             ..empty(ROUTE, caller(port))
         };
-        self.answer_from_backend(agent, &data);
+        self.send_from_backend(agent, &data);
         self.settle();
     }
 
@@ -571,7 +571,7 @@
     }
 
     /// Another balancer opens flows at an agent.
-    pub fn fill_from_elsewhere(&mut self, index: u8, flows: u16) {
+    pub fn fill_from_other_balancer(&mut self, index: u8, flows: u16) {
         let elsewhere = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
         for port in 1..=flows {
             let packet = PacketView {
@@ -604,7 +604,7 @@
     }
 
     /// The caller ends a flow that this agent's back end answered.
-    pub fn finish(&mut self, port: u16, agent: SocketAddrV4) {
+    pub fn close_flow(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             acknowledge: true,
             finish: true,
@@ -616,7 +616,7 @@
     }
 
     /// The agent whose back end answered the caller's opening packet.
-    pub fn answered_by(&self, port: u16) -> Option<SocketAddrV4> {
+    pub fn accepted_by(&self, port: u16) -> Option<SocketAddrV4> {
         let answer = self.callers.iter().rev().find(|view| {
             view.destination == caller(port) && view.synchronize && view.acknowledge
         })?;
@@ -631,7 +631,7 @@
     }
 
     /// Packets with data that reached the back end beside this agent.
-    pub fn data_at(&self, agent: SocketAddrV4) -> usize {
+    pub fn data_packets_at(&self, agent: SocketAddrV4) -> usize {
         let received = self.backends[&agent].received.iter();
         received.filter(|view| view.data_bytes > 0).count()
     }
@@ -661,7 +661,7 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second,
     };
-    let contacts = Contacts::new(vec![REPLICA]);
+    let contacts = KnownReplicas::new(vec![REPLICA]);
     PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts)
 }
 
--- a/crates/petrellatch-core/tests/pass_through/zone_losses.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_losses.rs
@@ -60,7 +60,7 @@
     group.run(20 * SECOND);
     let voters = group.voters();
     assert!(bears_zone_loss(&voters), "{voters:?}");
-    group.order_zone_for_sure("a", true);
+    group.set_zone_evacuated_and_wait("a", true);
 
     for machine in machines_in("a") {
         group.restart(machine);
@@ -71,7 +71,7 @@
     }
     group.run(2 * SECOND);
     group.replace(9, 2);
-    group.order_zone_for_sure("a", false);
+    group.set_zone_evacuated_and_wait("a", false);
 }
 
 #[test]
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -6,7 +6,7 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, PacketCodec, PassThroughAgent, PassThroughAgentSettings, PassThroughOutput,
+    KnownReplicas, PacketCodec, PassThroughAgent, PassThroughAgentSettings, PassThroughOutput,
 };
 use petrellatch_core::{Event, EventKind, Timestamp};
 
@@ -67,7 +67,7 @@
         agent_settings(&settings, addresses),
         codec,
         Incarnation(rand::random()),
-        Contacts::new(settings.seeds.clone()),
+        KnownReplicas::new(settings.seeds.clone()),
     );
     let subject = format!("agent first_start={}", addresses.first_start);
     event_loop.log.note(now, EventKind::ProcessStarted, subject);
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -4,7 +4,7 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Contacts, PacketCodec, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
+    KnownReplicas, PacketCodec, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use std::time::Duration;
@@ -59,7 +59,7 @@
         balancer_settings(&settings, addresses),
         codec,
         Incarnation(rand::random()),
-        Contacts::new(settings.seeds.clone()),
+        KnownReplicas::new(settings.seeds.clone()),
     );
     event_loop
         .log
--- a/crates/petrellatch/src/runtime/pass_through/interface.rs
+++ b/crates/petrellatch/src/runtime/pass_through/interface.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_core::pass_through::{
-    Configuration, ConfigurationRequest, Registration, RegistrationRefusal, ZoneOrderRefusal,
+    Configuration, ConfigurationRequest, Registration, RegistrationRefusal, ZoneCommandRefusal,
 };
 
 use crate::http::{HttpRequest, HttpResponse};
@@ -59,7 +59,7 @@
     /// The order about a zone holds for good.
     ZoneOrdered,
     /// The order about a zone is refused, and nothing of it is done.
-    ZoneOrderRefused(ZoneOrderRefusal),
+    ZoneOrderRefused(ZoneCommandRefusal),
     /// Another replica leads.
     Elsewhere {
         /// Its address for operators.
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -217,7 +217,7 @@
     set(&gauge(&registry, AGENTS, "Agents that are known."), agents);
     let version = gauge(&registry, VERSION, "Version in force.");
     set(&version, balancer.version());
-    tell_evacuated(&registry, balancer.evacuations().evacuated().count());
+    tell_evacuated(&registry, balancer.evacuations().evacuated_zones().count());
     tell_policies(&registry, balancer);
     let latencies = balancer.latencies();
     let placement = histogram(
@@ -302,7 +302,7 @@
     set(&gauge(&registry, TERM, "Current term."), replica.term());
     let voters = gauge(&registry, VOTERS, "Voters of the group.");
     set(&voters, replica.membership().voters().count());
-    tell_evacuated(&registry, node.evacuations().evacuated().count());
+    tell_evacuated(&registry, node.evacuations().evacuated_zones().count());
     let index = gauge(&registry, POLICIES_INDEX, POLICIES_INDEX_HELP);
     set(&index, node.policies().index());
     let help = "Agents that have not said that they know the latest order about their zone.";
@@ -315,7 +315,7 @@
     let sync = histogram(
         SYNC_SECONDS,
         "Request of a write until it was synced.",
-        &latencies.sync,
+        &latencies.log_sync,
     );
     encode(&registry, [acceptance, sync])
 }
@@ -346,7 +346,7 @@
 
 /// What a replica keeps of agents' records.
 fn tell_kept(registry: &Registry, node: &ConfigurationNode, now: Timestamp) {
-    let kept = node.flow_records(now);
+    let kept = node.flow_record_stats(now);
     let help = "Agents with a record of open flows here.";
     set(&gauge(registry, RECORDS, help), kept.records);
     let help = "Open flows in these records.";
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -74,12 +74,12 @@
             })
         }
         ConfigurationResponse::PolicyRefused(refusal) => refused(refusal),
-        ConfigurationResponse::PolicySound => HttpResponse::document(&PolicyCheck { sound: true }),
+        ConfigurationResponse::PolicyValid => HttpResponse::document(&PolicyCheck { sound: true }),
         ConfigurationResponse::PolicyExplained(explained) => {
             HttpResponse::document(&explanation(explained))
         }
         ConfigurationResponse::Policies(records) => HttpResponse::document(&list(records)),
-        ConfigurationResponse::Elsewhere { leader } => {
+        ConfigurationResponse::NotLeader { leader } => {
             let operators = SocketAddrV4::new(*leader.ip(), operator_port);
             let mut document = ErrorDocument::new(ErrorKind::NotLeader, "another replica leads");
             document.error.leader = Some(operators.to_string());
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -11,7 +11,7 @@
 use petrellatch_core::identity::{Incarnation, NodeId};
 use petrellatch_core::pass_through::{
     ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, ConfigurationRequest,
-    ConfigurationResponse, node_at,
+    ConfigurationResponse, node_id_of_address,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_storage::{
@@ -148,7 +148,7 @@
                         zone,
                         evacuated,
                         allow_last,
-                    } => ConfigurationRequest::OrderZone {
+                    } => ConfigurationRequest::SetZoneEvacuated {
                         zone,
                         evacuated,
                         allow_last,
@@ -180,7 +180,7 @@
             match output {
                 ConfigurationOutput::Send { to, body } => messages.send(to, body),
                 ConfigurationOutput::Persist(request) => writer.write(request),
-                ConfigurationOutput::Remember(bytes) => writer.save_daemons(bytes),
+                ConfigurationOutput::SaveDaemons(bytes) => writer.save_daemons(bytes),
                 ConfigurationOutput::WriteFlowRecords(write) => record_writer.write(write),
                 ConfigurationOutput::Respond { token, response } => {
                     if let Some(waiting) = waiting.remove(&token) {
@@ -241,15 +241,15 @@
     match response {
         ConfigurationResponse::Accepted { version } => CallAnswer::Accepted { version },
         ConfigurationResponse::Read(configuration) => CallAnswer::Configuration(configuration),
-        ConfigurationResponse::ZoneOrdered => CallAnswer::ZoneOrdered,
-        ConfigurationResponse::ZoneOrderRefused(refusal) => CallAnswer::ZoneOrderRefused(refusal),
-        ConfigurationResponse::Elsewhere { leader } => CallAnswer::Elsewhere {
+        ConfigurationResponse::ZoneCommandApplied => CallAnswer::ZoneOrdered,
+        ConfigurationResponse::ZoneCommandRefused(refusal) => CallAnswer::ZoneOrderRefused(refusal),
+        ConfigurationResponse::NotLeader { leader } => CallAnswer::Elsewhere {
             operators: SocketAddrV4::new(*leader.ip(), operator_port),
         },
         ConfigurationResponse::Unavailable
         | ConfigurationResponse::PolicyChanged { .. }
         | ConfigurationResponse::PolicyRefused(_)
-        | ConfigurationResponse::PolicySound
+        | ConfigurationResponse::PolicyValid
         | ConfigurationResponse::PolicyExplained(_)
         | ConfigurationResponse::Policies(_) => CallAnswer::Unavailable,
     }
@@ -263,7 +263,7 @@
     settings: &PassThroughSettings,
     addresses: &ReplicaAddresses,
 ) -> OpenedStore {
-    let own = node_at(settings.messages);
+    let own = node_id_of_address(settings.messages);
     let identity = FolderIdentity {
         cluster: CLUSTER,
         incarnation: match is_founder(settings, addresses) {
@@ -294,7 +294,7 @@
     saved: Result<Option<Vec<u8>>, StorageError>,
 ) {
     let failure = match saved {
-        Ok(Some(bytes)) if node.recall_daemons(&bytes) => return,
+        Ok(Some(bytes)) if node.load_daemons(&bytes) => return,
         Ok(Some(_)) => "the saved daemons can't be decoded".to_owned(),
         Ok(None) => return,
         Err(error) => error.to_string(),
@@ -312,7 +312,7 @@
     opened: OpenedRecords,
 ) -> RecordFile {
     let now = event_loop.clock.now();
-    let is_readable = node.recall_flow_records(now, &opened.records);
+    let is_readable = node.load_flow_records(now, &opened.records);
     let failure = match opened.failure {
         Some(error) => error.to_string(),
         None if is_readable => return opened.file,
@@ -337,14 +337,14 @@
 
 fn replica_start(settings: &PassThroughSettings, opened: &OpenedStore) -> ReplicaStart {
     let founders = settings.seeds.iter().map(|seed| {
-        let node = node_at(*seed);
+        let node = node_id_of_address(*seed);
         ReplicaId {
             node,
             incarnation: first_incarnation(node),
         }
     });
     ReplicaStart {
-        id: node_at(settings.messages),
+        id: node_id_of_address(settings.messages),
         incarnation: opened.store.identity().incarnation,
         seed: rand::random(),
         persisted: opened.state.clone(),
@@ -369,12 +369,12 @@
     };
     let defaults = ConfigurationNodeSettings::default();
     ConfigurationNodeSettings {
-        losses: addresses.losses,
-        zone_losses: addresses.zone_losses,
+        max_lost_replicas: addresses.losses,
+        max_lost_zones: addresses.zone_losses,
         zone: settings.zone.clone(),
         zones: addresses.zones.clone(),
-        flow_record_bytes: addresses.flow_record_bytes,
-        flow_record_lifetime: settings.flow_lifetime,
+        max_flow_record_bytes: addresses.flow_record_bytes,
+        flow_record_ttl: settings.flow_lifetime,
         replica: ReplicaSettings {
             election_timeout,
             heartbeat_interval: election_timeout / HEARTBEATS_PER_ELECTION,
