--- a/crates/petrellatch/src/logs/flow_story.rs
+++ b/crates/petrellatch/src/logs/flow_timeline.rs
@@ -34,20 +34,20 @@
 /// The flow is named as in the log: `CALLER:PORT>ROUTE:PORT`, or by its first
 /// part alone.
 #[derive(Clone, Debug)]
-pub struct FlowStory {
+pub struct FlowTimeline {
     flow: String,
     lines: Vec<LogLine>,
     missing: Vec<String>,
     cause: String,
 }
 
-impl FlowStory {
+impl FlowTimeline {
     /// Finds the story in lines that are in the order of their times.
-    pub fn new(lines: &[LogLine], flow: &str) -> FlowStory {
+    pub fn new(lines: &[LogLine], flow: &str) -> FlowTimeline {
         let own = |line: &&LogLine| is_about(line, flow);
         let own: Vec<&LogLine> = lines.iter().filter(own).collect();
         let told = lines.iter().filter(|line| is_told(line, flow, &own));
-        FlowStory {
+        FlowTimeline {
             flow: flow.to_owned(),
             lines: told.cloned().collect(),
             missing: missing(lines, &own),
@@ -66,7 +66,7 @@
     }
 }
 
-impl fmt::Display for FlowStory {
+impl fmt::Display for FlowTimeline {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "flow {}", self.flow)?;
         for line in &self.lines {
--- a/crates/petrellatch/src/logs/mod.rs
+++ b/crates/petrellatch/src/logs/mod.rs
@@ -2,18 +2,18 @@
 //! version of the configuration, in order, with what is missing; or a summary
 //! of all lines by time.
 
-mod flow_story;
+mod flow_timeline;
 mod log_line;
 mod summary;
-mod version_story;
+mod version_timeline;
 
 use std::io::{BufRead, Read};
 use std::path::PathBuf;
 
-pub use flow_story::FlowStory;
+pub use flow_timeline::FlowTimeline;
 pub use log_line::LogLine;
 pub use summary::{Cause, Column, Summary, SummaryReport};
-pub use version_story::VersionStory;
+pub use version_timeline::VersionTimeline;
 
 use crate::command_line::LogsOptions;
 use crate::error::ProgramError;
@@ -38,11 +38,11 @@
         }
         (Some(flow), None) => {
             let lines = read_lines(&options.files)?;
-            FlowStory::new(&lines, flow).to_string()
+            FlowTimeline::new(&lines, flow).to_string()
         }
         (None, Some(version)) => {
             let lines = read_lines(&options.files)?;
-            VersionStory::new(&lines, version).to_string()
+            VersionTimeline::new(&lines, version).to_string()
         }
         _ => {
             let message =
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -146,20 +146,20 @@
 /// What else holds a verdict up.
 const HELD_UP: [(Column, &str); 5] = [
     (
-        Column::HeldByLate,
+        Column::BlockedByLate,
         "agents that should have answered, or most agents, did not",
     ),
-    (Column::HeldByUnsure, "agents or back ends could not know"),
+    (Column::BlockedByUncertain, "agents or back ends could not know"),
     (
-        Column::HeldByList,
+        Column::BlockedByIncompleteDirectory,
         "the balancer's list of agents was not whole",
     ),
     (
-        Column::NobodyWaits,
+        Column::NoResponseAwaited,
         "the caller waits for no answer (it closed the flow)",
     ),
     (
-        Column::HeldByNone,
+        Column::BlockedByNone,
         "all agents lack the flow, and the caller may have closed it first",
     ),
 ];
@@ -167,12 +167,12 @@
 /// Searches for flows that ended without a verdict, and who held it up.
 fn silent_verdicts(summary: &Summary) -> Vec<Cause> {
     let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
-        slice.count(Column::NotFound) > 0
+        slice.count(Column::SearchInconclusive) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
-        let weight = slice.count(Column::NotFound);
+        let weight = slice.count(Column::SearchInconclusive);
         let mut text = format!("{weight} flows sought without a verdict");
-        let held = slice.count(Column::HeldByGone);
+        let held = slice.count(Column::BlockedByAbsent);
         if held > 0 {
             text.push_str(&format!(
                 "; for {held} of them SILENCED BY A STOPPED AGENT: up to {} agents lack the flow, \
@@ -199,10 +199,10 @@
 /// Links of balancers that carried less than was to be sent.
 fn full_links(summary: &Summary) -> Vec<Cause> {
     let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
-        slice.count(Column::LinkFull) > 0
+        slice.count(Column::LinkCongested) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
-        let weight = slice.count(Column::LinkFull);
+        let weight = slice.count(Column::LinkCongested);
         let (links, wait) = (slice.full_links.len(), slice.link_wait);
         let text = format!(
             "links of {links} balancers became FULL, {weight} times: callers send more at once \
@@ -258,7 +258,7 @@
 fn single(summary: &Summary) -> Vec<Cause> {
     let kinds = [
         (
-            Column::BackendLeftOut,
+            Column::BackendEjected,
             "back ends left out because they fail requests",
         ),
         (Column::BackendSilent, "back ends that fell silent"),
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -41,24 +41,24 @@
     RefusedUnknown "noag" "Flows refused: the balancer knew no agent to ask.";
     RefusedRoute "route" "Flows refused: no such route.";
     RefusedOther "oth" "Flows refused for another reason, or with mixed answers.";
-    Waits "waits" "Flows that waited for a place.";
+    Queued "waits" "Flows that waited for a place.";
     Suspected "susp" "Suspicions of agents.";
-    Returned "back" "Suspected agents that answered again.";
-    Gone "gone" "Searches that found that no back end has the flow; it was reset.";
-    NotFound "lost" "Searches without a verdict; the caller gave up.";
-    HeldByGone "l.gone" "Of those, held up only by few agents that nobody expects to answer.";
-    HeldByLate "l.late" "Of those, held up by agents that should have answered, or by most agents.";
-    HeldByUnsure "l.unsu" "Of those, held up by agents or back ends that could not know.";
-    HeldByList "l.list" "Of those, held up because the balancer's list of agents was not whole.";
-    NobodyWaits "l.end" "Of those, with nobody to tell: the caller waits for no answer.";
-    HeldByNone "l.none" "Of those, held up by no agent: all lack the flow; the caller may have closed it first.";
-    Bounced "reset" "Flows reset inside: a back end does not have them any more.";
+    SuspectCleared "back" "Suspected agents that answered again.";
+    Orphaned "gone" "Searches that found that no back end has the flow; it was reset.";
+    SearchInconclusive "lost" "Searches without a verdict; the caller gave up.";
+    BlockedByAbsent "l.gone" "Of those, held up only by few agents that nobody expects to answer.";
+    BlockedByLate "l.late" "Of those, held up by agents that should have answered, or by most agents.";
+    BlockedByUncertain "l.unsu" "Of those, held up by agents or back ends that could not know.";
+    BlockedByIncompleteDirectory "l.list" "Of those, held up because the balancer's list of agents was not whole.";
+    NoResponseAwaited "l.end" "Of those, with nobody to tell: the caller waits for no answer.";
+    BlockedByNone "l.none" "Of those, held up by no agent: all lack the flow; the caller may have closed it first.";
+    PacketReturned "reset" "Flows reset inside: a back end does not have them any more.";
     Stalled "stall" "Flows whose agent does not answer.";
     BackendSilent "silent" "Back ends that fell silent.";
-    BackendLeftOut "sick" "Back ends left out because they fail their requests.";
-    LinkFull "link" "Links of balancers that became full.";
+    BackendEjected "sick" "Back ends left out because they fail their requests.";
+    LinkCongested "link" "Links of balancers that became full.";
     WriteFailed "disk" "Writes to a data folder that failed.";
-    LeftOut "cut" "Entries that were left out of the logs.";
+    LinesSuppressed "cut" "Entries that were left out of the logs.";
 }
 
 /// The columns in which a line counts, and how much.
@@ -71,18 +71,18 @@
         EventKind::BecameReady => Column::Ready,
         EventKind::BecameUnready => Column::Unready,
         EventKind::FlowRefused => refusal(line),
-        EventKind::FlowWaits => Column::Waits,
+        EventKind::FlowWaits => Column::Queued,
         EventKind::AgentSuspected => Column::Suspected,
-        EventKind::AgentReturned => Column::Returned,
-        EventKind::FlowGone => Column::Gone,
+        EventKind::AgentReturned => Column::SuspectCleared,
+        EventKind::FlowGone => Column::Orphaned,
         EventKind::FlowNotFound => return not_found(line),
-        EventKind::PacketReturned => Column::Bounced,
+        EventKind::PacketReturned => Column::PacketReturned,
         EventKind::FlowStalled => Column::Stalled,
         EventKind::BackendSilent => Column::BackendSilent,
-        EventKind::BackendLeftOut => Column::BackendLeftOut,
-        EventKind::LinkFull => Column::LinkFull,
+        EventKind::BackendLeftOut => Column::BackendEjected,
+        EventKind::LinkFull => Column::LinkCongested,
         EventKind::WriteFailed => Column::WriteFailed,
-        EventKind::EntriesLeftOut => return vec![(Column::LeftOut, left_out(line))],
+        EventKind::EntriesLeftOut => return vec![(Column::LinesSuppressed, left_out(line))],
         _ => return Vec::new(),
     };
     vec![(column, 1)]
@@ -112,17 +112,17 @@
 /// A search without a verdict, and which agents held the verdict up.
 fn not_found(line: &LogLine) -> Vec<(Column, u64)> {
     let count = |name| number(line, name).unwrap_or(0);
-    let mut columns = vec![(Column::NotFound, 1)];
+    let mut columns = vec![(Column::SearchInconclusive, 1)];
     let unsure = count("uncertain") + count("tried");
     let is = |name, value| line.value(name) == Some(value);
     let held_by = match (count("expected"), unsure, count("missing"), count("lacks")) {
-        (1.., ..) => Some(Column::HeldByLate),
-        (0, 1.., ..) => Some(Column::HeldByUnsure),
-        _ if is("awaits", "false") => Some(Column::NobodyWaits),
-        _ if is("directory_whole", "false") => Some(Column::HeldByList),
-        (0, 0, missing @ 1.., lacks) if missing < lacks => Some(Column::HeldByGone),
-        (0, 0, 1.., _) => Some(Column::HeldByLate),
-        (0, 0, 0, 1..) => Some(Column::HeldByNone),
+        (1.., ..) => Some(Column::BlockedByLate),
+        (0, 1.., ..) => Some(Column::BlockedByUncertain),
+        _ if is("awaits", "false") => Some(Column::NoResponseAwaited),
+        _ if is("directory_whole", "false") => Some(Column::BlockedByIncompleteDirectory),
+        (0, 0, missing @ 1.., lacks) if missing < lacks => Some(Column::BlockedByAbsent),
+        (0, 0, 1.., _) => Some(Column::BlockedByLate),
+        (0, 0, 0, 1..) => Some(Column::BlockedByNone),
         // Nobody was asked.
         (0, 0, 0, 0) => None,
     };
--- a/crates/petrellatch/src/logs/summary/report.rs
+++ b/crates/petrellatch/src/logs/summary/report.rs
@@ -135,8 +135,8 @@
                 "refused: {count} reason={reason} priority={priority}"
             )?;
         }
-        if self.total(Column::LeftOut) > 0 {
-            let count = self.total(Column::LeftOut);
+        if self.total(Column::LinesSuppressed) > 0 {
+            let count = self.total(Column::LinesSuppressed);
             writeln!(
                 formatter,
                 "missing: {count} entries were left out; counts are at least"
--- a/crates/petrellatch/src/logs/summary/slice.rs
+++ b/crates/petrellatch/src/logs/summary/slice.rs
@@ -48,13 +48,13 @@
         for (column, count) in counts(kind, line) {
             self.counts[column as usize] += count;
             match column {
-                Column::HeldByGone => {
+                Column::BlockedByAbsent => {
                     self.missing = self.missing.max(number(line, "missing").unwrap_or(0));
                     self.lacks = self.lacks.max(number(line, "lacks").unwrap_or(0));
                 }
                 Column::ElectionLost => self.note_lost_election(line),
                 Column::Suspected => insert(&mut self.suspected, agent),
-                Column::LinkFull => {
+                Column::LinkCongested => {
                     insert(&mut self.full_links, Some(node));
                     self.link_wait = self.link_wait.max(number(line, "wait").unwrap_or(0));
                 }
--- a/crates/petrellatch/src/logs/version_story.rs
+++ b/crates/petrellatch/src/logs/version_timeline.rs
@@ -10,15 +10,15 @@
 /// The lines about one version in their order, and the balancers that did not
 /// tell that they have it, or a newer one, in force.
 #[derive(Clone, Debug)]
-pub struct VersionStory {
+pub struct VersionTimeline {
     version: u64,
     lines: Vec<LogLine>,
     without: Vec<String>,
 }
 
-impl VersionStory {
+impl VersionTimeline {
     /// Finds the story in lines that are in the order of their times.
-    pub fn new(lines: &[LogLine], version: u64) -> VersionStory {
+    pub fn new(lines: &[LogLine], version: u64) -> VersionTimeline {
         let is_about = |line: &&LogLine| {
             let named = line.value("version").and_then(|it| it.parse().ok());
             named == Some(version) && !line.subject.contains("flow=")
@@ -27,7 +27,7 @@
         let told = lines
             .iter()
             .filter(|line| is_about(line) || line.subject.contains(&answered));
-        VersionStory {
+        VersionTimeline {
             version,
             lines: told.cloned().collect(),
             without: without(lines, version),
@@ -35,7 +35,7 @@
     }
 
     /// Balancers without the version.
-    pub fn without(&self) -> &[String] {
+    pub fn nodes_without(&self) -> &[String] {
         &self.without
     }
 }
@@ -57,7 +57,7 @@
     without.map(str::to_owned).collect()
 }
 
-impl fmt::Display for VersionStory {
+impl fmt::Display for VersionTimeline {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(formatter, "configuration version {}", self.version)?;
         for line in &self.lines {
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -18,10 +18,10 @@
     EventLoop, FIRST_CONNECTION, FIRST_SECOND_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS,
     SECOND_HTTP, serve_requests,
 };
-use super::interface::{Call, CallAnswer, Interface};
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::agent_metrics;
-use super::settings::{AgentAddresses, PassThroughSettings};
+use super::settings::{AgentRoleSettings, PassThroughSettings};
 use super::settings_watcher::SettingsWatcher;
 
 /// Between two reports to the control group.
@@ -41,24 +41,24 @@
 /// Largest body of a request.
 const BODY_BYTES: usize = 16 * 1024;
 
-pub(super) fn run<C: PacketCodec, I: Interface>(
+pub(super) fn run<C: PacketCodec, I: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &AgentAddresses,
+    addresses: &AgentRoleSettings,
     codec: C,
     interface: I,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
-    let mut messages = MessageSocket::open(settings.messages, registry, MESSAGES)?;
-    let from_backend = addresses.from_backend;
+    let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
+    let from_backend = addresses.backend_packet_address;
     let mut packets = DatagramSocket::open(from_backend, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let open_http = |address, token, first| {
         EventServer::open(address, registry, token, first, MAX_CONNECTIONS, BODY_BYTES)
     };
-    let mut http = vec![open_http(addresses.registrations, HTTP, FIRST_CONNECTION)?];
-    if let Some(readiness) = addresses.readiness {
+    let mut http = vec![open_http(addresses.registration_address, HTTP, FIRST_CONNECTION)?];
+    if let Some(readiness) = addresses.readiness_address {
         http.push(open_http(readiness, SECOND_HTTP, FIRST_SECOND_CONNECTION)?);
     }
     let now = event_loop.clock.now();
@@ -107,7 +107,7 @@
             match output {
                 PassThroughOutput::Send { to, body } => messages.send(to, body),
                 PassThroughOutput::ToBackend(packet) => {
-                    packets.send(addresses.backend, &packet);
+                    packets.send(addresses.backend_address, &packet);
                 }
                 PassThroughOutput::ToCaller { address, packet } => {
                     packets.send(SocketAddrV4::new(address, addresses.caller_port), &packet);
@@ -124,42 +124,42 @@
 fn answer<C: PacketCodec>(
     now: Timestamp,
     agent: &mut PassThroughAgent<C>,
-    call: Call,
-) -> CallAnswer {
+    call: ApiRequest,
+) -> ApiResponse {
     match call {
-        Call::Readiness => CallAnswer::Readiness {
+        ApiRequest::Readiness => ApiResponse::Readiness {
             ready: agent.is_ready(),
         },
-        Call::Register(registration) => match agent.handle_registration(now, &registration) {
-            Ok(()) => CallAnswer::Registered,
-            Err(refusal) => CallAnswer::RegistrationRefused(refusal),
+        ApiRequest::Register(registration) => match agent.handle_registration(now, &registration) {
+            Ok(()) => ApiResponse::Registered,
+            Err(refusal) => ApiResponse::RegistrationRefused(refusal),
         },
-        Call::Withdraw { id } => {
+        ApiRequest::Deregister { id } => {
             agent.handle_withdrawal(now, &id);
-            CallAnswer::Registered
+            ApiResponse::Registered
         }
-        Call::Replace(_) | Call::Read | Call::OrderZone { .. } | Call::Policies(_) => {
-            CallAnswer::NotServed
+        ApiRequest::Replace(_) | ApiRequest::Read | ApiRequest::SetZoneEvacuated { .. } | ApiRequest::Policies(_) => {
+            ApiResponse::NotServed
         }
     }
 }
 
 fn agent_settings(
     settings: &PassThroughSettings,
-    addresses: &AgentAddresses,
+    addresses: &AgentRoleSettings,
 ) -> PassThroughAgentSettings {
     PassThroughAgentSettings {
-        address: settings.messages,
+        address: settings.message_address,
         zone: settings.zone.clone(),
         service: addresses.service.clone(),
         first_start: addresses.first_start,
         report_interval: REPORT_INTERVAL,
         silence_limit: addresses.registration_interval * MISSED_REGISTRATIONS,
         provisional_limit: addresses.registration_interval * PROVISIONAL_REGISTRATIONS,
-        flow_lifetime: settings.flow_lifetime,
+        flow_lifetime: settings.flow_ttl,
         queue_factor: QUEUE_FACTOR,
-        stop_limit: STOP_WAIT.min(settings.stop_limit / 2),
-        cold_bounds: addresses.cold_bounds,
+        stop_limit: STOP_WAIT.min(settings.stop_timeout / 2),
+        cold_bounds: addresses.warm_up_bounds,
         flow_record: addresses.flow_record,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/interface.rs
+++ b/crates/petrellatch/src/runtime/pass_through/api_translator.rs
@@ -10,13 +10,13 @@
 
 /// A call, translated.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum ApiRequest {
     /// Whether traffic may come.
     Readiness,
     /// A back end registers itself.
     Register(Registration),
     /// A back end takes its leave.
-    Withdraw {
+    Deregister {
         /// The back end.
         id: String,
     },
@@ -25,7 +25,7 @@
     /// Read the configuration.
     Read,
     /// Take a zone out of service, or back into it.
-    OrderZone {
+    SetZoneEvacuated {
         /// The zone.
         zone: String,
         /// Whether it goes out of service.
@@ -33,13 +33,13 @@
         /// Whether a service may be left without any zone.
         allow_last: bool,
     },
-    /// A call about placement policies; [`Interface`] translates none.
+    /// A call about placement policies; [`ApiTranslator`] translates none.
     Policies(ConfigurationRequest),
 }
 
 /// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallAnswer {
+pub enum ApiResponse {
     /// Whether traffic may come.
     Readiness {
         /// Whether it may.
@@ -57,13 +57,13 @@
     /// The newest configuration.
     Configuration(Configuration),
     /// The order about a zone holds for good.
-    ZoneOrdered,
+    ZoneCommandApplied,
     /// The order about a zone is refused, and nothing of it is done.
-    ZoneOrderRefused(ZoneOrderRefusal),
+    ZoneCommandRefused(ZoneOrderRefusal),
     /// Another replica leads.
-    Elsewhere {
+    NotLeader {
         /// Its address for operators.
-        operators: SocketAddrV4,
+        operator_address: SocketAddrV4,
     },
     /// The outcome is not known; ask again.
     Unavailable,
@@ -72,10 +72,10 @@
 }
 
 /// Translates calls and answers. It decides nothing and remembers nothing.
-pub trait Interface {
+pub trait ApiTranslator {
     /// Translates a request, or refuses it as it can't be understood.
-    fn call(&self, request: &HttpRequest) -> Result<Call, HttpResponse>;
+    fn translate_request(&self, request: &HttpRequest) -> Result<ApiRequest, HttpResponse>;
 
     /// Translates an answer.
-    fn answer(&self, request: &HttpRequest, answer: &CallAnswer) -> HttpResponse;
+    fn translate_response(&self, request: &HttpRequest, answer: &ApiResponse) -> HttpResponse;
 }
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -16,10 +16,10 @@
 use super::event_loop::{
     EventLoop, FIRST_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS, serve_requests,
 };
-use super::interface::{Call, CallAnswer, Interface};
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::balancer_metrics;
-use super::settings::{BalancerAddresses, PassThroughSettings};
+use super::settings::{BalancerRoleSettings, PassThroughSettings};
 use super::settings_watcher::SettingsWatcher;
 
 /// Between two questions for news.
@@ -33,20 +33,20 @@
 /// Largest body of a request.
 const BODY_BYTES: usize = 4 * 1024;
 
-pub(super) fn run<C: PacketCodec, I: Interface>(
+pub(super) fn run<C: PacketCodec, I: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &BalancerAddresses,
+    addresses: &BalancerRoleSettings,
     codec: C,
     interface: I,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
-    let mut messages = MessageSocket::open(settings.messages, registry, MESSAGES)?;
-    let mut packets = DatagramSocket::open(addresses.packets, "packets", PACKET_BUFFER_BYTES)?;
+    let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
+    let mut packets = DatagramSocket::open(addresses.packet_address, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let mut http = EventServer::open(
-        addresses.readiness,
+        addresses.readiness_address,
         registry,
         HTTP,
         FIRST_CONNECTION,
@@ -94,7 +94,7 @@
             match output {
                 PassThroughOutput::Send { to, body } => messages.send(to, body),
                 PassThroughOutput::ToCaller { address, packet } => {
-                    let port = addresses.packets.port();
+                    let port = addresses.packet_address.port();
                     packets.send(SocketAddrV4::new(address, port), &packet);
                 }
                 PassThroughOutput::Event(event) => event_loop.log.write(now, &event),
@@ -120,25 +120,25 @@
 fn answer<C: PacketCodec>(
     now: Timestamp,
     balancer: &PassThroughBalancer<C>,
-    call: &Call,
-) -> CallAnswer {
+    call: &ApiRequest,
+) -> ApiResponse {
     match call {
-        Call::Readiness => CallAnswer::Readiness {
+        ApiRequest::Readiness => ApiResponse::Readiness {
             ready: balancer.is_ready(now),
         },
-        _ => CallAnswer::NotServed,
+        _ => ApiResponse::NotServed,
     }
 }
 
 fn balancer_settings(
     settings: &PassThroughSettings,
-    addresses: &BalancerAddresses,
+    addresses: &BalancerRoleSettings,
 ) -> PassThroughBalancerSettings {
     PassThroughBalancerSettings {
         zone: settings.zone.clone(),
         follow_interval: FOLLOW_INTERVAL,
-        flow_lifetime: settings.flow_lifetime,
-        stop_delay: STOP_DELAY.min(settings.stop_limit / 2),
+        flow_lifetime: settings.flow_ttl,
+        stop_delay: STOP_DELAY.min(settings.stop_timeout / 2),
         link_bytes_per_second: addresses.link_bytes_per_second,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -12,7 +12,7 @@
 use crate::runtime::process::{open_poll, waited};
 
 use super::bounded_log::BoundedLog;
-use super::interface::{Call, CallAnswer, Interface};
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::policy_api;
 use super::settings::PassThroughSettings;
 use super::settings_watcher::SettingsWatcher;
@@ -138,13 +138,13 @@
 /// Answers the requests of one event. `handle` answers a call at once, or
 /// returns `None` if it will be answered later. Returns what was refused as it
 /// can't be understood, in a few words each.
-pub(super) fn serve_requests<I: Interface>(
+pub(super) fn serve_requests<I: ApiTranslator>(
     now: Timestamp,
     server: &mut EventServer,
     interface: &I,
     received: Vec<ReceivedRequest>,
     metrics: impl Fn() -> HttpResponse,
-    mut handle: impl FnMut(&ReceivedRequest, Call) -> Option<CallAnswer>,
+    mut handle: impl FnMut(&ReceivedRequest, ApiRequest) -> Option<ApiResponse>,
 ) -> Vec<String> {
     let mut refusals = Vec::new();
     let mut queue = received;
@@ -152,8 +152,8 @@
         let call = match received.request.path.as_str() {
             METRICS_PATH => Err(metrics()),
             _ => match policy_api::read(&received.request) {
-                Some(read) => read.map(Call::Policies),
-                None => interface.call(&received.request),
+                Some(read) => read.map(ApiRequest::Policies),
+                None => interface.translate_request(&received.request),
             },
         };
         let response: Option<HttpResponse> = match call {
@@ -164,7 +164,7 @@
             }
             Ok(call) => {
                 let answer = handle(&received, call);
-                answer.map(|answer| interface.answer(&received.request, &answer))
+                answer.map(|answer| interface.translate_response(&received.request, &answer))
             }
         };
         if let Some(response) = response {
--- a/crates/petrellatch/src/runtime/pass_through/mod.rs
+++ b/crates/petrellatch/src/runtime/pass_through/mod.rs
@@ -3,7 +3,7 @@
 //! its log and the records of open flows.
 //!
 //! The packet format is a [`PacketCodec`], the operator's and back ends' HTTP
-//! calls are an [`Interface`], so that a program with other formats only
+//! calls are an [`ApiTranslator`], so that a program with other formats only
 //! translates.
 
 mod agent_loop;
@@ -11,7 +11,7 @@
 mod bounded_log;
 mod event_loop;
 mod flow_record_writer;
-mod interface;
+mod api_translator;
 mod message_socket;
 mod metrics;
 mod policy_api;
@@ -25,16 +25,16 @@
 
 use crate::error::ProgramError;
 
-pub use self::interface::{Call, CallAnswer, Interface};
+pub use self::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 pub use self::metrics::METRIC_NAMES;
 pub use self::settings::{
-    AgentAddresses, BalancerAddresses, PassThroughRole, PassThroughSettings, ReplicaAddresses,
+    AgentRoleSettings, BalancerRoleSettings, PassThroughRole, PassThroughSettings, ReplicaRoleSettings,
     flow_record_bounds,
 };
 pub use self::settings_watcher::{SettingsReader, SettingsWatcher};
 
 /// Runs a process of the tier until it is asked to stop.
-pub fn run<C: PacketCodec, I: Interface>(
+pub fn run<C: PacketCodec, I: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
     codec: C,
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -1,5 +1,5 @@
 //! The operator's calls about placement policies. They are the product's own: the other
-//! calls go through the [`Interface`](super::Interface) of the platform.
+//! calls go through the [`ApiTranslator`](super::ApiTranslator) of the platform.
 
 use std::net::SocketAddrV4;
 
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -26,12 +26,12 @@
     EventLoop, FIRST_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, WAKE, serve_requests,
 };
 use super::flow_record_writer::{FlowRecordWriter, flow_record_path};
-use super::interface::{Call, CallAnswer, Interface};
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::replica_metrics;
 use super::policy_api;
 use super::retrying_log_writer::{RetryingLogWriter, WriteOutcome};
-use super::settings::{PassThroughSettings, ReplicaAddresses};
+use super::settings::{PassThroughSettings, ReplicaRoleSettings};
 use super::settings_watcher::SettingsWatcher;
 
 /// Largest body of a request, in bytes.
@@ -60,17 +60,17 @@
     request: HttpRequest,
 }
 
-pub(super) fn run<I: Interface>(
+pub(super) fn run<I: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &ReplicaAddresses,
+    addresses: &ReplicaRoleSettings,
     interface: I,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
-    let mut messages = MessageSocket::open(settings.messages, registry, MESSAGES)?;
+    let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
     let mut http = EventServer::open(
-        addresses.operators,
+        addresses.operator_address,
         registry,
         HTTP,
         FIRST_CONNECTION,
@@ -142,9 +142,9 @@
             let metrics = || replica_metrics(&node.borrow(), now);
             let handle = |received: &ReceivedRequest, call| {
                 let request = match call {
-                    Call::Replace(configuration) => ConfigurationRequest::Replace(configuration),
-                    Call::Read => ConfigurationRequest::Read,
-                    Call::OrderZone {
+                    ApiRequest::Replace(configuration) => ConfigurationRequest::Replace(configuration),
+                    ApiRequest::Read => ConfigurationRequest::Read,
+                    ApiRequest::SetZoneEvacuated {
                         zone,
                         evacuated,
                         allow_last,
@@ -154,10 +154,10 @@
                         allow_last,
                         ordered_at_millis: unix_millis(),
                     },
-                    Call::Policies(request) => request,
-                    Call::Readiness => return Some(readiness(&node.borrow())),
-                    Call::Register(_) | Call::Withdraw { .. } => {
-                        return Some(CallAnswer::NotServed);
+                    ApiRequest::Policies(request) => request,
+                    ApiRequest::Readiness => return Some(readiness(&node.borrow())),
+                    ApiRequest::Register(_) | ApiRequest::Deregister { .. } => {
+                        return Some(ApiResponse::NotServed);
                     }
                 };
                 next_token += 1;
@@ -184,12 +184,12 @@
                 ConfigurationOutput::WriteFlowRecords(write) => record_writer.write(write),
                 ConfigurationOutput::Respond { token, response } => {
                     if let Some(waiting) = waiting.remove(&token) {
-                        let port = addresses.operators.port();
+                        let port = addresses.operator_address.port();
                         let response = match policy_api::is_policy_call(&waiting.request) {
                             true => policy_api::answer(&response, port),
                             false => {
                                 let answer = call_answer(response, port);
-                                interface.answer(&waiting.request, &answer)
+                                interface.translate_response(&waiting.request, &answer)
                             }
                         };
                         ahead.extend(http.respond(now, waiting.connection, &response));
@@ -231,27 +231,27 @@
     }
 }
 
-fn readiness(node: &ConfigurationNode) -> CallAnswer {
-    CallAnswer::Readiness {
+fn readiness(node: &ConfigurationNode) -> ApiResponse {
+    ApiResponse::Readiness {
         ready: node.replica().leader().is_some(),
     }
 }
 
-fn call_answer(response: ConfigurationResponse, operator_port: u16) -> CallAnswer {
+fn call_answer(response: ConfigurationResponse, operator_port: u16) -> ApiResponse {
     match response {
-        ConfigurationResponse::Accepted { version } => CallAnswer::Accepted { version },
-        ConfigurationResponse::Read(configuration) => CallAnswer::Configuration(configuration),
-        ConfigurationResponse::ZoneOrdered => CallAnswer::ZoneOrdered,
-        ConfigurationResponse::ZoneOrderRefused(refusal) => CallAnswer::ZoneOrderRefused(refusal),
-        ConfigurationResponse::Elsewhere { leader } => CallAnswer::Elsewhere {
-            operators: SocketAddrV4::new(*leader.ip(), operator_port),
+        ConfigurationResponse::Accepted { version } => ApiResponse::Accepted { version },
+        ConfigurationResponse::Read(configuration) => ApiResponse::Configuration(configuration),
+        ConfigurationResponse::ZoneOrdered => ApiResponse::ZoneCommandApplied,
+        ConfigurationResponse::ZoneOrderRefused(refusal) => ApiResponse::ZoneCommandRefused(refusal),
+        ConfigurationResponse::Elsewhere { leader } => ApiResponse::NotLeader {
+            operator_address: SocketAddrV4::new(*leader.ip(), operator_port),
         },
         ConfigurationResponse::Unavailable
         | ConfigurationResponse::PolicyChanged { .. }
         | ConfigurationResponse::PolicyRefused(_)
         | ConfigurationResponse::PolicySound
         | ConfigurationResponse::PolicyExplained(_)
-        | ConfigurationResponse::Policies(_) => CallAnswer::Unavailable,
+        | ConfigurationResponse::Policies(_) => ApiResponse::Unavailable,
     }
 }
 
@@ -261,9 +261,9 @@
 fn open_folder(
     event_loop: &mut EventLoop,
     settings: &PassThroughSettings,
-    addresses: &ReplicaAddresses,
+    addresses: &ReplicaRoleSettings,
 ) -> OpenedStore {
-    let own = node_at(settings.messages);
+    let own = node_at(settings.message_address);
     let identity = FolderIdentity {
         cluster: CLUSTER,
         incarnation: match is_founder(settings, addresses) {
@@ -324,8 +324,8 @@
 }
 
 /// The seeds found the group when all of it starts for the first time.
-fn is_founder(settings: &PassThroughSettings, addresses: &ReplicaAddresses) -> bool {
-    addresses.first_start && settings.seeds.contains(&settings.messages)
+fn is_founder(settings: &PassThroughSettings, addresses: &ReplicaRoleSettings) -> bool {
+    addresses.first_start && settings.seeds.contains(&settings.message_address)
 }
 
 fn report_open_failure(event_loop: &mut EventLoop, error: &StorageError) {
@@ -344,7 +344,7 @@
         }
     });
     ReplicaStart {
-        id: node_at(settings.messages),
+        id: node_at(settings.message_address),
         incarnation: opened.store.identity().incarnation,
         seed: rand::random(),
         persisted: opened.state.clone(),
@@ -359,22 +359,22 @@
 
 fn node_settings(
     settings: &PassThroughSettings,
-    addresses: &ReplicaAddresses,
+    addresses: &ReplicaRoleSettings,
 ) -> ConfigurationNodeSettings {
-    let is_wide = addresses.regions > 1;
-    let is_small = addresses.processor_share < SMALL_PROCESSOR_SHARE;
+    let is_wide = addresses.region_count > 1;
+    let is_small = addresses.cpu_quota < SMALL_PROCESSOR_SHARE;
     let election_timeout = match is_wide || is_small {
         false => ELECTION_TIMEOUT,
         true => PATIENT_ELECTION_TIMEOUT,
     };
     let defaults = ConfigurationNodeSettings::default();
     ConfigurationNodeSettings {
-        losses: addresses.losses,
-        zone_losses: addresses.zone_losses,
+        losses: addresses.max_lost_replicas,
+        zone_losses: addresses.max_lost_zones,
         zone: settings.zone.clone(),
         zones: addresses.zones.clone(),
-        flow_record_bytes: addresses.flow_record_bytes,
-        flow_record_lifetime: settings.flow_lifetime,
+        flow_record_bytes: addresses.max_flow_record_bytes,
+        flow_record_lifetime: settings.flow_ttl,
         replica: ReplicaSettings {
             election_timeout,
             heartbeat_interval: election_timeout / HEARTBEATS_PER_ELECTION,
--- a/crates/petrellatch/tests/logs.rs
+++ b/crates/petrellatch/tests/logs.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use petrellatch::logs::{FlowStory, LogLine, VersionStory};
+use petrellatch::logs::{FlowTimeline, LogLine, VersionTimeline};
 
 const FLOW: &str = "100.64.0.7:4001>198.18.0.1:80";
 
@@ -65,7 +65,7 @@
             "version=10",
         ),
     ];
-    let story = FlowStory::new(&lines(&texts), "100.64.0.7:4001");
+    let story = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
     assert!(story.cause().contains("had version 8"), "{story}");
     assert!(story.cause().contains("accepted version 9"), "{story}");
     let text = story.to_string();
@@ -88,12 +88,12 @@
         line("10:00:01.0", "agent", "EntriesLeftOut", "40 entries"),
         line("10:00:01.0", "other", "EntriesLeftOut", "50 entries"),
     ];
-    let story = FlowStory::new(&lines(&texts), FLOW);
+    let story = FlowTimeline::new(&lines(&texts), FLOW);
     let missing = story.missing().join("; ");
     assert!(missing.contains("balancer"), "{missing}");
     assert!(missing.contains("40 entries at agent"), "{missing}");
     assert!(!missing.contains("50"), "{missing}");
-    let nothing = FlowStory::new(&lines(&texts), "100.64.0.7:9");
+    let nothing = FlowTimeline::new(&lines(&texts), "100.64.0.7:9");
     assert!(nothing.missing()[0].contains("every line"));
     assert_eq!(nothing.cause(), "unknown");
 }
@@ -111,8 +111,8 @@
         line("10:00:00.2", "two", "ConfigurationApplied", "version=8"),
         line("10:00:00.3", "three", "ConfigurationApplied", "version=11"),
     ];
-    let story = VersionStory::new(&lines(&texts), 9);
-    assert_eq!(story.without(), ["two"]);
+    let story = VersionTimeline::new(&lines(&texts), 9);
+    assert_eq!(story.nodes_without(), ["two"]);
 }
 
 #[test]
@@ -158,7 +158,7 @@
             line("10:00:00.2", "balancer", "FlowRefused", &subject),
             line("10:00:01.0", "agent", "EntriesLeftOut", "3000 entries"),
         ];
-        FlowStory::new(&lines(&texts), FLOW).cause().to_owned()
+        FlowTimeline::new(&lines(&texts), FLOW).cause().to_owned()
     };
     let full = refused("asked=8 full=7 late=1 other=0");
     assert!(
@@ -226,7 +226,7 @@
             ),
             line("10:00:02.5", "balancer", event, &subject),
         ];
-        let story = FlowStory::new(&lines(&texts), "100.64.0.7:4001");
+        let story = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
         assert!(story.cause().contains(cause), "{story}");
         assert!(story.missing().is_empty(), "{story}");
     }
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -111,8 +111,8 @@
         "{report}"
     );
     // Most agents are silent here, not one that stopped.
-    assert_eq!(report.total(Column::HeldByGone), 0);
-    assert_eq!(report.total(Column::HeldByLate), 1);
+    assert_eq!(report.total(Column::BlockedByAbsent), 0);
+    assert_eq!(report.total(Column::BlockedByLate), 1);
 }
 
 #[test]
@@ -170,12 +170,12 @@
         assert!(causes[0].contains(part), "{part}: {causes:?}");
     }
     let held = [
-        Column::HeldByGone,
-        Column::HeldByLate,
-        Column::HeldByUnsure,
-        Column::HeldByNone,
-        Column::HeldByList,
-        Column::NobodyWaits,
+        Column::BlockedByAbsent,
+        Column::BlockedByLate,
+        Column::BlockedByUncertain,
+        Column::BlockedByNone,
+        Column::BlockedByIncompleteDirectory,
+        Column::NoResponseAwaited,
     ];
     assert_eq!(
         held.map(|column| report.total(column)),
@@ -234,7 +234,7 @@
     let next_day = "{\"msg\":\"FlowWaits\",\"ts\":\"2026-03-01T00:00:00Z\",\"node\":\"side-1\"}";
     summary.add(&LogLine::parse(next_day).expect("a line"));
     let report = summary.report(None);
-    assert_eq!(report.total(Column::Waits), 86_401);
+    assert_eq!(report.total(Column::Queued), 86_401);
     let slices = report.to_json()["slices"].as_array().map_or(0, Vec::len);
     assert!((20..=30).contains(&slices), "{slices} slices");
 }
