--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -11,9 +11,9 @@
     PassThroughBalancerSettings,
 };
 use petrellatch_proto::pass_through::{
-    Accepted, AgentState, ConfigurationChange, ConfigurationPart, Confirmed, Directory,
+    Accepted, AgentState, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart,
     DirectoryChange, DirectoryEntry, LoadMessage, PassThroughBody, Report, RouteRecord,
-    ServiceRecord, ShareRecord, pack_address, unpack_address,
+    ServiceRecord, RouteShare, pack_address, unpack_address,
 };
 use prost::Message;
 
@@ -64,10 +64,10 @@
     );
     RouteRecord {
         address: pack_address(route(index)),
-        shares: vec![ShareRecord { service, weight: 1 }],
+        shares: vec![RouteShare { service, weight: 1 }],
         annotation: annotation.into_bytes(),
         position: 0,
-        objective_millis: 0,
+        latency_objective_millis: 0,
         ..RouteRecord::default()
     }
 }
@@ -76,7 +76,7 @@
     let records: Vec<RouteRecord> = (0..routes).map(record).collect();
     let service = |record: &RouteRecord| ServiceRecord {
         service: record.shares[0].service.clone(),
-        cold_millirequests_per_second: 0,
+        warm_up_millirequests_per_second: 0,
     };
     let services = records.iter().map(service).collect();
     Configuration::new(version, records, services, Vec::new()).expect("it is valid")
@@ -188,7 +188,7 @@
         let PassThroughOutput::Send { to, body } = output else {
             continue;
         };
-        if let PassThroughBody::Carry(carry) = body {
+        if let PassThroughBody::ForwardedPacket(carry) = body {
             let view = Codec.view(&carry.packet).expect("a packet");
             let accepted = Accepted {
                 flow: view.flow_from_caller().into(),
@@ -210,13 +210,13 @@
         bytes: lz4_flex::compress_prepend_size(&change.encode_to_vec()),
     };
     balancer.handle_message(now, REPLICA, PassThroughBody::Configuration(part));
-    let confirmed = Confirmed {
-        confirm: 7,
+    let confirmed = VersionConfirmed {
+        confirmation_id: 7,
         version: 3,
         zones: None,
-        ..Confirmed::default()
+        ..VersionConfirmed::default()
     };
-    balancer.handle_message(now, REPLICA, PassThroughBody::Confirmed(confirmed));
+    balancer.handle_message(now, REPLICA, PassThroughBody::VersionConfirmed(confirmed));
     let entry = |index: u8| DirectoryEntry {
         report: Report {
             address: pack_address(SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, index), 7000)),
@@ -226,8 +226,8 @@
             zone: "a".to_owned(),
             state: AgentState::Ready.into(),
             load: LoadMessage::default(),
-            leaving: Vec::new(),
-            interval_millis: 500,
+            draining_backends: Vec::new(),
+            next_report_millis: 500,
             evacuations_index: 0,
             ..Report::default()
         },
@@ -235,18 +235,18 @@
     };
     let change = DirectoryChange {
         agents: (1..=10).map(entry).collect(),
-        gone: Vec::new(),
+        removed: Vec::new(),
     };
     println!(
         "bytes_of_ten_agents_in_a_directory={}",
         change.encoded_len()
     );
-    let directory = Directory {
+    let directory = DirectoryPart {
         base_revision: 0,
         revision: 1,
         part: 0,
         parts: 1,
         bytes: change.encode_to_vec(),
     };
-    balancer.handle_message(now, REPLICA, PassThroughBody::Directory(directory));
+    balancer.handle_message(now, REPLICA, PassThroughBody::DirectoryPart(directory));
 }
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -314,7 +314,7 @@
             Some(current) if now.saturating_since(current.heard_at) < limit => AgentState::Ready,
             None if self.is_provisional(now) && self.seen_alive => AgentState::Ready,
             None if self.is_provisional(now) => AgentState::Starting,
-            Some(_) | None => AgentState::Empty,
+            Some(_) | None => AgentState::Unavailable,
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{Accepted, DeclineReason, HeldFlow, Holds, PassThroughBody};
+use petrellatch_proto::pass_through::{Accepted, DeclineReason, OwnedFlow, FlowsOwned, PassThroughBody};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
@@ -49,7 +49,7 @@
         let answered_before = known.is_some_and(|flow| flow.sequence.is_some());
         let meaning = match view {
             PacketView { reset: true, .. } => {
-                if known.is_some_and(AgentFlow::has_request) {
+                if known.is_some_and(AgentFlow::has_pending_request) {
                     self.note_failure(now, flow);
                 }
                 self.flows.remove(now, flow);
@@ -59,11 +59,11 @@
                 synchronize: true,
                 sequence,
                 ..
-            } => BackendPacket::OpeningAnswer { sequence },
-            PacketView { finish: true, .. } => BackendPacket::End,
+            } => BackendPacket::SynAck { sequence },
+            PacketView { finish: true, .. } => BackendPacket::Fin,
             PacketView {
                 data_bytes: 1.., ..
-            } => BackendPacket::Answer,
+            } => BackendPacket::Response,
             _ => BackendPacket::Established,
         };
         if let Some(time) = self.flows.note_from_backend(now, flow, meaning) {
@@ -100,7 +100,7 @@
     fn take_returned(&mut self, now: Timestamp, view: &PacketView, is_gone: bool) {
         let id = view.flow_from_caller();
         if let Some(pending) = self.tried.take_pending(id) {
-            if pending.tells_return || is_gone {
+            if pending.report_return || is_gone {
                 self.tell_not_held(pending.balancer, view, is_gone);
             }
             return;
@@ -108,7 +108,7 @@
         let Some(flow) = self.flows.remove(now, id) else {
             return;
         };
-        let Some(balancer) = flow.balancer else {
+        let Some(balancer) = flow.last_balancer else {
             return;
         };
         if view.is_opening() {
@@ -116,7 +116,7 @@
             self.decline(now, balancer, id, DeclineReason::Returned);
         } else {
             self.emit_event(EventKind::PacketReturned, format!("flow={id}"));
-            let was_open = flow.sequence.is_some() && flow.owns(view.acknowledged);
+            let was_open = flow.sequence.is_some() && flow.owns_ack(view.acknowledged);
             let is_young = now.saturating_since(flow.created_at) < YOUNG_FLOW;
             if was_open && is_young && view.data_bytes > 0 {
                 self.note_failure(now, id);
@@ -135,7 +135,7 @@
     }
 
     pub(super) fn tell_accepted(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
-        let balancer = self.flows.get(id).and_then(|flow| flow.balancer);
+        let balancer = self.flows.get(id).and_then(|flow| flow.last_balancer);
         let Some(balancer) = balancer else { return };
         let load = self.load_message(now);
         let accepted = Accepted {
@@ -148,10 +148,10 @@
 
     pub(super) fn tell_held(&mut self, to: SocketAddrV4, id: FlowId) {
         let sequence = self.flows.get(id).and_then(|flow| flow.sequence);
-        let held = HeldFlow {
+        let held = OwnedFlow {
             flow: id.into(),
             sequence,
         };
-        self.send(to, PassThroughBody::Holds(Holds { flows: vec![held] }));
+        self.send(to, PassThroughBody::FlowsOwned(FlowsOwned { flows: vec![held] }));
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, Carry, CarryReason, DeclineReason, Declined, NotHeld, PassThroughBody,
+    AgentState, ForwardedPacket, ForwardReason, DeclineReason, Declined, ReturnedPacket, PassThroughBody,
     pack_address, unpack_address,
 };
 
@@ -17,75 +17,75 @@
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    pub(super) fn handle_carry(&mut self, now: Timestamp, from: SocketAddrV4, carry: Carry) {
+    pub(super) fn handle_carry(&mut self, now: Timestamp, from: SocketAddrV4, carry: ForwardedPacket) {
         let Some(view) = self.codec.view(&carry.packet) else {
             return;
         };
-        let is_passed_on = carry.origin != 0;
+        let is_passed_on = carry.origin_balancer != 0;
         let from = match is_passed_on {
-            true => unpack_address(carry.origin),
+            true => unpack_address(carry.origin_balancer),
             false => from,
         };
         self.balancers.insert(from, now);
         let flow = view.flow_from_caller();
         let reason = carry.reason();
         match reason {
-            CarryReason::Open | CarryReason::OpenQueued if carry.service != self.service => {
+            ForwardReason::Open | ForwardReason::OpenQueued if carry.service != self.service => {
                 self.decline(now, from, flow, DeclineReason::WrongService);
             }
-            CarryReason::Deliver | CarryReason::Try if self.is_gone(&view) => {
+            ForwardReason::Deliver | ForwardReason::Try if self.is_gone(&view) => {
                 self.pass_on(from, &carry);
                 self.tell_gone(now, from, &view);
             }
             // It is for the agent that was at this address before.
-            CarryReason::Deliver if carry.service != self.service && !self.holds(&view) => {
+            ForwardReason::Deliver if carry.service != self.service && !self.holds(&view) => {
                 self.tell_not_held(from, &view, false);
             }
-            CarryReason::Open if self.state(now) == AgentState::Starting => {
+            ForwardReason::Open if self.state(now) == AgentState::Starting => {
                 self.decline(now, from, flow, DeclineReason::NoBackend);
             }
-            CarryReason::Open | CarryReason::OpenQueued => {
+            ForwardReason::Open | ForwardReason::OpenQueued => {
                 self.cold_admission
-                    .note_rate(carry.cold_millirequests_per_second);
+                    .note_rate(carry.warm_up_millirequests_per_second);
                 self.asking.note_asked(now, from);
                 let opening = Opening {
                     flow,
                     balancer: from,
-                    objective: Duration::from_millis(u64::from(carry.objective_millis)),
-                    age: Duration::from_millis(u64::from(carry.age_millis)),
+                    objective: Duration::from_millis(u64::from(carry.latency_objective_millis)),
+                    age: Duration::from_millis(u64::from(carry.syn_age_millis)),
                     priority: carry.priority,
                     deadline: Duration::from_millis(u64::from(carry.deadline_millis)),
-                    may_queue: reason == CarryReason::OpenQueued,
-                    despite_failures: carry.despite_failures,
+                    may_queue: reason == ForwardReason::OpenQueued,
+                    despite_failures: carry.ignore_ejection,
                     packet: carry.packet,
                 };
                 self.handle_opening(now, opening);
             }
-            CarryReason::Deliver => self.deliver(now, from, &view, carry.packet),
-            CarryReason::Try => {
+            ForwardReason::Deliver => self.deliver(now, from, &view, carry.packet),
+            ForwardReason::Try => {
                 self.pass_on(from, &carry);
-                let tells_return = !is_passed_on && carry.others.is_empty();
+                let tells_return = !is_passed_on && carry.relay_to.is_empty();
                 self.try_flow(now, from, &view, carry.packet, tells_return);
             }
-            CarryReason::Unspecified => {}
+            ForwardReason::Unspecified => {}
         }
     }
 
     /// Whether the back end has the flow of a packet, as far as is known.
     fn holds(&self, view: &PacketView) -> bool {
         let known = self.flows.get(view.flow_from_caller());
-        known.is_some_and(|known| known.owns(view.acknowledged))
+        known.is_some_and(|known| known.owns_ack(view.acknowledged))
     }
 
     /// Passes a packet on to the other agents that are to try it.
-    fn pass_on(&mut self, balancer: SocketAddrV4, carry: &Carry) {
-        for other in &carry.others {
-            let passed_on = Carry {
-                others: Vec::new(),
-                origin: pack_address(balancer),
+    fn pass_on(&mut self, balancer: SocketAddrV4, carry: &ForwardedPacket) {
+        for other in &carry.relay_to {
+            let passed_on = ForwardedPacket {
+                relay_to: Vec::new(),
+                origin_balancer: pack_address(balancer),
                 ..carry.clone()
             };
-            self.send(unpack_address(*other), PassThroughBody::Carry(passed_on));
+            self.send(unpack_address(*other), PassThroughBody::ForwardedPacket(passed_on));
         }
     }
 
@@ -107,7 +107,7 @@
             self.deliver(now, from, view, packet);
         } else if self.tried.was_returned(flow) {
             self.tell_not_held(from, view, false);
-        } else if self.tried.note_tried(now, flow, from, tells_return) {
+        } else if self.tried.note_delivered(now, flow, from, tells_return) {
             self.counters.tried += 1;
             self.outputs.push_back(PassThroughOutput::ToBackend(packet));
         }
@@ -115,13 +115,13 @@
 
     /// Tells a balancer that the back end does not have the flow of a packet.
     pub(super) fn tell_not_held(&mut self, to: SocketAddrV4, view: &PacketView, was_open: bool) {
-        let not_held = NotHeld {
+        let not_held = ReturnedPacket {
             flow: view.flow_from_caller().into(),
             acknowledged: view.acknowledged,
-            request: view.data_bytes > 0 && !view.finish,
+            carried_data: view.data_bytes > 0 && !view.finish,
             was_open,
         };
-        self.send(to, PassThroughBody::NotHeld(not_held));
+        self.send(to, PassThroughBody::ReturnedPacket(not_held));
     }
 
     pub(super) fn deliver(
@@ -133,7 +133,7 @@
     ) {
         let meaning = match view {
             PacketView { reset: true, .. } => CallerPacket::Reset,
-            PacketView { finish: true, .. } => CallerPacket::End,
+            PacketView { finish: true, .. } => CallerPacket::Fin,
             PacketView {
                 data_bytes: 1.., ..
             } => CallerPacket::Request,
@@ -167,14 +167,14 @@
     ) {
         *self.counters.declined.entry(reason).or_default() += 1;
         let load = self.load_message(now);
-        let busy = load.busy;
+        let busy = load.in_flight_requests;
         let subject = format!("flow={flow} reason={reason:?} busy={busy}");
         self.emit_event(EventKind::FlowDeclined, subject);
         let declined = Declined {
             flow: flow.into(),
             reason: reason.into(),
             load,
-            turn_micros: self.turn(now, reason).as_micros() as u32,
+            expected_wait_micros: self.turn(now, reason).as_micros() as u32,
         };
         self.send(to, PassThroughBody::Declined(declined));
     }
--- a/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
@@ -4,15 +4,15 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{NotHeld, PassThroughBody, SoughtFlow};
+use petrellatch_proto::pass_through::{ReturnedPacket, PassThroughBody, QueriedFlow};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
 use crate::pass_through::admission::registration::Registration;
 use crate::pass_through::digest::backend_digest;
-use crate::pass_through::flows::former_flows::{FormerRecord, RecordedFlow};
-use crate::pass_through::flows::gone_flows::GoneFlows;
-use crate::pass_through::flows::life_proof::{LifeProof, ProbedFlow, ProofStep, ProofVerdict};
+use crate::pass_through::flows::recorded_flow::{PreviousFlowRecord, RecordedFlow};
+use crate::pass_through::flows::orphaned_flows::OrphanedFlows;
+use crate::pass_through::flows::restart_probe::{RestartProbe, ProbedFlow, RestartProbeStep, RestartProbeResult};
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::{FlowId, PacketCodec, PacketView};
 use crate::time::Timestamp;
@@ -29,22 +29,22 @@
 pub(super) struct FormerLives {
     record: Option<RecalledRecord>,
     /// About the flows that this life of the agent has seen.
-    proof: Option<LifeProof>,
+    proof: Option<RestartProbe>,
     /// Whether one is to begin, as the back end may be another one.
     is_in_doubt: bool,
     /// No proof begins before this.
     next_proof_at: Timestamp,
     /// The latest call.
     heard: Option<HeardCall>,
-    gone: GoneFlows,
+    gone: OrphanedFlows,
 }
 
 /// The record of a former life of the agent.
 #[derive(Debug)]
 struct RecalledRecord {
-    record: FormerRecord,
+    record: PreviousFlowRecord,
     recalled_at: Timestamp,
-    proof: Option<LifeProof>,
+    proof: Option<RestartProbe>,
     proofs: u32,
     next_proof_at: Timestamp,
     /// All witnesses came back; the flows that are left have none.
@@ -84,7 +84,7 @@
         let record = self.record.as_ref();
         let of_record = record.and_then(|record| record.proof.as_ref());
         let proofs = of_record.into_iter().chain(&self.proof);
-        let proofs = proofs.map(LifeProof::poll_timeout);
+        let proofs = proofs.map(RestartProbe::poll_timeout);
         let begins = self.is_in_doubt.then_some(self.next_proof_at);
         proofs.chain(begins).chain(self.gone.poll_timeout()).min()
     }
@@ -109,7 +109,7 @@
         self.record.take_if(|record| age(record) >= lifetime);
     }
 
-    fn proofs_mut(&mut self) -> impl Iterator<Item = &mut LifeProof> {
+    fn proofs_mut(&mut self) -> impl Iterator<Item = &mut RestartProbe> {
         let record = self.record.as_mut();
         let of_record = record.and_then(|record| record.proof.as_mut());
         of_record.into_iter().chain(self.proof.as_mut())
@@ -119,7 +119,7 @@
 impl RecalledRecord {
     fn names(&self, id: FlowId, acknowledged: u32) -> bool {
         let mut flows = self.record.flows.iter();
-        flows.any(|flow| flow.id == id && flow.owns(acknowledged))
+        flows.any(|flow| flow.id == id && flow.owns_ack(acknowledged))
     }
 
     /// Begins a proof unless there is one, or there were too many.
@@ -135,17 +135,17 @@
             ProbedFlow {
                 flow: *flow,
                 seen_at: now,
-                witness: witness.map(|(_, packet)| packet.clone()),
+                probe_packet: witness.map(|(_, packet)| packet.clone()),
             }
         };
         let flows = self.record.flows.iter().map(probed).collect();
-        self.proof = Some(LifeProof::new(now, flows));
+        self.proof = Some(RestartProbe::new(now, flows));
     }
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
     /// Takes the record of a former life of this agent, in place of an older one.
-    pub(super) fn take_former_record(&mut self, now: Timestamp, record: FormerRecord) {
+    pub(super) fn take_former_record(&mut self, now: Timestamp, record: PreviousFlowRecord) {
         if record.flows.is_empty() {
             return;
         }
@@ -190,7 +190,7 @@
         let Some(record) = &self.former.record else {
             return;
         };
-        let is_same = record.record.backend == heard.backend;
+        let is_same = record.record.backend_incarnation == heard.backend;
         let is_current = self.registration.backend() == Some(heard.backend);
         let tells_lives_apart = self.registration.tells_lives_apart();
         match (is_same, is_current) {
@@ -212,7 +212,7 @@
             // It may be open anew under the same address and port.
             flows.get(id).is_none().then(|| (id, packet.clone()))
         };
-        let witnesses = record.record.witnesses.iter().filter_map(witness);
+        let witnesses = record.record.probe_packets.iter().filter_map(witness);
         let witnesses = witnesses.collect();
         record.begin_proof(now, witnesses);
     }
@@ -227,13 +227,13 @@
         for flow in &recalled.record.flows {
             taken += u64::from(self.flows.take_over(now, *flow));
         }
-        for packet in &recalled.record.witnesses {
+        for packet in &recalled.record.probe_packets {
             if let Some(view) = self.codec.view(packet) {
-                self.flows.note_witness(view.flow_from_caller(), packet);
+                self.flows.note_probe_packet(view.flow_from_caller(), packet);
             }
         }
         self.counters.taken_over += taken;
-        let backend = recalled.record.backend;
+        let backend = recalled.record.backend_incarnation;
         let recorded = recalled.record.flows.len();
         let subject =
             format!("backend={backend:x} flows={taken} recorded={recorded} record_age={age}");
@@ -252,7 +252,7 @@
             self.begin_record_proof(now);
         }
         let known = self.flows.get(id);
-        let was_open = known.is_some_and(|flow| flow.is_proved_open() && flow.owns(acknowledged));
+        let was_open = known.is_some_and(|flow| flow.is_confirmed_open() && flow.owns_ack(acknowledged));
         if was_open && self.stop_at.is_none() {
             self.former.is_in_doubt = true;
             self.begin_proof(now);
@@ -281,9 +281,9 @@
         }
         self.former.is_in_doubt = false;
         let lifetime = self.settings.flow_lifetime;
-        let flows = self.flows.probed(now, lifetime);
+        let flows = self.flows.flows_to_probe(now, lifetime);
         if !flows.is_empty() {
-            self.former.proof = Some(LifeProof::new(now, flows));
+            self.former.proof = Some(RestartProbe::new(now, flows));
         }
     }
 
@@ -302,45 +302,45 @@
         }
     }
 
-    fn continue_record_proof(&mut self, now: Timestamp) -> Option<ProofVerdict> {
+    fn continue_record_proof(&mut self, now: Timestamp) -> Option<RestartProbeResult> {
         let record = self.former.record.as_mut()?;
         let step = record.proof.as_mut()?.next_step(now);
         self.take_proof_step(step)
     }
 
-    fn continue_own_proof(&mut self, now: Timestamp) -> Option<ProofVerdict> {
+    fn continue_own_proof(&mut self, now: Timestamp) -> Option<RestartProbeResult> {
         let step = self.former.proof.as_mut()?.next_step(now);
         self.take_proof_step(step)
     }
 
-    fn take_proof_step(&mut self, step: ProofStep) -> Option<ProofVerdict> {
+    fn take_proof_step(&mut self, step: RestartProbeStep) -> Option<RestartProbeResult> {
         match step {
-            ProofStep::Wait => None,
-            ProofStep::Hand(packets) => {
+            RestartProbeStep::Wait => None,
+            RestartProbeStep::Send(packets) => {
                 let packets = packets.into_iter().map(PassThroughOutput::ToBackend);
                 self.outputs.extend(packets);
                 None
             }
-            ProofStep::End(verdict) => Some(verdict),
+            RestartProbeStep::End(verdict) => Some(verdict),
         }
     }
 
-    fn end_record_proof(&mut self, now: Timestamp, verdict: ProofVerdict) {
+    fn end_record_proof(&mut self, now: Timestamp, verdict: RestartProbeResult) {
         let Some(record) = &mut self.former.record else {
             return;
         };
         let proof = record.proof.take();
         record.next_proof_at = now + PROOF_PAUSE;
-        let backend = record.record.backend;
-        if !verdict.gone.is_empty() {
-            record.record.flows.clone_from(&verdict.gone);
+        let backend = record.record.backend_incarnation;
+        if !verdict.orphaned.is_empty() {
+            record.record.flows.clone_from(&verdict.orphaned);
             record.witnesses_returned = true;
         }
         self.note_verdict(now, "record", proof, &verdict);
         let names_another = |heard: HeardCall| heard.backend != backend;
         let calls_as_another = self.former.heard.is_some_and(names_another);
-        match verdict.gone.is_empty() {
-            true if verdict.is_over => self.former.record = None,
+        match verdict.orphaned.is_empty() {
+            true if verdict.has_ended => self.former.record = None,
             false if calls_as_another => self.end_recorded_life(now),
             _ => {}
         }
@@ -361,7 +361,7 @@
         }
     }
 
-    fn end_own_proof(&mut self, now: Timestamp, verdict: ProofVerdict) {
+    fn end_own_proof(&mut self, now: Timestamp, verdict: RestartProbeResult) {
         let proof = self.former.proof.take();
         self.former.next_proof_at = now + PROOF_PAUSE;
         self.note_verdict(now, "memory", proof, &verdict);
@@ -374,10 +374,10 @@
             self.former.gone.add(now, gone);
             return;
         };
-        if !known.is_same(&gone) || !known.is_open() {
+        if !known.is_same_connection(&gone) || !known.is_open() {
             return;
         }
-        let waits = known.has_request();
+        let waits = known.has_pending_request();
         let flow = RecordedFlow {
             acknowledged: known.acknowledged.unwrap_or(gone.acknowledged),
             ..gone
@@ -385,7 +385,7 @@
         self.flows.remove(now, flow.id);
         self.former.gone.add(now, flow);
         if waits {
-            self.former.gone.note_told(flow.id);
+            self.former.gone.note_notified(flow.id);
             self.counters.told_at_once += 1;
             self.reset_caller(now, flow, "request");
         }
@@ -395,14 +395,14 @@
         &mut self,
         now: Timestamp,
         source: &str,
-        proof: Option<LifeProof>,
-        verdict: &ProofVerdict,
+        proof: Option<RestartProbe>,
+        verdict: &RestartProbeResult,
     ) {
-        let begun_at = proof.map_or(now, |proof| proof.begun_at);
+        let begun_at = proof.map_or(now, |proof| proof.started_at);
         let waited = now.saturating_since(begun_at).as_millis();
-        let (flows, witnesses) = (verdict.gone.len(), verdict.witnesses);
+        let (flows, witnesses) = (verdict.orphaned.len(), verdict.probes);
         let returned = verdict.returned;
-        let (kind, counter) = match verdict.is_over {
+        let (kind, counter) = match verdict.has_ended {
             true => (EventKind::LifeOver, &mut self.counters.lives_over),
             false => (EventKind::LifeUndecided, &mut self.counters.lives_undecided),
         };
@@ -439,7 +439,7 @@
         let id = view.flow_from_caller();
         let waits = view.data_bytes > 0 && !view.finish;
         if waits || view.finish || view.reset {
-            self.former.gone.note_told(id);
+            self.former.gone.note_notified(id);
         }
         if waits {
             self.counters.told_when_asked += 1;
@@ -449,21 +449,21 @@
     }
 
     /// Tells a balancer that a flow that it seeks is gone.
-    pub(super) fn answer_gone(&mut self, now: Timestamp, to: SocketAddrV4, sought: &SoughtFlow) {
+    pub(super) fn answer_gone(&mut self, now: Timestamp, to: SocketAddrV4, sought: &QueriedFlow) {
         self.counters.told_when_asked += 1;
         self.note_told(now, sought.flow.into(), "question");
-        let not_held = NotHeld {
+        let not_held = ReturnedPacket {
             flow: sought.flow,
             acknowledged: sought.acknowledged,
             // The balancer knows whether the caller waits.
-            request: false,
+            carried_data: false,
             was_open: true,
         };
-        self.send(to, PassThroughBody::NotHeld(not_held));
+        self.send(to, PassThroughBody::ReturnedPacket(not_held));
     }
 
     /// Whether a flow that a balancer seeks is gone.
-    pub(super) fn seeks_gone(&self, sought: &SoughtFlow) -> bool {
+    pub(super) fn seeks_gone(&self, sought: &QueriedFlow) -> bool {
         let id = FlowId::from(sought.flow);
         let gone = &self.former.gone;
         self.flows.get(id).is_none() && gone.contains(id, sought.acknowledged)
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, DeclineReason, EvacuationsKnown, Group, PassThroughBody, ZoneRecords, pack_address,
+    AgentState, DeclineReason, EvacuationsAck, GroupStatus, PassThroughBody, ZoneStatuses, pack_address,
 };
 
 use crate::event::{Event, EventKind};
@@ -34,9 +34,9 @@
 use crate::pass_through::digest::service_digest;
 use crate::pass_through::flows::agent_flows::AgentFlows;
 use crate::pass_through::flows::flow_recorder::{FlowRecordSettings, FlowRecorder};
-use crate::pass_through::flows::former_recall::{FormerRecall, RecallOutcome};
-use crate::pass_through::flows::gathered_questions::GatheredQuestions;
-use crate::pass_through::flows::tried_flows::TriedFlows;
+use crate::pass_through::flows::flow_record_recovery::{FlowRecordRecovery, RecoveryOutcome};
+use crate::pass_through::flows::relayed_queries::RelayedQueries;
+use crate::pass_through::flows::speculative_deliveries::SpeculativeDeliveries;
 use crate::pass_through::group::contacts::Contacts;
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::latency::LatencyHistogram;
@@ -152,10 +152,10 @@
     contacts: Contacts,
     registration: RegistrationState,
     flows: AgentFlows,
-    tried: TriedFlows,
+    tried: SpeculativeDeliveries,
     former: FormerLives,
     /// Questions that this agent asks others on behalf of balancers.
-    gathered: GatheredQuestions,
+    gathered: RelayedQueries,
     started_at: Timestamp,
     /// Whether replicas know of a former life of this agent, once one has said.
     had_former_life: Option<bool>,
@@ -193,8 +193,8 @@
     registered_at: Option<Timestamp>,
     recorder: FlowRecorder,
     /// Asks for the flows of the former life, until that is over.
-    recall: Option<FormerRecall>,
-    recall_outcome: Option<RecallOutcome>,
+    recall: Option<FlowRecordRecovery>,
+    recall_outcome: Option<RecoveryOutcome>,
     outputs: VecDeque<PassThroughOutput>,
 }
 
@@ -208,7 +208,7 @@
         contacts: Contacts,
     ) -> Self {
         let provisional_limit = settings.provisional_limit.min(MAX_PROVISIONAL_LIMIT);
-        let has_former = !settings.first_start && !settings.flow_record.age.is_zero();
+        let has_former = !settings.first_start && !settings.flow_record.min_flow_age.is_zero();
         PassThroughAgent {
             service: service_digest(&settings.service),
             report_interval: settings.report_interval,
@@ -220,16 +220,16 @@
             waiting_check_at: now,
             evacuations: Evacuations::default(),
             recorder: FlowRecorder::new(settings.flow_record),
-            recall: has_former.then(|| FormerRecall::new(now)),
+            recall: has_former.then(|| FlowRecordRecovery::new(now)),
             recall_outcome: None,
             settings,
             codec,
             incarnation,
             contacts,
             flows: AgentFlows::default(),
-            tried: TriedFlows::default(),
+            tried: SpeculativeDeliveries::default(),
             former: FormerLives::default(),
-            gathered: GatheredQuestions::default(),
+            gathered: RelayedQueries::default(),
             started_at: now,
             had_former_life: None,
             balancers: BTreeMap::new(),
@@ -237,7 +237,7 @@
             report_at: now,
             reported_at: Timestamp::ZERO,
             sweep_at: now + SWEEP_INTERVAL,
-            reported_state: AgentState::Empty,
+            reported_state: AgentState::Unavailable,
             reported_description: 0,
             unheard: true,
             remembered_by: BTreeSet::new(),
@@ -287,7 +287,7 @@
     /// Requests that wait for their answers, and how many the back end works
     /// on at once.
     pub fn load(&self) -> (u32, u32) {
-        (self.flows.busy(), self.registration.capacity())
+        (self.flows.in_flight_requests(), self.registration.capacity())
     }
 
     /// Flows that are open at the back end, and the slots that they kept busy in the mean
@@ -349,22 +349,22 @@
     /// Takes a message of a balancer or replica.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
-            PassThroughBody::Carry(carry) => self.handle_carry(now, from, carry),
-            PassThroughBody::Seek(seek) => {
+            PassThroughBody::ForwardedPacket(carry) => self.handle_carry(now, from, carry),
+            PassThroughBody::FlowQuery(seek) => {
                 self.handle_seek(now, from, &seek);
                 self.tell_gathered(now);
             }
-            PassThroughBody::Holds(holds) => {
-                self.gathered.handle_holds(now, from, &holds);
+            PassThroughBody::FlowsOwned(holds) => {
+                self.gathered.handle_flows_owned(now, from, &holds);
                 self.tell_gathered(now);
             }
-            PassThroughBody::Lacks(lacks) => {
-                self.gathered.handle_lacks(now, from, &lacks);
+            PassThroughBody::FlowsNotOwned(lacks) => {
+                self.gathered.handle_flows_not_owned(now, from, &lacks);
                 self.tell_gathered(now);
             }
-            PassThroughBody::Group(group) => self.handle_group(now, from, &group),
-            PassThroughBody::FlowRecordKept(kept) => self.handle_record_kept(now, from, &kept),
-            PassThroughBody::FormerFlows(former) => self.handle_former_flows(now, from, former),
+            PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
+            PassThroughBody::FlowRecordAck(kept) => self.handle_record_kept(now, from, &kept),
+            PassThroughBody::FlowRecordResponse(former) => self.handle_former_flows(now, from, former),
             _ => {}
         }
         self.serve_waiting(now);
@@ -373,19 +373,19 @@
     /// Takes what a replica tells. Replicas that were not known before are
     /// reported to at once: otherwise balancers that ask them would learn of this
     /// agent only with its next report without news, seconds later.
-    fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &Group) {
+    fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.handle_zones(from, group.zones.as_ref());
         let known = self.contacts.all();
         self.contacts.handle_group(group);
         let has_more = !self.contacts.all().is_subset(&known);
-        self.registration.recall(&group.leaving);
-        if group.answers_report {
-            *self.had_former_life.get_or_insert(false) |= group.had_former_life;
+        self.registration.recall(&group.draining_backends);
+        if group.has_report {
+            *self.had_former_life.get_or_insert(false) |= group.knows_previous_incarnation;
             self.note_report_interval(group.report_interval_millis);
             self.unheard = false;
-            self.note_last_word_heard(group.answered_report);
+            self.note_last_word_heard(group.acknowledged_report);
         }
-        if group.remembered {
+        if group.agent_is_saved {
             self.remembered_by.insert(from);
         }
         match has_more || self.owes_report(now, group) {
@@ -396,7 +396,7 @@
     }
 
     /// Takes orders about zones, if they are newer, and says that they are known.
-    fn handle_zones(&mut self, from: SocketAddrV4, told: Option<&ZoneRecords>) {
+    fn handle_zones(&mut self, from: SocketAddrV4, told: Option<&ZoneStatuses>) {
         let Some(told) = told else { return };
         let was_evacuated = self.is_evacuated();
         if self.evacuations.take_newer(told) {
@@ -407,11 +407,11 @@
             let subject = self.evacuations.to_string();
             self.emit_event(EventKind::ZonesApplied, subject);
         }
-        let known = EvacuationsKnown {
+        let known = EvacuationsAck {
             address: pack_address(self.settings.address),
             index: self.evacuations.index(),
         };
-        self.send(from, PassThroughBody::EvacuationsKnown(known));
+        self.send(from, PassThroughBody::EvacuationsAck(known));
     }
 
     /// Whether the agent's zone is out of service.
@@ -448,7 +448,7 @@
         let waiting = (!self.waiting.is_empty()).then_some(self.waiting_check_at);
         let first = self.sweep_at.min(self.report_at);
         let first = waiting.map_or(first, |at| at.min(first));
-        let recall = self.recall.as_ref().map(FormerRecall::poll_timeout);
+        let recall = self.recall.as_ref().map(FlowRecordRecovery::poll_timeout);
         let others = [
             recall,
             self.last_word_until(),
--- a/crates/petrellatch-core/src/pass_through/agent/openings.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/openings.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{AgentState, DeclineReason, PassThroughBody, Waiting};
+use petrellatch_proto::pass_through::{AgentState, DeclineReason, PassThroughBody, FlowQueued};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
@@ -60,7 +60,7 @@
         self.tried.forget(opening.flow);
         self.former.forget(opening.flow);
         let capacity = self.registration.capacity();
-        let meaning = CallerPacket::Opening;
+        let meaning = CallerPacket::Syn;
         self.flows
             .note_from_caller(now, opening.flow, opening.balancer, meaning, capacity);
         self.outputs
@@ -107,7 +107,7 @@
     /// Who that waits gets a place now, if there is one for it. One that would be answered
     /// too late behind the present queue waits for a shorter one and holds up nobody.
     fn next_waiting(&self, now: Timestamp, pace: Pace) -> Option<Opening> {
-        let busy = self.flows.busy();
+        let busy = self.flows.in_flight_requests();
         self.waiting.first(now, pace, |opening, age| {
             let limit = match self.is_late(opening.objective, age) {
                 // It goes before less urgent ones all the same.
@@ -131,14 +131,14 @@
     fn tell_waiting(&mut self, now: Timestamp, opening: &Opening) {
         self.counters.waiting += 1;
         let age = opening.age.as_millis();
-        let busy = self.flows.busy();
+        let busy = self.flows.in_flight_requests();
         let subject = format!("flow={} age={age} busy={busy}", opening.flow);
         self.emit_event(EventKind::FlowWaits, subject);
-        let waiting = Waiting {
+        let waiting = FlowQueued {
             flow: opening.flow.into(),
             load: self.load_message(now),
         };
-        self.send(opening.balancer, PassThroughBody::Waiting(waiting));
+        self.send(opening.balancer, PassThroughBody::FlowQueued(waiting));
     }
 
     /// Why a new flow is not admitted beside at most `limit` requests, if it is not.
@@ -154,7 +154,7 @@
         if !takes_failures && self.failure_watch.declines(now) {
             return Some(DeclineReason::Failing);
         }
-        if self.flows.busy() >= limit {
+        if self.flows.in_flight_requests() >= limit {
             return Some(DeclineReason::Full);
         }
         let is_cold = self.registration.may_be_cold(now);
@@ -164,7 +164,7 @@
 
     fn refusal_by_state(&self, now: Timestamp) -> Option<DeclineReason> {
         match self.state(now) {
-            AgentState::Empty => Some(DeclineReason::NoBackend),
+            AgentState::Unavailable => Some(DeclineReason::NoBackend),
             AgentState::Draining => Some(DeclineReason::Draining),
             AgentState::Ready | AgentState::Starting => None,
         }
--- a/crates/petrellatch-core/src/pass_through/agent/questions.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/questions.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    AgentState, HeldFlow, Holds, Lacks, PassThroughBody, Seek, SoughtFlow, pack_address,
+    AgentState, OwnedFlow, FlowsOwned, FlowsNotOwned, PassThroughBody, FlowQuery, QueriedFlow, pack_address,
     unpack_address,
 };
 
@@ -12,52 +12,52 @@
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    pub(super) fn handle_seek(&mut self, now: Timestamp, from: SocketAddrV4, seek: &Seek) {
-        let balancer = match seek.origin {
+    pub(super) fn handle_seek(&mut self, now: Timestamp, from: SocketAddrV4, seek: &FlowQuery) {
+        let balancer = match seek.origin_balancer {
             0 => from,
             origin => unpack_address(origin),
         };
         self.balancers.insert(balancer, now);
         let gone = seek.flows.iter().filter(|sought| self.seeks_gone(sought));
-        let gone: Vec<SoughtFlow> = gone.cloned().collect();
+        let gone: Vec<QueriedFlow> = gone.cloned().collect();
         for sought in &gone {
             self.answer_gone(now, balancer, sought);
         }
         let (holds, lacks) = self.answer(now, seek);
-        if !seek.others.is_empty() {
+        if !seek.relay_to.is_empty() {
             self.ask_others(now, balancer, seek);
             let own = self.settings.address;
-            self.gathered.handle_holds(now, own, &holds);
-            self.gathered.handle_lacks(now, own, &lacks);
-        } else if !lacks.certain.is_empty() || !lacks.uncertain.is_empty() {
-            self.send(from, PassThroughBody::Lacks(lacks));
+            self.gathered.handle_flows_owned(now, own, &holds);
+            self.gathered.handle_flows_not_owned(now, own, &lacks);
+        } else if !lacks.not_owned.is_empty() || !lacks.possibly_owned.is_empty() {
+            self.send(from, PassThroughBody::FlowsNotOwned(lacks));
         }
         if holds.flows.is_empty() {
             return;
         }
         if from != balancer {
-            self.send(from, PassThroughBody::Holds(holds.clone()));
+            self.send(from, PassThroughBody::FlowsOwned(holds.clone()));
         }
-        self.send(balancer, PassThroughBody::Holds(holds));
+        self.send(balancer, PassThroughBody::FlowsOwned(holds));
     }
 
     /// What this agent knows of the flows in a question.
-    fn answer(&self, now: Timestamp, seek: &Seek) -> (Holds, Lacks) {
+    fn answer(&self, now: Timestamp, seek: &FlowQuery) -> (FlowsOwned, FlowsNotOwned) {
         let knows_all = self.knows_all_flows(now);
-        let mut holds = Holds::default();
-        let mut lacks = Lacks::default();
+        let mut holds = FlowsOwned::default();
+        let mut lacks = FlowsNotOwned::default();
         for sought in &seek.flows {
             let flow = FlowId::from(sought.flow);
             let known = self.flows.get(flow);
-            if let Some(known) = known.filter(|it| it.owns(sought.acknowledged)) {
-                holds.flows.push(HeldFlow {
+            if let Some(known) = known.filter(|it| it.owns_ack(sought.acknowledged)) {
+                holds.flows.push(OwnedFlow {
                     flow: sought.flow,
                     sequence: known.sequence,
                 });
             } else if knows_all || self.tried.was_returned(flow) || self.seeks_gone(sought) {
-                lacks.certain.push(sought.flow);
+                lacks.not_owned.push(sought.flow);
             } else {
-                lacks.uncertain.push(sought.flow);
+                lacks.possibly_owned.push(sought.flow);
             }
         }
         (holds, lacks)
@@ -65,16 +65,16 @@
 
     /// Asks other agents on behalf of a balancer. Who has a flow tells the
     /// balancer; who lacks one tells this agent.
-    fn ask_others(&mut self, now: Timestamp, balancer: SocketAddrV4, seek: &Seek) {
+    fn ask_others(&mut self, now: Timestamp, balancer: SocketAddrV4, seek: &FlowQuery) {
         self.gathered
             .begin(now, balancer, seek, self.settings.address);
-        let passed_on = Seek {
+        let passed_on = FlowQuery {
             flows: seek.flows.clone(),
-            origin: pack_address(balancer),
-            ..Seek::default()
+            origin_balancer: pack_address(balancer),
+            ..FlowQuery::default()
         };
-        for other in &seek.others {
-            let passed_on = PassThroughBody::Seek(passed_on.clone());
+        for other in &seek.relay_to {
+            let passed_on = PassThroughBody::FlowQuery(passed_on.clone());
             self.send(unpack_address(*other), passed_on);
         }
     }
@@ -82,7 +82,7 @@
     /// Tells balancers what others have answered.
     pub(super) fn tell_gathered(&mut self, now: Timestamp) {
         for (balancer, lacks) in self.gathered.take_due(now) {
-            self.send(balancer, PassThroughBody::GatheredAnswers(lacks));
+            self.send(balancer, PassThroughBody::AggregatedReplies(lacks));
         }
     }
 
@@ -97,6 +97,6 @@
             || self.registration.was_replaced()
             || (is_first_life && self.registration.called_early())
             || age >= self.settings.flow_lifetime
-            || (self.state(now) == AgentState::Empty && !self.registration.has_called())
+            || (self.state(now) == AgentState::Unavailable && !self.registration.has_called())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/recording.rs
@@ -5,25 +5,25 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    FlowRecordKept, FormerFlows, PassThroughBody, RecallFlows, pack_address,
+    FlowRecordAck, FlowRecordResponse, PassThroughBody, FlowRecordRequest, pack_address,
 };
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
-use crate::pass_through::flows::flow_recorder::FlowRecordFigures;
-use crate::pass_through::flows::former_recall::{RecallEnd, RecallOutcome};
+use crate::pass_through::flows::flow_recorder::FlowRecorderStats;
+use crate::pass_through::flows::flow_record_recovery::{RecoveryEnd, RecoveryOutcome};
 use crate::pass_through::group::agent_replicas::is_chosen;
 use crate::pass_through::packet::PacketCodec;
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
     /// What is recorded.
-    pub fn flow_record(&self) -> FlowRecordFigures {
-        self.recorder.figures()
+    pub fn flow_record(&self) -> FlowRecorderStats {
+        self.recorder.stats()
     }
 
     /// How the recall of a former life's flows ended, if it has.
-    pub fn recall_outcome(&self) -> Option<RecallOutcome> {
+    pub fn recall_outcome(&self) -> Option<RecoveryOutcome> {
         self.recall_outcome
     }
 
@@ -33,7 +33,7 @@
         if self.recall.is_some() {
             return;
         }
-        self.recorder.set_keepers(self.keepers());
+        self.recorder.set_record_replicas(self.keepers());
         let backend = self.registration.backend().unwrap_or_default();
         self.recorder.note_flows(now, backend, &self.flows);
         let agent = pack_address(self.settings.address);
@@ -48,7 +48,7 @@
         let agent = pack_address(self.settings.address);
         let known = self.contacts.all();
         let replicas: Vec<u64> = known.iter().copied().map(pack_address).collect();
-        let count = self.settings.flow_record.keepers;
+        let count = self.settings.flow_record.record_replicas;
         let is_keeper =
             |replica: &SocketAddrV4| is_chosen(agent, pack_address(*replica), &replicas, count);
         known.into_iter().filter(is_keeper).collect()
@@ -58,12 +58,12 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        kept: &FlowRecordKept,
+        kept: &FlowRecordAck,
     ) {
         let own_life = self.incarnation.0;
-        let was_full = self.recorder.figures().full;
-        self.recorder.handle_kept(now, from, own_life, kept);
-        if self.recorder.figures().full > was_full {
+        let was_full = self.recorder.stats().full_replicas;
+        self.recorder.handle_ack(now, from, own_life, kept);
+        if self.recorder.stats().full_replicas > was_full {
             self.emit_event(EventKind::FlowRecordRefused, format!("replica={from}"));
         }
     }
@@ -72,7 +72,7 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answer: FormerFlows,
+        answer: FlowRecordResponse,
     ) {
         if answer.incarnation != self.incarnation.0 {
             return;
@@ -80,7 +80,7 @@
         let Some(recall) = &mut self.recall else {
             return;
         };
-        recall.handle_answer(now, from, answer);
+        recall.handle_response(now, from, answer);
         if let Some(record) = recall.take_newer() {
             self.take_former_record(now, record);
         }
@@ -97,20 +97,20 @@
             self.end_recall(end);
             return;
         }
-        let question = RecallFlows {
+        let question = FlowRecordRequest {
             agent: pack_address(self.settings.address),
             incarnation: self.incarnation.0,
         };
-        for replica in recall.poll_questions(now, known) {
-            self.send(replica, PassThroughBody::RecallFlows(question));
+        for replica in recall.poll_requests(now, known) {
+            self.send(replica, PassThroughBody::FlowRecordRequest(question));
         }
         self.recall = Some(recall);
     }
 
-    fn end_recall(&mut self, end: RecallEnd) {
-        let RecallEnd {
+    fn end_recall(&mut self, end: RecoveryEnd) {
+        let RecoveryEnd {
             outcome,
-            number,
+            revision: number,
             flows,
         } = end;
         let subject = format!("outcome={outcome:?} flows={flows} number={number}");
--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, Group, LoadMessage, PassThroughBody, Report, pack_address,
+    AgentState, GroupStatus, LoadMessage, PassThroughBody, Report, pack_address,
 };
 
 use super::PassThroughAgent;
@@ -36,11 +36,11 @@
     pub(super) fn load_message(&self, now: Timestamp) -> LoadMessage {
         let is_cold = self.registration.is_cold(now);
         LoadMessage {
-            busy: self.flows.busy(),
-            capacity: self.registration.capacity(),
+            in_flight_requests: self.flows.in_flight_requests(),
+            slots: self.registration.capacity(),
             cold: is_cold,
-            left_out_millis: self.failure_watch.left_out(now).as_millis() as u32,
-            work_micros: self.work_times.micros(is_cold),
+            ejected_millis: self.failure_watch.left_out(now).as_millis() as u32,
+            processing_micros: self.work_times.micros(is_cold),
             open_flows: self.flows.open_flows(),
             demand_millislots: self.flows.demand_millislots(now),
         }
@@ -48,7 +48,7 @@
 
     pub(super) fn state(&self, now: Timestamp) -> AgentState {
         if self.leaves_nothing {
-            return AgentState::Empty;
+            return AgentState::Unavailable;
         }
         let limit = self.settings.silence_limit;
         match self.registration.state(now, limit) {
@@ -98,7 +98,7 @@
     }
 
     /// Whether a replica asks for a report that it can't have got.
-    pub(super) fn owes_report(&self, now: Timestamp, group: &Group) -> bool {
+    pub(super) fn owes_report(&self, now: Timestamp, group: &GroupStatus) -> bool {
         let is_recent = now.saturating_since(self.reported_at) < SAME_REPORT;
         group.wants_report && !is_recent
     }
@@ -107,7 +107,7 @@
         self.report_number += 1;
         let state = self.state(now);
         let is_news = state != self.reported_state;
-        if is_news && state == AgentState::Empty && !self.leaves_nothing {
+        if is_news && state == AgentState::Unavailable && !self.leaves_nothing {
             let service = self.settings.service.clone();
             self.emit_event(EventKind::BackendSilent, service);
         }
@@ -125,8 +125,8 @@
             zone: self.settings.zone.clone(),
             state: state.into(),
             load: self.load_message(now),
-            leaving: self.registration.leaving(),
-            interval_millis: match self.last_word {
+            draining_backends: self.registration.leaving(),
+            next_report_millis: match self.last_word {
                 Some(_) => 0,
                 None => self.report_interval.as_millis() as u32,
             },
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{AgentState, HeldFlow, Holds, PassThroughBody};
+use petrellatch_proto::pass_through::{AgentState, OwnedFlow, FlowsOwned, PassThroughBody};
 
 use super::PassThroughAgent;
 use crate::pass_through::packet::PacketCodec;
@@ -41,14 +41,14 @@
             self.stopped |= word.is_heard || now >= word.until;
             return;
         }
-        let must_stay = self.flows.unfinished() > 0 || self.awaits_backend(now);
+        let must_stay = self.flows.unclosed() > 0 || self.awaits_backend(now);
         if now < stop_at && must_stay {
             return;
         }
         // A back end that was never heard is told as silent before the last word.
         self.report_if_changed(now);
         self.leave_flows();
-        self.leaves_nothing = self.flows.unfinished() == 0 && self.knows_all_flows(now);
+        self.leaves_nothing = self.flows.unclosed() == 0 && self.knows_all_flows(now);
         // Balancers wait for the answers of one that may have flows.
         self.last_word = Some(LastWord {
             number: self.report_number + 1,
@@ -80,19 +80,19 @@
 
     /// Tells the balancers which flows stay at the back end.
     pub(super) fn leave_flows(&mut self) {
-        let flows: Vec<HeldFlow> = self.held_flows().collect();
+        let flows: Vec<OwnedFlow> = self.held_flows().collect();
         let balancers: Vec<SocketAddrV4> = self.balancers.keys().copied().collect();
         for part in flows.chunks(HELD_FLOWS_PER_MESSAGE) {
             for balancer in &balancers {
                 let flows = part.to_vec();
-                self.send(*balancer, PassThroughBody::Holds(Holds { flows }));
+                self.send(*balancer, PassThroughBody::FlowsOwned(FlowsOwned { flows }));
             }
         }
     }
 
-    pub(super) fn held_flows(&self) -> impl Iterator<Item = HeldFlow> + '_ {
+    pub(super) fn held_flows(&self) -> impl Iterator<Item = OwnedFlow> + '_ {
         let open = self.flows.iter().filter(|(_, flow)| flow.open);
-        open.map(|(id, flow)| HeldFlow {
+        open.map(|(id, flow)| OwnedFlow {
             flow: (*id).into(),
             sequence: flow.sequence,
         })
--- a/crates/petrellatch-core/src/pass_through/balancer/edge.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/edge.rs
@@ -43,8 +43,8 @@
     }
 
     /// Whether agents are asked for a new flow; otherwise it is refused.
-    pub(super) fn admits_at_edge(&mut self, now: Timestamp, flow: FlowId, hint: &FlowHint) -> bool {
-        let kind = self.flow_kind(flow, hint.service, hint.age);
+    pub(super) fn admits_at_edge(&mut self, now: Timestamp, flow: FlowId, hint: &CachedFlow) -> bool {
+        let kind = self.flow_kind(flow, hint.service, hint.syn_age);
         if self.pressure.decide(now, kind) == EdgeDecision::Ask {
             return true;
         }
@@ -64,7 +64,7 @@
         let Some(hint) = self.hints.get_mut(flow) else {
             return 0;
         };
-        let (service, age, queued) = (hint.service, hint.age, hint.queued);
+        let (service, age, queued) = (hint.service, hint.syn_age, hint.offered_to_queue);
         let kind = self.flow_kind(flow, service, age);
         match (self.pressure.is_pressed(now, kind), queued) {
             (true, _) => PRESSED_ASKED,
@@ -76,13 +76,13 @@
     /// Notes that no agent takes a flow. If most of those that were asked had no room,
     /// the next ones are refused for a while. Silence, or back ends that leave, are no
     /// lack of room.
-    pub(super) fn note_refused(&mut self, now: Timestamp, flow: FlowId, hint: &FlowHint) {
+    pub(super) fn note_refused(&mut self, now: Timestamp, flow: FlowId, hint: &CachedFlow) {
         let asked_flow = AskedFlow {
-            kind: self.flow_kind(flow, hint.service, hint.age),
+            kind: self.flow_kind(flow, hint.service, hint.syn_age),
             route: flow.route,
             created_at: hint.created_at,
         };
-        let AskedAgents { asked, full, .. } = hint.asked;
+        let OfferCounts { offered: asked, full, .. } = hint.offer_counts;
         if full * 2 <= asked {
             self.pressure.note_unknown(asked_flow.kind);
         } else {
@@ -95,7 +95,7 @@
     /// those that wait find the next. After an outage back ends warm up, or agents have
     /// just started: they will soon take more, so that more flows may wait for it.
     pub(super) fn note_waiting(&mut self, now: Timestamp, flow: AskedFlow, load: LoadMessage) {
-        let is_starting = load.cold || load.work_micros == 0;
+        let is_starting = load.cold || load.processing_micros == 0;
         let agents = self.agents.count(flow.kind.service).serving();
         let created_at = flow.created_at;
         if !is_starting
@@ -174,7 +174,7 @@
 }
 
 /// Whether the caller of a flow that nobody has taken has given it up.
-pub(super) fn has_left(now: Timestamp, hint: &FlowHint) -> bool {
-    let age = hint.age + now.saturating_since(hint.created_at);
-    hint.opening.is_some() && has_passed(age, 0)
+pub(super) fn has_left(now: Timestamp, hint: &CachedFlow) -> bool {
+    let age = hint.syn_age + now.saturating_since(hint.created_at);
+    hint.syn.is_some() && has_passed(age, 0)
 }
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -13,9 +13,9 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    Accepted, AgentState, Carry, CarryReason, ConfigurationPart, Confirmed, DeclineReason,
-    Declined, Follow, GatheredAnswers, Group, Holds, Lacks, NotHeld, PassThroughBody,
-    PolicyRecords, Seek, SoughtFlow, Waiting, ZoneRecords, pack_address,
+    Accepted, AgentState, ForwardedPacket, ForwardReason, ConfigurationPart, VersionConfirmed, DeclineReason,
+    Declined, Subscribe, AggregatedReplies, GroupStatus, FlowsOwned, FlowsNotOwned, ReturnedPacket, PassThroughBody,
+    PolicySet, FlowQuery, QueriedFlow, FlowQueued, ZoneStatuses, pack_address,
 };
 
 use crate::event::{Event, EventKind};
@@ -29,10 +29,10 @@
 use super::choice::service_pressure::{EdgeDecision, FlowKind, PressureChange, ServicePressure};
 use super::digest::{flow_digest, is_sampled};
 use super::flows::agent_set::AgentSet;
-use super::flows::flow_hints::{AskedAgents, Candidate, CandidateState, FlowHint, FlowHints};
+use super::flows::flow_cache::{OfferCounts, Offer, OfferState, CachedFlow, FlowCache};
 use super::flows::flow_search::SearchStep;
 use super::flows::flow_searches::FlowSearches;
-use super::flows::seek_budget::SeekBudget;
+use super::flows::query_budget::QueryBudget;
 use super::group::attachments::Attachments;
 use super::group::contacts::Contacts;
 use super::group::evacuations::Evacuations;
@@ -137,9 +137,9 @@
     evacuations: Evacuations,
     agents: AgentDirectory,
     policies: ActivePolicies,
-    hints: FlowHints,
+    hints: FlowCache,
     searches: FlowSearches,
-    seek_budget: SeekBudget,
+    seek_budget: QueryBudget,
     /// Number of the latest question that one agent passes on to others.
     next_question: u64,
     /// Such questions, with the agents in the order that their answers use.
@@ -207,10 +207,10 @@
             attachments: Attachments::new(incarnation.0),
             routes: RouteTable::default(),
             evacuations: Evacuations::default(),
-            hints: FlowHints::default(),
+            hints: FlowCache::default(),
             searches: FlowSearches::default(),
             early: VecDeque::new(),
-            seek_budget: SeekBudget::new(now, link_bytes_per_second),
+            seek_budget: QueryBudget::new(now, link_bytes_per_second),
             next_question: 0,
             asked_questions: VecDeque::new(),
             awaited: VecDeque::new(),
@@ -379,20 +379,20 @@
         match body {
             PassThroughBody::Accepted(accepted) => self.handle_accepted(now, from, &accepted),
             PassThroughBody::Declined(declined) => self.handle_declined(now, from, &declined),
-            PassThroughBody::Waiting(waiting) => self.handle_waiting(now, from, &waiting),
-            PassThroughBody::Holds(holds) => self.handle_holds(now, from, &holds),
-            PassThroughBody::Lacks(lacks) => self.handle_lacks(now, from, &lacks),
-            PassThroughBody::GatheredAnswers(gathered) => self.handle_gathered(now, &gathered),
-            PassThroughBody::NotHeld(not_held) => self.handle_not_held(now, from, &not_held),
-            PassThroughBody::Group(group) => self.handle_group(now, from, &group),
-            PassThroughBody::Directory(directory) => {
+            PassThroughBody::FlowQueued(waiting) => self.handle_waiting(now, from, &waiting),
+            PassThroughBody::FlowsOwned(holds) => self.handle_holds(now, from, &holds),
+            PassThroughBody::FlowsNotOwned(lacks) => self.handle_lacks(now, from, &lacks),
+            PassThroughBody::AggregatedReplies(gathered) => self.handle_gathered(now, &gathered),
+            PassThroughBody::ReturnedPacket(not_held) => self.handle_not_held(now, from, &not_held),
+            PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
+            PassThroughBody::DirectoryPart(directory) => {
                 self.agents.handle_directory(now, from, directory);
                 if self.current {
                     self.handle_early(now);
                 }
             }
             PassThroughBody::Configuration(part) => self.handle_configuration(now, part),
-            PassThroughBody::Confirmed(confirmed) => self.handle_confirmed(now, &confirmed),
+            PassThroughBody::VersionConfirmed(confirmed) => self.handle_confirmed(now, &confirmed),
             _ => {}
         }
     }
@@ -460,14 +460,14 @@
         self.outputs.push_back(PassThroughOutput::Send { to, body });
     }
 
-    fn carry(&mut self, agent: SocketAddrV4, service: u64, reason: CarryReason, packet: Vec<u8>) {
-        let carry = Carry {
+    fn carry(&mut self, agent: SocketAddrV4, service: u64, reason: ForwardReason, packet: Vec<u8>) {
+        let carry = ForwardedPacket {
             service,
             reason: reason.into(),
             packet,
-            ..Carry::default()
+            ..ForwardedPacket::default()
         };
-        self.send(agent, PassThroughBody::Carry(carry));
+        self.send(agent, PassThroughBody::ForwardedPacket(carry));
     }
 
     fn emit_event(&mut self, kind: EventKind, subject: String) {
--- a/crates/petrellatch-core/src/pass_through/balancer/news.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/news.rs
@@ -19,12 +19,12 @@
 const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    pub(super) fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &Group) {
+    pub(super) fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.contacts.handle_group(group);
         self.handle_zones(group.zones.as_ref());
         self.handle_policies(group.policies.as_ref());
-        self.attachments.note_answer(now, from, group.serves);
-        if !group.serves {
+        self.attachments.note_answer(now, from, group.has_leader);
+        if !group.has_leader {
             // Another replica takes its place.
             self.follow_at = self.follow_at.min(now + REPAIR_INTERVAL);
         } else if !self.current && self.contacts.leader() != self.confirm_asked {
@@ -34,7 +34,7 @@
         let revision = group.directory_revision;
         let was_whole = self.agents.is_whole(now);
         self.agents
-            .handle_revision(now, from, revision, group.whole_directory);
+            .handle_revision(now, from, revision, group.directory_is_complete);
         if !was_whole && self.agents.is_whole(now) {
             self.settle_searches(now);
         }
@@ -46,11 +46,11 @@
         }
         if lacks_configuration {
             self.fetch_at = now + FETCH_INTERVAL;
-            let follow = Follow {
+            let follow = Subscribe {
                 wants_configuration: true,
                 ..self.follow_message(from)
             };
-            self.send(from, PassThroughBody::Follow(follow));
+            self.send(from, PassThroughBody::Subscribe(follow));
         } else if group.version > self.routes.version() {
             // Of an earlier answer something was lost.
             self.follow_at = self.follow_at.min(self.fetch_at);
@@ -73,8 +73,8 @@
         }
     }
 
-    pub(super) fn handle_confirmed(&mut self, now: Timestamp, confirmed: &Confirmed) {
-        if confirmed.confirm == self.confirm && !self.current {
+    pub(super) fn handle_confirmed(&mut self, now: Timestamp, confirmed: &VersionConfirmed) {
+        if confirmed.confirmation_id == self.confirm && !self.current {
             self.confirmed_version = Some(confirmed.version);
             self.handle_zones(confirmed.zones.as_ref());
             self.handle_policies(confirmed.policies.as_ref());
@@ -83,7 +83,7 @@
     }
 
     /// Takes orders about zones, if they are newer.
-    fn handle_zones(&mut self, told: Option<&ZoneRecords>) {
+    fn handle_zones(&mut self, told: Option<&ZoneStatuses>) {
         let Some(told) = told else { return };
         if self.evacuations.take_newer(told) {
             self.agents.set_evacuated(&self.evacuations);
@@ -93,7 +93,7 @@
     }
 
     /// Takes placement policies, if they are newer.
-    fn handle_policies(&mut self, told: Option<&PolicyRecords>) {
+    fn handle_policies(&mut self, told: Option<&PolicySet>) {
         let Some(told) = told else { return };
         if self.policies.take_newer(told) {
             let (index, count) = (told.index, told.policies.len());
@@ -134,15 +134,15 @@
         for replica in self.confirming_replicas(&known) {
             if !attached.contains(&replica) {
                 let follow = self.follow_message(replica);
-                self.send(replica, PassThroughBody::Follow(follow));
+                self.send(replica, PassThroughBody::Subscribe(follow));
             }
         }
         for replica in attached {
-            let follow = Follow {
-                attached: true,
+            let follow = Subscribe {
+                wants_updates: true,
                 ..self.follow_message(replica)
             };
-            self.send(replica, PassThroughBody::Follow(follow));
+            self.send(replica, PassThroughBody::Subscribe(follow));
         }
     }
 
@@ -167,25 +167,25 @@
 
     pub(super) fn leave_replicas(&mut self) {
         for replica in self.contacts.all() {
-            let follow = Follow {
-                leaving: true,
+            let follow = Subscribe {
+                unsubscribe: true,
                 ..self.follow_message(replica)
             };
-            self.send(replica, PassThroughBody::Follow(follow));
+            self.send(replica, PassThroughBody::Subscribe(follow));
         }
     }
 
-    fn follow_message(&self, replica: SocketAddrV4) -> Follow {
-        Follow {
+    fn follow_message(&self, replica: SocketAddrV4) -> Subscribe {
+        Subscribe {
             incarnation: self.incarnation.0,
             version: self.routes.version(),
-            confirm: if self.current { 0 } else { self.confirm },
-            leaving: false,
+            confirmation_id: if self.current { 0 } else { self.confirm },
+            unsubscribe: false,
             directory_revision: self.agents.revision_of(replica),
             wants_configuration: false,
-            attached: false,
+            wants_updates: false,
             evacuations_index: self.evacuations.index(),
-            wants_remembered: false,
+            wants_saved_agents: false,
             policies_index: self.policies.index(),
         }
     }
--- a/crates/petrellatch-core/src/pass_through/balancer/open_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/open_flows.rs
@@ -6,12 +6,12 @@
     pub(super) fn handle_established(&mut self, now: Timestamp, view: &PacketView, packet: &[u8]) {
         let flow = view.flow_from_caller();
         if let Some(hint) = self.hints.get_mut(flow) {
-            hint.used_at = now;
-            hint.opening = None;
-            hint.ended |= view.finish || view.reset;
+            hint.last_used_at = now;
+            hint.syn = None;
+            hint.closed |= view.finish || view.reset;
             if hint.owner.is_none() {
-                let owner = hint.acknowledged(view.acknowledged);
-                hint.owner = owner.or_else(|| hint.sole_candidate());
+                let owner = hint.agent_for_ack(view.acknowledged);
+                hint.owner = owner.or_else(|| hint.sole_offer());
             }
             let owner = hint.owner;
             if let Some(owner) = owner.filter(|owner| self.agents.get(*owner).is_some()) {
@@ -27,7 +27,7 @@
                     self.agents.note_request(service, flow_age);
                 }
                 self.counters.delivered += 1;
-                self.carry(owner, service, CarryReason::Deliver, packet.to_vec());
+                self.carry(owner, service, ForwardReason::Deliver, packet.to_vec());
                 return;
             }
         }
--- a/crates/petrellatch-core/src/pass_through/balancer/openings.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/openings.rs
@@ -24,13 +24,13 @@
         }
         if let Some(hint) = self.hints.get_mut(flow)
             && hint.service == service
-            && !hint.ended
+            && !hint.closed
             && !has_left(now, hint)
         {
-            hint.used_at = now;
+            hint.last_used_at = now;
             let asked = hint.owner.or_else(|| hint.accepted());
             if let Some(agent) = asked {
-                self.carry(agent, service, CarryReason::Open, packet.to_vec());
+                self.carry(agent, service, ForwardReason::Open, packet.to_vec());
                 return;
             }
         } else if self.hints.is_full() {
@@ -44,8 +44,8 @@
             self.hints.insert(flow, hint);
         }
         if let Some(hint) = self.hints.get_mut(flow) {
-            hint.opening = Some(packet.to_vec());
-            if hint.is_waiting() {
+            hint.syn = Some(packet.to_vec());
+            if hint.is_queued() {
                 return;
             }
         }
@@ -62,13 +62,13 @@
         service: u64,
         view: &PacketView,
         waited: Duration,
-    ) -> FlowHint {
+    ) -> CachedFlow {
         let age = view.least_age() + waited;
         let kind = self.flow_kind(view.flow_from_caller(), service, age);
-        FlowHint {
-            age,
-            queued: kind.is_late || self.pressure.is_pressed(now, kind),
-            ..FlowHint::new(now, service)
+        CachedFlow {
+            syn_age: age,
+            offered_to_queue: kind.is_late || self.pressure.is_pressed(now, kind),
+            ..CachedFlow::new(now, service)
         }
     }
 
@@ -79,17 +79,17 @@
         let Some(hint) = self.hints.get_mut(flow) else {
             return;
         };
-        let Some(packet) = hint.opening.clone() else {
+        let Some(packet) = hint.syn.clone() else {
             return;
         };
         let service = hint.service;
-        let age = hint.age + now.saturating_since(hint.created_at);
+        let age = hint.syn_age + now.saturating_since(hint.created_at);
         let class = self.routes.class(flow);
         let has_left = has_passed(age, class.deadline_millis);
         self.counters.left += u64::from(has_left);
-        let is_within = hint.heard_candidates() < limit && hint.candidates.len() < MAX_QUEUE_ASKED;
+        let is_within = hint.replied_offers() < limit && hint.offers.len() < MAX_QUEUE_ASKED;
         let may_ask = !has_left && is_within;
-        let is_further = may_ask && hint.asked.asked > 0;
+        let is_further = may_ask && hint.offer_counts.offered > 0;
         let is_paid = !is_further || self.ask_budget.pay(now, packet.len());
         self.counters.further_asked += u64::from(is_further && is_paid);
         self.counters.further_unpaid += u64::from(!is_paid);
@@ -114,15 +114,15 @@
             self.ask_to_queue(now, flow);
             return;
         };
-        hint.candidates.push(Candidate {
+        hint.offers.push(Offer {
             agent,
-            state: CandidateState::Asked,
-            asked_at: Some(now),
+            state: OfferState::Pending,
+            offered_at: Some(now),
         });
-        hint.asked.asked += 1;
-        let reason = match hint.queued {
-            false => CarryReason::Open,
-            true => CarryReason::OpenQueued,
+        hint.offer_counts.offered += 1;
+        let reason = match hint.offered_to_queue {
+            false => ForwardReason::Open,
+            true => ForwardReason::OpenQueued,
         };
         self.counters.placed += 1;
         let policy = self.policies.find(flow.route, service);
@@ -141,19 +141,19 @@
             );
             self.emit_event(EventKind::FlowPlaced, subject);
         }
-        let carry = Carry {
+        let carry = ForwardedPacket {
             service,
             reason: reason.into(),
             packet,
-            objective_millis: class.objective_millis,
+            latency_objective_millis: class.objective_millis,
             deadline_millis: class.deadline_millis,
             priority: class.priority,
-            cold_millirequests_per_second: self.routes.cold_rate(service),
-            age_millis: age.as_millis() as u32,
-            despite_failures,
-            ..Carry::default()
+            warm_up_millirequests_per_second: self.routes.cold_rate(service),
+            syn_age_millis: age.as_millis() as u32,
+            ignore_ejection: despite_failures,
+            ..ForwardedPacket::default()
         };
-        self.send(agent, PassThroughBody::Carry(carry));
+        self.send(agent, PassThroughBody::ForwardedPacket(carry));
     }
 
     /// Nobody has a free slot: asks whether somebody queues the flow.
@@ -161,12 +161,12 @@
         let Some(hint) = self.hints.get_mut(flow) else {
             return;
         };
-        if hint.is_awaited() {
+        if hint.awaits_reply() {
             return;
         }
-        if !hint.queued {
-            hint.queued = true;
-            hint.candidates.clear();
+        if !hint.offered_to_queue {
+            hint.offered_to_queue = true;
+            hint.offers.clear();
             self.ask_next(now, flow);
             return;
         }
@@ -174,7 +174,7 @@
             return;
         };
         self.note_refused(now, flow, &hint);
-        let asked = hint.asked;
+        let asked = hint.offer_counts;
         let counts = self.agents.count(hint.service);
         let detail = format!(" {asked} {counts}");
         let reason = match self.policies.excludes_all(flow.route, hint.service) {
@@ -188,15 +188,15 @@
         let Some(hint) = self.hints.get_mut(flow) else {
             return;
         };
-        let Some(candidate) = hint.candidate_mut(agent) else {
+        let Some(candidate) = hint.offer_mut(agent) else {
             return;
         };
-        if candidate.state != CandidateState::Asked {
+        if candidate.state != OfferState::Pending {
             return;
         }
-        candidate.state = CandidateState::Late;
-        hint.asked.late += 1;
-        let is_open = hint.opening.is_none();
+        candidate.state = OfferState::TimedOut;
+        hint.offer_counts.timed_out += 1;
+        let is_open = hint.syn.is_none();
         self.counters.unanswered += 1;
         if self.agents.note_missed(now, agent) {
             let subject = format!("agent={agent} flow={flow}");
@@ -209,18 +209,18 @@
 
     /// An agent lets a flow wait for a place. That must not last for long without a
     /// word of it.
-    pub(super) fn handle_waiting(&mut self, now: Timestamp, from: SocketAddrV4, told: &Waiting) {
+    pub(super) fn handle_waiting(&mut self, now: Timestamp, from: SocketAddrV4, told: &FlowQueued) {
         self.note_heard(now, from, Some(told.load));
         let flow = FlowId::from(told.flow);
         let Some(hint) = self.hints.get_mut(flow) else {
             return;
         };
-        let Some(candidate) = hint.candidate_mut(from) else {
+        let Some(candidate) = hint.offer_mut(from) else {
             return;
         };
-        candidate.state = CandidateState::Waiting;
-        let asked_at = candidate.asked_at.take();
-        let (service, age) = (hint.service, hint.age);
+        candidate.state = OfferState::Queued;
+        let asked_at = candidate.offered_at.take();
+        let (service, age) = (hint.service, hint.syn_age);
         let created_at = hint.created_at;
         if let Some(asked_at) = asked_at {
             self.answer_time.record(now.saturating_since(asked_at));
@@ -243,11 +243,11 @@
             }
             self.waiting.pop_front();
             let candidate = self.hints.get_mut(flow);
-            let candidate = candidate.and_then(|hint| hint.candidate_mut(agent));
+            let candidate = candidate.and_then(|hint| hint.offer_mut(agent));
             if let Some(candidate) = candidate
-                && candidate.state == CandidateState::Waiting
+                && candidate.state == OfferState::Queued
             {
-                candidate.state = CandidateState::Late;
+                candidate.state = OfferState::TimedOut;
                 self.ask_next(now, flow);
             }
         }
@@ -265,24 +265,24 @@
             return;
         };
         let sequence = accepted.sequence;
-        let (service, age) = (hint.service, hint.age);
+        let (service, age) = (hint.service, hint.syn_age);
         let created_at = hint.created_at;
-        let is_first = hint.opening.take().is_some();
+        let is_first = hint.syn.take().is_some();
         if is_first {
             let time = now.saturating_since(hint.created_at);
             self.latencies.placement.record(time);
         }
-        let state = CandidateState::Accepted { sequence };
-        let asked_at = match hint.candidate_mut(from) {
+        let state = OfferState::Accepted { sequence };
+        let asked_at = match hint.offer_mut(from) {
             Some(candidate) => {
                 candidate.state = state;
-                candidate.asked_at.take()
+                candidate.offered_at.take()
             }
             None => {
-                hint.candidates.push(Candidate {
+                hint.offers.push(Offer {
                     agent: from,
                     state,
-                    asked_at: None,
+                    offered_at: None,
                 });
                 None
             }
@@ -306,7 +306,7 @@
         match declined.reason() {
             DeclineReason::Draining => self.agents.note_state(from, AgentState::Draining),
             DeclineReason::NoBackend | DeclineReason::WrongService => {
-                self.agents.note_state(from, AgentState::Empty);
+                self.agents.note_state(from, AgentState::Unavailable);
             }
             DeclineReason::Returned | DeclineReason::Evacuated => {
                 self.agents.note_avoided(now, from);
@@ -320,23 +320,23 @@
         let Some(hint) = self.hints.get_mut(flow) else {
             return;
         };
-        let Some(candidate) = hint.candidate_mut(from) else {
+        let Some(candidate) = hint.offer_mut(from) else {
             return;
         };
-        candidate.state = CandidateState::Declined;
-        let asked_at = candidate.asked_at.take();
+        candidate.state = OfferState::Declined;
+        let asked_at = candidate.offered_at.take();
         let service = hint.service;
         let is_open = hint.accepted().is_some();
         match declined.reason() {
             DeclineReason::Full | DeclineReason::Cold => {
-                hint.asked.full += 1;
-                let turn = Duration::from_micros(u64::from(declined.turn_micros));
+                hint.offer_counts.full += 1;
+                let turn = Duration::from_micros(u64::from(declined.expected_wait_micros));
                 self.pressure.note_turn(service, turn);
-                if hint.queued {
+                if hint.offered_to_queue {
                     self.pressure.note_declined(now, from);
                 }
             }
-            _ => hint.asked.other += 1,
+            _ => hint.offer_counts.other += 1,
         }
         if let Some(asked_at) = asked_at {
             self.answer_time.record(now.saturating_since(asked_at));
@@ -352,13 +352,13 @@
 fn choose_other(
     now: Timestamp,
     flow: FlowId,
-    hint: &FlowHint,
+    hint: &CachedFlow,
     agents: &AgentDirectory,
     policies: &mut ActivePolicies,
     pressure: &ServicePressure,
 ) -> Option<ChosenAgent> {
     let policy = policies.find(flow.route, hint.service);
-    let queued = hint.queued;
+    let queued = hint.offered_to_queue;
     let mut choose = |exclusion_of: &dyn Fn(SocketAddrV4) -> Option<Exclusion>| {
         let Some(policy) = policy else {
             let weight_of = |_, _: &KnownAgent| Some(1.0);
@@ -370,7 +370,7 @@
         policies.end_choice(policy, hint.service, queued);
         chosen
     };
-    let was_asked = |agent| hint.was_asked(agent).then_some(Exclusion::WasAsked);
+    let was_asked = |agent| hint.was_offered(agent).then_some(Exclusion::WasAsked);
     let has_declined = |agent| {
         let has_declined = pressure.has_declined(now, agent);
         has_declined.then_some(Exclusion::HasDeclined)
--- a/crates/petrellatch-core/src/pass_through/balancer/searches.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/searches.rs
@@ -36,10 +36,10 @@
             let Some(search) = self.searches.get_mut(flow) else {
                 continue;
             };
-            if search.is_over(now) {
+            if search.has_timed_out(now) {
                 self.give_up_search(now, flow);
             } else {
-                self.searches.ask_again(flow);
+                self.searches.query_again(flow);
             }
         }
         self.send_questions(now);
@@ -47,24 +47,24 @@
 
     /// Asks for the flows whose rounds begin, unless they are still gathered.
     pub(super) fn send_questions(&mut self, now: Timestamp) {
-        let mut questions: BTreeMap<Vec<SocketAddrV4>, Vec<SoughtFlow>> = BTreeMap::new();
-        for flow in self.searches.take_unasked(now) {
+        let mut questions: BTreeMap<Vec<SocketAddrV4>, Vec<QueriedFlow>> = BTreeMap::new();
+        for flow in self.searches.take_unqueried(now) {
             let Some(search) = self.searches.get_mut(flow) else {
                 continue;
             };
-            let sought = SoughtFlow {
+            let sought = QueriedFlow {
                 flow: flow.into(),
                 acknowledged: search.acknowledged(),
             };
             if self.agents.len() <= SEEK_ALL_LIMIT {
-                search.ask_all();
+                search.query_all();
             }
-            let service = (!search.asks_all()).then_some(search.service());
+            let service = (!search.queries_all()).then_some(search.service());
             let in_time = self.answer_time.is_short();
             let agents = self.agents.searched(now, service, in_time);
             let take_budget = |asked: &Vec<SocketAddrV4>| {
                 let bytes = question_bytes(asked.len(), questions.contains_key(asked));
-                self.seek_budget.take(now, bytes)
+                self.seek_budget.try_spend(now, bytes)
             };
             let added = self.agents.added();
             let asked = self
@@ -85,15 +85,15 @@
     }
 
     /// Asks agents for flows. If they are many, one of them asks the others.
-    fn ask(&mut self, now: Timestamp, agents: &[SocketAddrV4], flows: &[SoughtFlow]) {
-        let seek = Seek {
+    fn ask(&mut self, now: Timestamp, agents: &[SocketAddrV4], flows: &[QueriedFlow]) {
+        let seek = FlowQuery {
             flows: flows.to_vec(),
-            ..Seek::default()
+            ..FlowQuery::default()
         };
         if agents.len() <= MAX_ASKED_DIRECTLY {
             for agent in agents {
                 self.agents.note_asked(now, *agent);
-                self.send(*agent, PassThroughBody::Seek(seek.clone()));
+                self.send(*agent, PassThroughBody::FlowQuery(seek.clone()));
             }
             return;
         }
@@ -102,9 +102,9 @@
         let first = self.agents.choose_asker(now, agents, question);
         let others = agents.iter().copied().filter(|agent| *agent != first);
         let others: Vec<SocketAddrV4> = others.collect();
-        let seek = Seek {
-            others: others.iter().copied().map(pack_address).collect(),
-            question,
+        let seek = FlowQuery {
+            relay_to: others.iter().copied().map(pack_address).collect(),
+            query_id: question,
             ..seek
         };
         let asked = others.into_iter().chain([first]).collect();
@@ -114,7 +114,7 @@
         }
         // Whether the others were asked is known with the first answer.
         self.agents.note_asked(now, first);
-        self.send(first, PassThroughBody::Seek(seek));
+        self.send(first, PassThroughBody::FlowQuery(seek));
     }
 
     /// Does what the answers of agents allow.
@@ -122,14 +122,14 @@
         let Some(search) = self.searches.get_mut(flow) else {
             return;
         };
-        let asked_latest = search.asked_of() == self.agents.added();
+        let asked_latest = search.agents_known_when_queried() == self.agents.added();
         let whole_directory = asked_latest && self.agents.is_whole(now);
         match search.next_step(now, whole_directory) {
             SearchStep::Wait => {}
-            SearchStep::AskAll => self.searches.ask_all(flow),
-            SearchStep::Try(agents) => self.try_agents(flow, &agents),
-            SearchStep::Gone => self.reset_gone(now, flow),
-            SearchStep::Ended => {
+            SearchStep::QueryAll => self.searches.query_all(flow),
+            SearchStep::DeliverSpeculatively(agents) => self.try_agents(flow, &agents),
+            SearchStep::Orphaned => self.reset_gone(now, flow),
+            SearchStep::CallerClosed => {
                 self.searches.remove(flow);
             }
         }
@@ -142,8 +142,8 @@
             self.take_search_step(now, flow);
             let added = self.agents.added();
             let search = self.searches.get_mut(flow);
-            if search.is_some_and(|search| search.asked_of() != added) {
-                self.searches.ask_now(flow);
+            if search.is_some_and(|search| search.agents_known_when_queried() != added) {
+                self.searches.query_now(flow);
             }
         }
     }
@@ -152,7 +152,7 @@
         let Some(search) = self.searches.get_mut(flow) else {
             return;
         };
-        let Some(packet) = search.packet_to_try().cloned() else {
+        let Some(packet) = search.packet_to_deliver().cloned() else {
             return;
         };
         let service = search.service();
@@ -164,7 +164,7 @@
         self.counters.tried += agents.len() as u64;
         if agents.len() <= MAX_TRIED_DIRECTLY {
             for agent in agents {
-                self.carry(*agent, service, CarryReason::Try, packet.clone());
+                self.carry(*agent, service, ForwardReason::Try, packet.clone());
             }
             return;
         }
@@ -173,14 +173,14 @@
             let turn = u64::from(rounds).wrapping_add(flow_digest(flow, 0));
             let first = agents[(turn % agents.len() as u64) as usize];
             let others = agents.iter().filter(|agent| **agent != first);
-            let carry = Carry {
+            let carry = ForwardedPacket {
                 service,
-                reason: CarryReason::Try.into(),
+                reason: ForwardReason::Try.into(),
                 packet: packet.clone(),
-                others: others.map(|agent| pack_address(*agent)).collect(),
-                ..Carry::default()
+                relay_to: others.map(|agent| pack_address(*agent)).collect(),
+                ..ForwardedPacket::default()
             };
-            self.send(first, PassThroughBody::Carry(carry));
+            self.send(first, PassThroughBody::ForwardedPacket(carry));
         }
     }
 
@@ -219,7 +219,7 @@
         self.emit_event(EventKind::FlowNotFound, subject);
     }
 
-    pub(super) fn handle_holds(&mut self, now: Timestamp, from: SocketAddrV4, holds: &Holds) {
+    pub(super) fn handle_holds(&mut self, now: Timestamp, from: SocketAddrV4, holds: &FlowsOwned) {
         self.note_heard(now, from, None);
         let Some(service) = self.agents.get(from).map(|agent| agent.service) else {
             return;
@@ -236,41 +236,41 @@
                 continue;
             };
             self.counters.found += 1;
-            for packet in search.into_untried() {
+            for packet in search.into_undelivered() {
                 self.counters.delivered += 1;
-                self.carry(from, service, CarryReason::Deliver, packet);
+                self.carry(from, service, ForwardReason::Deliver, packet);
             }
         }
     }
 
-    pub(super) fn handle_lacks(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &Lacks) {
+    pub(super) fn handle_lacks(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &FlowsNotOwned) {
         self.note_heard(now, from, None);
-        let certain = lacks.certain.iter().map(|flow| (flow, true));
-        let uncertain = lacks.uncertain.iter().map(|flow| (flow, false));
+        let certain = lacks.not_owned.iter().map(|flow| (flow, true));
+        let uncertain = lacks.possibly_owned.iter().map(|flow| (flow, false));
         for (flow, is_certain) in certain.chain(uncertain) {
             let flow = FlowId::from(*flow);
             if let Some(search) = self.searches.get_mut(flow) {
-                search.note_lacks(from, is_certain);
+                search.note_not_owned(from, is_certain);
                 self.take_search_step(now, flow);
             }
         }
     }
 
     /// Takes what many agents have answered to one question.
-    pub(super) fn handle_gathered(&mut self, now: Timestamp, gathered: &GatheredAnswers) {
+    pub(super) fn handle_gathered(&mut self, now: Timestamp, gathered: &AggregatedReplies) {
         let mut questions = self.asked_questions.iter();
-        let question = questions.find(|(number, _)| *number == gathered.question);
+        let question = questions.find(|(number, _)| *number == gathered.query_id);
         let Some(agents) = question.map(|(_, agents)| agents.clone()) else {
             return;
         };
         self.note_who_answered(now, &agents, gathered);
         for answers in &gathered.flows {
             let flow = FlowId::from(answers.flow);
-            for (set, is_certain) in [(&answers.certain, true), (&answers.uncertain, false)] {
+            for (set, is_certain) in [(&answers.not_owned, true), (&answers.possibly_owned, false)] {
                 let places = AgentSet::from_bytes(set);
                 for agent in places.iter().filter_map(|place| agents.get(place)) {
                     if let Some(search) = self.searches.get_mut(flow) {
-                        search.note_lacks(*agent, is_certain);
+                        search.note_not_owned(*agent, is_certain);
                     }
                 }
             }
@@ -284,12 +284,12 @@
         &mut self,
         now: Timestamp,
         agents: &[SocketAddrV4],
-        gathered: &GatheredAnswers,
+        gathered: &AggregatedReplies,
     ) {
         let sets = gathered
             .flows
             .iter()
-            .flat_map(|flow| [&flow.certain, &flow.uncertain, &flow.held]);
+            .flat_map(|flow| [&flow.not_owned, &flow.possibly_owned, &flow.owned]);
         let answered: BTreeSet<usize> = sets
             .flat_map(|set| AgentSet::from_bytes(set).iter().collect::<Vec<_>>())
             .collect();
@@ -307,7 +307,7 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        not_held: &NotHeld,
+        not_held: &ReturnedPacket,
     ) {
         let flow = FlowId::from(not_held.flow);
         let mut service = None;
@@ -320,12 +320,12 @@
             if hint.owner == Some(from) {
                 hint.owner = None;
             }
-            match hint.candidate_mut(from) {
-                Some(candidate) => candidate.state = CandidateState::Declined,
-                None => hint.candidates.push(Candidate {
+            match hint.offer_mut(from) {
+                Some(candidate) => candidate.state = OfferState::Declined,
+                None => hint.offers.push(Offer {
                     agent: from,
-                    state: CandidateState::Declined,
-                    asked_at: None,
+                    state: OfferState::Declined,
+                    offered_at: None,
                 }),
             }
         }
@@ -335,7 +335,7 @@
         }
         let is_sought = self.searches.contains(flow);
         let service = service.or_else(|| self.routes.service_for(flow));
-        if let Some(service) = service.filter(|_| is_sought || not_held.request) {
+        if let Some(service) = service.filter(|_| is_sought || not_held.carried_data) {
             self.searches.note_returned(now, service, from, not_held);
             self.take_search_step(now, flow);
         }
@@ -344,11 +344,11 @@
     /// The back end that had a flow has it no more, so no other agent can have it. Its
     /// caller is told if it waits for an answer, with what it acknowledged last as far as
     /// this balancer knows.
-    fn end_gone_flow(&mut self, from: SocketAddrV4, not_held: &NotHeld) {
+    fn end_gone_flow(&mut self, from: SocketAddrV4, not_held: &ReturnedPacket) {
         let flow = FlowId::from(not_held.flow);
         let search = self.searches.remove(flow);
         let sought = search.as_ref().filter(|search| search.has_packet());
-        let waits = not_held.request || sought.is_some_and(FlowSearch::caller_waits);
+        let waits = not_held.carried_data || sought.is_some_and(FlowSearch::caller_awaits_response);
         if !waits {
             return;
         }
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -52,7 +52,7 @@
     fn link_class(&self, output: &PassThroughOutput) -> LinkClass {
         let flow = match output {
             PassThroughOutput::Send {
-                body: PassThroughBody::Carry(carry),
+                body: PassThroughBody::ForwardedPacket(carry),
                 ..
             } => {
                 let view = self.codec.view(&carry.packet);
--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, Directory, DirectoryChange, LoadMessage, Report, unpack_address,
+    AgentState, DirectoryPart, DirectoryChange, LoadMessage, Report, unpack_address,
 };
 
 use crate::time::Timestamp;
@@ -16,7 +16,7 @@
 use super::service_pattern::ServicePattern;
 use super::weight_groups::WeightGroups;
 use crate::pass_through::digest::{address_digest, flow_digest, service_digest, zone_digest};
-use crate::pass_through::flows::flow_search::SearchedAgent;
+use crate::pass_through::flows::flow_search::SearchTarget;
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::packet::FlowId;
 use crate::pass_through::policies::backend_profile::BackendProfile;
@@ -184,10 +184,10 @@
         now: Timestamp,
         service: Option<u64>,
         in_time: bool,
-    ) -> Vec<SearchedAgent> {
+    ) -> Vec<SearchTarget> {
         let wanted = |agent: &KnownAgent| service.is_none_or(|it| it == agent.service);
         let agents = self.agents.iter().filter(|(_, agent)| wanted(agent));
-        let searched = agents.map(|(address, agent)| SearchedAgent {
+        let searched = agents.map(|(address, agent)| SearchTarget {
             address: *address,
             is_expected: agent.is_expected(now, in_time),
             has_backend: agent.has_backend(),
@@ -297,14 +297,14 @@
         &mut self,
         now: Timestamp,
         replica: SocketAddrV4,
-        directory: Directory,
+        directory: DirectoryPart,
     ) {
         let told = self.replicas.entry(replica).or_default();
         let base = directory.base_revision;
         if base != 0 && base != told.revision {
             return;
         }
-        let Directory {
+        let DirectoryPart {
             revision,
             part,
             parts,
@@ -318,7 +318,7 @@
         if base == 0 {
             told.agents.clear();
         }
-        for address in &change.gone {
+        for address in &change.removed {
             told.agents.remove(&unpack_address(*address));
         }
         let addresses = change
@@ -482,7 +482,7 @@
         let takes_flows = |state| match state {
             AgentState::Ready => true,
             AgentState::Starting => include_starting,
-            AgentState::Empty | AgentState::Draining => false,
+            AgentState::Unavailable | AgentState::Draining => false,
         };
         let pattern = self.patterns.get(&service).copied().unwrap_or_default();
         let tie_millis = usual_work_millis(pattern.work_millis()) * TIE_SHARE;
--- a/crates/petrellatch-core/src/pass_through/choice/expected_completion.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/expected_completion.rs
@@ -30,8 +30,8 @@
 /// The time that a back end works on one request, in milliseconds: its own where it is
 /// known, or else what its service takes in the mean.
 pub(crate) fn work_millis(load: &LoadMessage, service_mean_millis: Option<f64>) -> f64 {
-    if load.work_micros > 0 {
-        return f64::from(load.work_micros) / 1_000.0;
+    if load.processing_micros > 0 {
+        return f64::from(load.processing_micros) / 1_000.0;
     }
     let usual = usual_work_millis(service_mean_millis);
     usual * if load.cold { COLD_FACTOR } else { 1.0 }
--- a/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
@@ -71,7 +71,7 @@
         self.load_at = now;
         self.sent_since = 0;
         self.load_revision += 1;
-        self.left_out_until = now + Duration::from_millis(u64::from(load.left_out_millis));
+        self.left_out_until = now + Duration::from_millis(u64::from(load.ejected_millis));
     }
 
     pub(crate) fn note_sent(&mut self) {
@@ -161,7 +161,7 @@
     /// milliseconds: by the requests in hand as far as flows are short, and by what the
     /// open flows need as far as they live long.
     fn expected_millis(&self, now: Timestamp, pattern: &ServicePattern) -> f64 {
-        let slots = self.load.capacity;
+        let slots = self.load.slots;
         let work = work_millis(&self.load, pattern.work_millis());
         let usual = usual_work_millis(pattern.work_millis());
         let requests = self.expected_requests(now);
@@ -188,7 +188,7 @@
     fn expected_requests(&self, now: Timestamp) -> f64 {
         let age = now.saturating_since(self.load_at);
         let half_lives = age.as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
-        let known = f64::from(self.load.busy) + f64::from(self.sent_since);
+        let known = f64::from(self.load.in_flight_requests) + f64::from(self.sent_since);
         known * 0.5_f64.powf(half_lives)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/choice/service_pattern.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_pattern.rs
@@ -28,8 +28,8 @@
 impl ServicePattern {
     /// Takes the load that an agent of the service told.
     pub(crate) fn note_load(&mut self, load: &LoadMessage) {
-        if load.work_micros > 0 && !load.cold {
-            let millis = f64::from(load.work_micros) / 1_000.0;
+        if load.processing_micros > 0 && !load.cold {
+            let millis = f64::from(load.processing_micros) / 1_000.0;
             note_sample(&mut self.work_millis, millis);
         }
         if load.open_flows > 0 {
--- a/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
@@ -9,35 +9,35 @@
         let lacks_zones = report.evacuations_index < self.evacuations().index_of(&report.zone);
         let known_zones = report.evacuations_index;
         let answered_report = report.sequence;
-        let is_last = report.interval_millis == 0;
+        let is_last = report.next_report_millis == 0;
         let news = self.followers.handle_report(now, report);
         if news {
             let at = now + DIRECTORY_DELAY;
             self.directory_at = Some(self.directory_at.map_or(at, |due| due.min(at)));
         }
         if news || wants_group || lacks_zones || is_last {
-            let group = Group {
-                leaving: self.followers.leaving(agent),
-                had_former_life: self.followers.had_former_life(agent),
-                answers_report: true,
-                answered_report,
-                remembered: self.daemon_memory.remembers(now, agent),
+            let group = GroupStatus {
+                draining_backends: self.followers.leaving(agent),
+                knows_previous_incarnation: self.followers.had_former_life(agent),
+                has_report: true,
+                acknowledged_report: answered_report,
+                agent_is_saved: self.daemon_memory.remembers(now, agent),
                 ..self.group_with_zones(now, known_zones)
             };
-            self.send(from, PassThroughBody::Group(group));
+            self.send(from, PassThroughBody::GroupStatus(group));
         }
     }
 
-    pub(super) fn handle_follow(&mut self, now: Timestamp, from: SocketAddrV4, follow: &Follow) {
-        if follow.wants_remembered {
+    pub(super) fn handle_follow(&mut self, now: Timestamp, from: SocketAddrV4, follow: &Subscribe) {
+        if follow.wants_saved_agents {
             self.tell_remembered(now, from);
             return;
         }
-        if follow.leaving {
+        if follow.unsubscribe {
             self.followers.forget_follower(from);
             return;
         }
-        if follow.attached {
+        if follow.wants_updates {
             self.followers.note_follower(now, from);
             let directory = self.followers.directory(now, follow.directory_revision);
             self.send_all(from, directory);
@@ -48,15 +48,15 @@
                 .news(follow.version, self.state.configuration());
             self.send_all(from, news);
         }
-        let group = Group {
+        let group = GroupStatus {
             policies: self.policies().news_since(follow.policies_index),
             ..self.group_with_zones(now, follow.evacuations_index)
         };
-        self.send(from, PassThroughBody::Group(group));
-        if follow.confirm != 0 && self.replica.role() == Role::Leader {
+        self.send(from, PassThroughBody::GroupStatus(group));
+        if follow.confirmation_id != 0 && self.replica.role() == Role::Leader {
             let read = PendingRead::Balancer {
                 address: from,
-                confirm: follow.confirm,
+                confirm: follow.confirmation_id,
             };
             self.request_read(now, read);
         }
@@ -72,27 +72,27 @@
         hears_leader && !self.disk_is_stalled(now)
     }
 
-    pub(super) fn group(&self, now: Timestamp) -> Group {
+    pub(super) fn group(&self, now: Timestamp) -> GroupStatus {
         let members = self.replica.membership().members();
         let address = |member: &crate::consensus::Member| member.replica.node.0;
-        Group {
+        GroupStatus {
             replicas: members.iter().map(address).collect(),
-            index: self.replica.membership_index(),
+            membership_index: self.replica.membership_index(),
             version: self.configuration().version,
             directory_revision: self.followers.revision(),
-            leaving: Vec::new(),
-            serves: self.serves(now),
+            draining_backends: Vec::new(),
+            has_leader: self.serves(now),
             leader: self.replica.leader().map_or(0, |leader| leader.0),
             report_interval_millis: self.followers.report_interval().as_millis() as u32,
-            whole_directory: self.followers.is_whole(now),
-            had_former_life: false,
-            answers_report: false,
+            directory_is_complete: self.followers.is_whole(now),
+            knows_previous_incarnation: false,
+            has_report: false,
             zones: None,
-            answered_report: 0,
-            remembered: false,
+            acknowledged_report: 0,
+            agent_is_saved: false,
             wants_report: false,
-            remembered_agents: Vec::new(),
-            remembered_count: 0,
+            saved_agents: Vec::new(),
+            saved_agent_count: 0,
             policies: None,
         }
     }
@@ -111,7 +111,7 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        directory: Directory,
+        directory: DirectoryPart,
     ) {
         if !self.directory_fetch.awaits(from) {
             return;
@@ -125,10 +125,10 @@
 
     /// Takes the word of another replica on the directory that it told before. As
     /// long as that is not whole, others are asked: they may have started as well.
-    pub(super) fn note_whole_takeover(&mut self, from: SocketAddrV4, group: &Group) {
+    pub(super) fn note_whole_takeover(&mut self, from: SocketAddrV4, group: &GroupStatus) {
         if self.took_over_from == Some(from) {
             self.took_over_from = None;
-            if group.whole_directory {
+            if group.directory_is_complete {
                 self.directory_fetch.finish();
                 self.followers.note_whole();
             }
@@ -136,12 +136,12 @@
     }
 
     fn ask_for_directory(&mut self, peer: SocketAddrV4, leaving: bool) {
-        let follow = Follow {
-            attached: true,
-            leaving,
-            ..Follow::default()
+        let follow = Subscribe {
+            wants_updates: true,
+            unsubscribe: leaving,
+            ..Subscribe::default()
         };
-        self.send(peer, PassThroughBody::Follow(follow));
+        self.send(peer, PassThroughBody::Subscribe(follow));
     }
 
     /// Tells the followers once this replica hears a leader again: some of
@@ -160,7 +160,7 @@
                 .chain(former)
                 .collect();
             for follower in followers {
-                self.send(follower, PassThroughBody::Group(group.clone()));
+                self.send(follower, PassThroughBody::GroupStatus(group.clone()));
             }
         }
         self.served = serves;
@@ -193,7 +193,7 @@
         self.whole_check_at = None;
         let group = self.group(now);
         for follower in self.followers.followers() {
-            self.send(follower, PassThroughBody::Group(group.clone()));
+            self.send(follower, PassThroughBody::GroupStatus(group.clone()));
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/calls.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/calls.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use petrellatch_proto::pass_through::{PassThroughBody, PlacementPolicy, PolicyRecords};
+use petrellatch_proto::pass_through::{PassThroughBody, PlacementPolicy, PolicySet};
 use snafu::Snafu;
 
 use crate::consensus::PersistRequest;
@@ -103,7 +103,7 @@
     /// What the policy of a service decides.
     PolicyExplained(ExplainedPolicy),
     /// The newest policies.
-    Policies(PolicyRecords),
+    Policies(PolicySet),
     /// Another replica leads.
     Elsewhere {
         /// Its address for messages between processes.
--- a/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
@@ -1,6 +1,6 @@
 //! The records of open flows, beside the log: no leader is needed.
 
-use petrellatch_proto::pass_through::{FlowRecordChange, RecallFlows};
+use petrellatch_proto::pass_through::{FlowRecordChange, FlowRecordRequest};
 
 use super::*;
 
@@ -34,7 +34,7 @@
         change: FlowRecordChange,
     ) {
         if let Some(kept) = self.flow_records.handle_change(now, change) {
-            self.send(from, PassThroughBody::FlowRecordKept(kept));
+            self.send(from, PassThroughBody::FlowRecordAck(kept));
         }
     }
 
@@ -42,10 +42,10 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        question: RecallFlows,
+        question: FlowRecordRequest,
     ) {
         for part in self.flow_records.handle_recall(now, question) {
-            self.send(from, PassThroughBody::FormerFlows(part));
+            self.send(from, PassThroughBody::FlowRecordResponse(part));
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
@@ -61,11 +61,11 @@
         let peers = self.member_addresses().into_iter();
         let peers = peers.filter(|peer| *peer != own && !expected.has_told_all(*peer));
         for peer in peers.collect::<Vec<_>>() {
-            let follow = Follow {
-                wants_remembered: true,
-                ..Follow::default()
+            let follow = Subscribe {
+                wants_saved_agents: true,
+                ..Subscribe::default()
             };
-            self.send(peer, PassThroughBody::Follow(follow));
+            self.send(peer, PassThroughBody::Subscribe(follow));
         }
     }
 
@@ -82,25 +82,25 @@
             return;
         }
         let agents: Vec<u64> = self.followers.agents_to_remember().into_iter().collect();
-        let group = Group {
-            remembered_count: agents.len() as u32,
+        let group = GroupStatus {
+            saved_agent_count: agents.len() as u32,
             ..self.group(now)
         };
         for agents in agents.chunks(AGENTS_PER_MESSAGE) {
-            let group = Group {
-                remembered_agents: agents.to_vec(),
+            let group = GroupStatus {
+                saved_agents: agents.to_vec(),
                 ..group.clone()
             };
-            self.send(to, PassThroughBody::Group(group));
+            self.send(to, PassThroughBody::GroupStatus(group));
         }
     }
 
     /// Takes what another replica remembers.
-    pub(super) fn note_remembered(&mut self, from: SocketAddrV4, group: &Group) {
+    pub(super) fn note_remembered(&mut self, from: SocketAddrV4, group: &GroupStatus) {
         let is_member = self.member_addresses().contains(&from);
-        if group.remembered_count > 0 && is_member {
+        if group.saved_agent_count > 0 && is_member {
             let expected = self.followers.expected_mut();
-            let (agents, count) = (&group.remembered_agents, group.remembered_count);
+            let (agents, count) = (&group.saved_agents, group.saved_agent_count);
             expected.handle_told(from, group.directory_revision, agents, count);
         }
     }
@@ -113,7 +113,7 @@
         }
         self.memory_exchange.tell_at = None;
         let group = self.group(now);
-        if !group.serves {
+        if !group.has_leader {
             return;
         }
         let own = self.replica.id().node.0;
@@ -123,11 +123,11 @@
             self.memory_exchange.tell_at = Some(now + ROUND_INTERVAL);
         }
         for agent in told {
-            let group = Group {
+            let group = GroupStatus {
                 wants_report: self.followers.expected().is_awaited(agent),
                 ..group.clone()
             };
-            self.send(unpack_address(agent), PassThroughBody::Group(group));
+            self.send(unpack_address(agent), PassThroughBody::GroupStatus(group));
         }
     }
 }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -20,8 +20,8 @@
 
 use petrellatch_proto::consensus::{ConsensusBody, ConsensusMessage};
 use petrellatch_proto::pass_through::{
-    Confirmed, Directory, Follow, Group, PassThroughBody, PolicyChange, ReplicaZone, Report,
-    ZoneOrder, pack_address, unpack_address,
+    VersionConfirmed, DirectoryPart, Subscribe, GroupStatus, PassThroughBody, PolicyChange, ReplicaZone, Report,
+    ZoneCommand, pack_address, unpack_address,
 };
 use prost::Message;
 use rand::{RngExt, SeedableRng};
@@ -274,26 +274,26 @@
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
             PassThroughBody::Consensus(bytes) => self.handle_consensus(now, from, &bytes),
-            PassThroughBody::Group(group) => {
+            PassThroughBody::GroupStatus(group) => {
                 self.note_whole_takeover(from, &group);
                 self.note_remembered(from, &group);
                 self.contacts.handle_group(&group);
                 self.apply_contacts();
             }
             PassThroughBody::Report(report) => self.handle_report(now, from, report),
-            PassThroughBody::Follow(follow) => self.handle_follow(now, from, &follow),
-            PassThroughBody::Directory(directory) => {
+            PassThroughBody::Subscribe(follow) => self.handle_follow(now, from, &follow),
+            PassThroughBody::DirectoryPart(directory) => {
                 self.handle_directory(now, from, directory);
             }
             PassThroughBody::ReplicaZone(told) => self.keeper.note_zone(node_at(from), told.zone),
-            PassThroughBody::EvacuationsKnown(known) => {
+            PassThroughBody::EvacuationsAck(known) => {
                 self.followers
                     .note_evacuations_known(known.address, known.index);
             }
             PassThroughBody::FlowRecordChange(change) => {
                 self.handle_record_change(now, from, *change);
             }
-            PassThroughBody::RecallFlows(question) => self.handle_recall(now, from, question),
+            PassThroughBody::FlowRecordRequest(question) => self.handle_recall(now, from, question),
             _ => {}
         }
         self.drain(now);
@@ -313,7 +313,7 @@
             }
             ConfigurationRequest::PutPolicy { policy, base_index } => {
                 let change = PolicyChange {
-                    change: self.random.random(),
+                    change_id: self.random.random(),
                     base_index,
                     put: Some(policy),
                     removed: String::new(),
@@ -322,7 +322,7 @@
             }
             ConfigurationRequest::RemovePolicy { name, base_index } => {
                 let change = PolicyChange {
-                    change: self.random.random(),
+                    change_id: self.random.random(),
                     base_index,
                     put: None,
                     removed: name,
@@ -341,11 +341,11 @@
                 allow_last,
                 ordered_at_millis,
             } => {
-                let order = ZoneOrder {
-                    order: self.random.random(),
+                let order = ZoneCommand {
+                    command_id: self.random.random(),
                     zone,
                     evacuated,
-                    ordered_at_millis,
+                    issued_at_millis: ordered_at_millis,
                 };
                 self.handle_zone_order(now, token, order, allow_last);
             }
@@ -424,7 +424,7 @@
         if joins && self.replica.role() != Role::Leader {
             // The newcomer may know no replica but this one.
             let group = self.group(now);
-            self.send(from, PassThroughBody::Group(group));
+            self.send(from, PassThroughBody::GroupStatus(group));
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -40,7 +40,7 @@
         match self.replica.propose(now, command) {
             Ok(_) => {
                 let deadline = now + self.settings.request_limit;
-                self.policy_changes.add(change.change, token, deadline);
+                self.policy_changes.add(change.change_id, token, deadline);
             }
             Err(_) => self.respond_elsewhere(token),
         }
@@ -113,7 +113,7 @@
             self.emit_event(EventKind::PolicyChanged, subject);
             self.zone_news.note_balancers();
         }
-        let Some(token) = self.policy_changes.take(change.change) else {
+        let Some(token) = self.policy_changes.take(change.change_id) else {
             return;
         };
         match outcome {
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -119,13 +119,13 @@
             }
             Some(PendingRead::Balancer { address, confirm }) => {
                 let version = self.configuration().version;
-                let confirmed = Confirmed {
-                    confirm,
+                let confirmed = VersionConfirmed {
+                    confirmation_id: confirm,
                     version,
                     zones: self.evacuations().news_since(0),
                     policies: self.policies().news_since(0),
                 };
-                self.send(address, PassThroughBody::Confirmed(confirmed));
+                self.send(address, PassThroughBody::VersionConfirmed(confirmed));
             }
             None => {}
         }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_news.rs
@@ -48,12 +48,12 @@
         if !std::mem::take(&mut self.zone_news.balancers_due) {
             return;
         }
-        let group = Group {
+        let group = GroupStatus {
             policies: self.policies().news_since(0),
             ..self.group_with_zones(now, 0)
         };
         for follower in self.followers.followers() {
-            self.send(follower, PassThroughBody::Group(group.clone()));
+            self.send(follower, PassThroughBody::GroupStatus(group.clone()));
         }
     }
 
@@ -83,13 +83,13 @@
         self.zone_news.agents_at = interval.map(|interval| now + interval);
         let group = self.group_with_zones(now, 0);
         for agent in agents.told {
-            self.send(agent, PassThroughBody::Group(group.clone()));
+            self.send(agent, PassThroughBody::GroupStatus(group.clone()));
         }
     }
 
     /// The group, with the orders about zones unless the receiver knows them.
-    pub(super) fn group_with_zones(&self, now: Timestamp, known: u64) -> Group {
-        Group {
+    pub(super) fn group_with_zones(&self, now: Timestamp, known: u64) -> GroupStatus {
+        GroupStatus {
             zones: self.evacuations().news_since(known),
             ..self.group(now)
         }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_orders.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_orders.rs
@@ -9,7 +9,7 @@
         &mut self,
         now: Timestamp,
         token: u64,
-        order: ZoneOrder,
+        order: ZoneCommand,
         allow_last: bool,
     ) {
         let zones = &self.settings.zones;
@@ -35,7 +35,7 @@
         match self.replica.propose(now, command) {
             Ok(_) => {
                 let deadline = now + self.settings.request_limit;
-                self.zone_orders.add(order.order, token, deadline);
+                self.zone_orders.add(order.command_id, token, deadline);
             }
             Err(_) => self.respond_elsewhere(token),
         }
@@ -57,7 +57,7 @@
     }
 
     /// An order was applied: whoever waits for it is answered, and daemons are told.
-    pub(super) fn note_zone_order(&mut self, now: Timestamp, order: &ZoneOrder, changed: bool) {
+    pub(super) fn note_zone_order(&mut self, now: Timestamp, order: &ZoneCommand, changed: bool) {
         if changed {
             let kind = match order.evacuated {
                 true => EventKind::ZoneEvacuated,
@@ -66,12 +66,12 @@
             let index = self.evacuations().index();
             let subject = format!(
                 "zone={} order={:016x} index={index}",
-                order.zone, order.order
+                order.zone, order.command_id
             );
             self.emit_event(kind, subject);
             self.zone_news.note_order(now);
         }
-        if let Some(token) = self.zone_orders.take(order.order) {
+        if let Some(token) = self.zone_orders.take(order.command_id) {
             self.respond(token, ConfigurationResponse::ZoneOrdered);
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -7,8 +7,8 @@
 use crate::time::Timestamp;
 
 use super::flow_demand::FlowDemand;
-use super::former_flows::RecordedFlow;
-use super::life_proof::ProbedFlow;
+use super::recorded_flow::RecordedFlow;
+use super::restart_probe::ProbedFlow;
 use crate::pass_through::packet::{FlowId, PacketView};
 
 /// How far a caller's acknowledgement may be ahead of the first sequence
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AgentFlow {
     /// Who sent its packets last.
-    pub(crate) balancer: Option<SocketAddrV4>,
+    pub(crate) last_balancer: Option<SocketAddrV4>,
     /// First sequence number of the back end, if it answered here.
     pub(crate) sequence: Option<u32>,
     /// The caller has acknowledged the back end's answer.
@@ -39,7 +39,7 @@
     pub(crate) acknowledged: Option<u32>,
     /// The caller's latest packet without data. The back end returns it if it does not
     /// have the flow.
-    pub(crate) bare_packet: Option<Vec<u8>>,
+    pub(crate) probe_packet: Option<Vec<u8>>,
     /// The back end has spoken on it in this life of the agent.
     backend_has_spoken: bool,
     /// A request waits for its answer.
@@ -49,7 +49,7 @@
     pub(crate) created_at: Timestamp,
     /// What its request waits for.
     request: RequestState,
-    pub(crate) active_at: Timestamp,
+    pub(crate) last_active_at: Timestamp,
 }
 
 /// Where the request of a flow is at the back end, as far as its agent can tell: a
@@ -66,7 +66,7 @@
 
 impl AgentFlow {
     /// Whether the back end has a request of it that it has not begun to answer.
-    pub(crate) fn has_request(&self) -> bool {
+    pub(crate) fn has_pending_request(&self) -> bool {
         self.request != RequestState::None && !self.has_ended()
     }
 
@@ -77,7 +77,7 @@
 
     /// Whether it is open and the back end has shown that it has it, or had: balancers may
     /// hand over packets of a flow that lives at another back end.
-    pub(crate) fn is_proved_open(&self) -> bool {
+    pub(crate) fn is_confirmed_open(&self) -> bool {
         self.is_open() && (self.sequence.is_some() || self.backend_has_spoken)
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// Whether it is this flow, and was not opened anew since.
-    pub(crate) fn is_same(&self, flow: &RecordedFlow) -> bool {
+    pub(crate) fn is_same_connection(&self, flow: &RecordedFlow) -> bool {
         self.sequence.is_none_or(|known| known == flow.sequence)
     }
 
     /// Whether a packet with this acknowledgement belongs to the back end.
-    pub(crate) fn owns(&self, acknowledged: u32) -> bool {
+    pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
         match self.sequence {
             Some(sequence) => acknowledged.wrapping_sub(sequence) < SEQUENCE_WINDOW,
             None => self.open,
@@ -129,7 +129,7 @@
         self.flows.get(&flow)
     }
 
-    pub(crate) fn busy(&self) -> u32 {
+    pub(crate) fn in_flight_requests(&self) -> u32 {
         self.busy
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// How many flows their back end has not ended.
-    pub(crate) fn unfinished(&self) -> usize {
+    pub(crate) fn unclosed(&self) -> usize {
         let has_ended = |flow: &&AgentFlow| flow.backend_has_ended;
         self.flows.len() - self.flows.values().filter(has_ended).count()
     }
@@ -177,10 +177,10 @@
         capacity: u32,
     ) {
         let flow = self.entry(now, id);
-        flow.active_at = now;
-        flow.balancer = Some(balancer);
+        flow.last_active_at = now;
+        flow.last_balancer = Some(balancer);
         match packet {
-            CallerPacket::Opening => {
+            CallerPacket::Syn => {
                 self.set_busy(id, true);
                 self.half_open.push_back((now + HALF_OPEN_LIMIT, id));
             }
@@ -190,7 +190,7 @@
                 self.set_busy(id, true);
                 self.begin_request(now, id, capacity);
             }
-            CallerPacket::End => {
+            CallerPacket::Fin => {
                 self.end(now, id, |flow| flow.caller_has_ended = true);
             }
             CallerPacket::Reset => {
@@ -211,7 +211,7 @@
         }
         flow.acknowledged = Some(view.acknowledged);
         if view.data_bytes == 0 && !view.finish && !view.reset {
-            flow.bare_packet = Some(packet.to_vec());
+            flow.probe_packet = Some(packet.to_vec());
         }
     }
 
@@ -223,22 +223,22 @@
         id: FlowId,
         packet: BackendPacket,
     ) -> Option<Duration> {
-        if let BackendPacket::OpeningAnswer { sequence } = packet {
+        if let BackendPacket::SynAck { sequence } = packet {
             self.begin_anew(now, id, sequence);
         }
         let flow = self.entry(now, id);
-        flow.active_at = now;
+        flow.last_active_at = now;
         flow.backend_has_spoken = true;
         match packet {
-            BackendPacket::OpeningAnswer { sequence } => flow.sequence = Some(sequence),
+            BackendPacket::SynAck { sequence } => flow.sequence = Some(sequence),
             BackendPacket::Established => self.open(id),
-            BackendPacket::Answer => {
+            BackendPacket::Response => {
                 self.open(id);
                 let time = self.finish_request(now, id);
                 self.set_busy(id, false);
                 return time;
             }
-            BackendPacket::End => {
+            BackendPacket::Fin => {
                 // The last packet of an answer often overtakes the others.
                 let time = self.finish_request(now, id);
                 self.end(now, id, |flow| flow.backend_has_ended = true);
@@ -258,8 +258,8 @@
         if !self.flows.get(&id).is_some_and(is_another) {
             return;
         }
-        let balancer = self.remove(now, id).and_then(|flow| flow.balancer);
-        self.entry(now, id).balancer = balancer;
+        let balancer = self.remove(now, id).and_then(|flow| flow.last_balancer);
+        self.entry(now, id).last_balancer = balancer;
         self.set_busy(id, true);
         self.half_open.push_back((now + HALF_OPEN_LIMIT, id));
     }
@@ -306,12 +306,12 @@
 
     /// Open flows of the back end that are younger than `lifetime`, with packets that the back end returns
     /// if it does not have them.
-    pub(crate) fn probed(&self, now: Timestamp, lifetime: Duration) -> Vec<ProbedFlow> {
+    pub(crate) fn flows_to_probe(&self, now: Timestamp, lifetime: Duration) -> Vec<ProbedFlow> {
         let is_young = |flow: &AgentFlow| now.saturating_since(flow.created_at) < lifetime;
         let open = self
             .flows
             .iter()
-            .filter(|(_, flow)| flow.is_proved_open() && is_young(flow));
+            .filter(|(_, flow)| flow.is_confirmed_open() && is_young(flow));
         let probed = |(id, flow): (&FlowId, &AgentFlow)| {
             let acknowledged = flow.acknowledged?;
             Some(ProbedFlow {
@@ -321,7 +321,7 @@
                     acknowledged,
                 },
                 seen_at: flow.created_at,
-                witness: Some(flow.bare_packet.clone()?),
+                probe_packet: Some(flow.probe_packet.clone()?),
             })
         };
         open.filter_map(probed).collect()
@@ -342,9 +342,9 @@
 
     /// Keeps a packet without data that the caller of a flow has sent to a former life of
     /// the agent, unless there is a later one.
-    pub(crate) fn note_witness(&mut self, id: FlowId, packet: &[u8]) {
+    pub(crate) fn note_probe_packet(&mut self, id: FlowId, packet: &[u8]) {
         if let Some(flow) = self.flows.get_mut(&id) {
-            flow.bare_packet.get_or_insert_with(|| packet.to_vec());
+            flow.probe_packet.get_or_insert_with(|| packet.to_vec());
         }
     }
 
@@ -358,7 +358,7 @@
 
     /// Forgets flows that are over, or that rested for `idle_limit`.
     pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
-        let rest = |flow: &AgentFlow| now.saturating_since(flow.active_at);
+        let rest = |flow: &AgentFlow| now.saturating_since(flow.last_active_at);
         let limit = |flow: &AgentFlow| match flow {
             flow if flow.backend_has_ended => ENDED_LIMIT,
             flow if !flow.open => OPENING_LIMIT,
@@ -391,18 +391,18 @@
 
     fn entry(&mut self, now: Timestamp, id: FlowId) -> &mut AgentFlow {
         self.flows.entry(id).or_insert(AgentFlow {
-            balancer: None,
+            last_balancer: None,
             sequence: None,
             open: false,
             acknowledged: None,
-            bare_packet: None,
+            probe_packet: None,
             backend_has_spoken: false,
             busy: false,
             caller_has_ended: false,
             backend_has_ended: false,
             created_at: now,
             request: RequestState::None,
-            active_at: now,
+            last_active_at: now,
         })
     }
 
@@ -443,10 +443,10 @@
 /// What a packet from the caller's side means for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerPacket {
-    Opening,
+    Syn,
     Established,
     Request,
-    End,
+    Fin,
     /// The caller gives it up: its back end forgets it at once.
     Reset,
 }
@@ -454,8 +454,8 @@
 /// What a packet from the back end means for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BackendPacket {
-    OpeningAnswer { sequence: u32 },
+    SynAck { sequence: u32 },
     Established,
-    Answer,
-    End,
+    Response,
+    Fin,
 }
--- a/crates/petrellatch-core/src/pass_through/flows/ended_columns.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/closed_flow_columns.rs
@@ -2,11 +2,11 @@
 
 use petrellatch_proto::pass_through::{FlowColumns, unpack_address};
 
-use super::former_flows::{RecordedFlow, to_columns};
+use super::recorded_flow::{RecordedFlow, to_columns};
 use crate::pass_through::packet::FlowId;
 
 /// Puts flows that ended into columns.
-pub(crate) fn to_ended_columns(flows: &[FlowId]) -> FlowColumns {
+pub(crate) fn to_closed_columns(flows: &[FlowId]) -> FlowColumns {
     let flows = flows.iter().map(|id| RecordedFlow {
         id: *id,
         sequence: 0,
@@ -19,7 +19,7 @@
 }
 
 /// Takes flows that ended out of columns. Incomplete ones are left out.
-pub(crate) fn ended_flows(columns: &FlowColumns) -> Vec<FlowId> {
+pub(crate) fn closed_flows(columns: &FlowColumns) -> Vec<FlowId> {
     let flow = |(caller, place): (&u64, &u32)| {
         let route = *columns.routes.get(*place as usize)?;
         Some(FlowId {
@@ -27,6 +27,6 @@
             route: unpack_address(route),
         })
     };
-    let pairs = columns.callers.iter().zip(&columns.route_places);
+    let pairs = columns.callers.iter().zip(&columns.route_indexes);
     pairs.filter_map(flow).collect()
 }
--- a/crates/petrellatch-core/src/pass_through/flows/former_recall.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::FormerFlows;
+use petrellatch_proto::pass_through::FlowRecordResponse;
 
-use super::former_flows::{FormerRecord, from_columns};
+use super::recorded_flow::{PreviousFlowRecord, from_columns};
 use crate::time::Timestamp;
 
 /// Between two questions to a replica that has not answered, in the first seconds.
@@ -28,7 +28,7 @@
 
 /// How a recall ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RecallOutcome {
+pub enum RecoveryOutcome {
     /// A replica had a record.
     Recalled,
     /// Replicas answered, and none had a record.
@@ -39,10 +39,10 @@
 
 /// The end of a recall.
 #[derive(Debug)]
-pub(crate) struct RecallEnd {
-    pub(crate) outcome: RecallOutcome,
+pub(crate) struct RecoveryEnd {
+    pub(crate) outcome: RecoveryOutcome,
     /// Number of the record.
-    pub(crate) number: u64,
+    pub(crate) revision: u64,
     /// Flows in it.
     pub(crate) flows: usize,
 }
@@ -51,27 +51,27 @@
 enum Answer {
     Parts {
         number: u64,
-        parts: BTreeMap<u32, FormerFlows>,
+        parts: BTreeMap<u32, FlowRecordResponse>,
     },
     Complete,
 }
 
 /// The state machine.
 #[derive(Debug)]
-pub(crate) struct FormerRecall {
+pub(crate) struct FlowRecordRecovery {
     started_at: Timestamp,
     ask_at: Timestamp,
     first_answer_at: Option<Timestamp>,
     first_record_at: Option<Timestamp>,
     answers: BTreeMap<SocketAddrV4, Answer>,
-    best: Option<(u64, FormerRecord)>,
+    best: Option<(u64, PreviousFlowRecord)>,
     /// Number of the record that was handed over last.
     handed_over: u64,
 }
 
-impl FormerRecall {
+impl FlowRecordRecovery {
     pub(crate) fn new(now: Timestamp) -> Self {
-        FormerRecall {
+        FlowRecordRecovery {
             started_at: now,
             ask_at: now,
             first_answer_at: None,
@@ -83,7 +83,7 @@
     }
 
     /// Replicas to ask, if that is due.
-    pub(crate) fn poll_questions(
+    pub(crate) fn poll_requests(
         &mut self,
         now: Timestamp,
         known: BTreeSet<SocketAddrV4>,
@@ -106,11 +106,11 @@
     }
 
     /// Takes an answer to a question of this life.
-    pub(crate) fn handle_answer(
+    pub(crate) fn handle_response(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answer: FormerFlows,
+        answer: FlowRecordResponse,
     ) {
         if self.is_complete(&from) || answer.parts > MAX_PARTS {
             return;
@@ -120,7 +120,7 @@
             self.answers.insert(from, Answer::Complete);
             return;
         }
-        let (number, wanted) = (answer.number, answer.parts);
+        let (number, wanted) = (answer.revision, answer.parts);
         let known = self.answers.entry(from).or_insert_with(|| Answer::Parts {
             number,
             parts: BTreeMap::new(),
@@ -141,7 +141,7 @@
         let parts = std::mem::take(parts);
         self.answers.insert(from, Answer::Complete);
         self.first_record_at.get_or_insert(now);
-        let is_newer = |best: &(u64, FormerRecord)| number > best.0;
+        let is_newer = |best: &(u64, PreviousFlowRecord)| number > best.0;
         if self.best.as_ref().is_none_or(is_newer) {
             self.best = Some((number, assemble(parts)));
         }
@@ -149,7 +149,7 @@
 
     /// The newest record so far, if it is newer than the one that was handed over before:
     /// whoever waits for it need not wait for the end.
-    pub(crate) fn take_newer(&mut self) -> Option<FormerRecord> {
+    pub(crate) fn take_newer(&mut self) -> Option<PreviousFlowRecord> {
         let (number, record) = self.best.as_ref()?;
         if *number <= self.handed_over {
             return None;
@@ -167,7 +167,7 @@
         &mut self,
         now: Timestamp,
         known: &BTreeSet<SocketAddrV4>,
-    ) -> Option<RecallEnd> {
+    ) -> Option<RecoveryEnd> {
         let after = |at: Option<Timestamp>, time| at.is_some_and(|at| now >= at + time);
         let all_answered = known.iter().all(|address| self.is_complete(address));
         let has_learnt = now >= self.started_at + LEARNING_TIME;
@@ -179,25 +179,25 @@
             return None;
         }
         let outcome = match (&self.best, self.first_answer_at) {
-            (Some(_), _) => RecallOutcome::Recalled,
-            (None, Some(_)) => RecallOutcome::NoRecord,
-            (None, None) => RecallOutcome::Unanswered,
+            (Some(_), _) => RecoveryOutcome::Recalled,
+            (None, Some(_)) => RecoveryOutcome::NoRecord,
+            (None, None) => RecoveryOutcome::Unanswered,
         };
         let best = self.best.as_ref();
-        Some(RecallEnd {
+        Some(RecoveryEnd {
             outcome,
-            number: best.map_or(0, |(number, _)| *number),
+            revision: best.map_or(0, |(number, _)| *number),
             flows: best.map_or(0, |(_, record)| record.flows.len()),
         })
     }
 }
 
-fn assemble(parts: BTreeMap<u32, FormerFlows>) -> FormerRecord {
-    let mut record = FormerRecord::default();
+fn assemble(parts: BTreeMap<u32, FlowRecordResponse>) -> PreviousFlowRecord {
+    let mut record = PreviousFlowRecord::default();
     for part in parts.into_values() {
-        record.backend = part.backend;
+        record.backend_incarnation = part.backend_incarnation;
         record.flows.extend(from_columns(&part.flows));
-        record.witnesses.extend(part.witnesses);
+        record.probe_packets.extend(part.probe_packets);
     }
     record
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{ACKNOWLEDGED_STEP, FlowRecordChange, FlowRecordKept};
+use petrellatch_proto::pass_through::{ACKNOWLEDGED_STEP_BYTES, FlowRecordChange, FlowRecordAck};
 
 use super::agent_flows::{AgentFlow, AgentFlows};
-use super::ended_columns::to_ended_columns;
-use super::former_flows::{RecordedFlow, to_columns};
+use super::closed_flow_columns::to_closed_columns;
+use super::recorded_flow::{RecordedFlow, to_columns};
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
@@ -18,7 +18,7 @@
 const WITNESSES: usize = 3;
 /// An acknowledgement that moved on by this is told: a caller takes a reset within its
 /// window, and half of the smallest usual one is left for what is under way.
-const RENEWAL_BYTES: u32 = 2 * ACKNOWLEDGED_STEP;
+const RENEWAL_BYTES: u32 = 2 * ACKNOWLEDGED_STEP_BYTES;
 /// Flows in one part of a change: with all columns at their longest a part stays below
 /// [`petrellatch_proto::pass_through::MAX_PART_BYTES`].
 const FLOWS_PER_PART: usize = 170;
@@ -46,34 +46,34 @@
 pub struct FlowRecordSettings {
     /// Flows that have been open for so long are recorded; none if it is zero. Shorter
     /// ones end before their record is written.
-    pub age: Duration,
+    pub min_flow_age: Duration,
     /// The most flows that are recorded.
-    pub most_flows: usize,
+    pub max_flows: usize,
     /// Replicas that keep the record.
-    pub keepers: usize,
+    pub record_replicas: usize,
 }
 
 impl Default for FlowRecordSettings {
     fn default() -> Self {
         FlowRecordSettings {
-            age: Duration::from_secs(1),
-            most_flows: 16 * 1024,
-            keepers: 3,
+            min_flow_age: Duration::from_secs(1),
+            max_flows: 16 * 1024,
+            record_replicas: 3,
         }
     }
 }
 
 /// What an agent has recorded, as numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FlowRecordFigures {
+pub struct FlowRecorderStats {
     /// Flows that are recorded.
     pub recorded: usize,
     /// Flows that are old enough, but beyond the most that are recorded.
-    pub beyond_limit: usize,
+    pub over_limit: usize,
     /// Keepers that have not acknowledged the newest record.
     pub unacknowledged: usize,
     /// Keepers that have no room.
-    pub full: usize,
+    pub full_replicas: usize,
 }
 
 #[derive(Debug)]
@@ -147,20 +147,20 @@
         }
     }
 
-    pub(crate) fn figures(&self) -> FlowRecordFigures {
+    pub(crate) fn stats(&self) -> FlowRecorderStats {
         let keepers = self.keepers.values();
         let is_behind = |keeper: &&Keeper| keeper.kept < self.number;
         let behind = keepers.clone().filter(is_behind).count();
-        FlowRecordFigures {
+        FlowRecorderStats {
             recorded: self.recorded.len(),
-            beyond_limit: self.beyond_limit,
+            over_limit: self.beyond_limit,
             unacknowledged: if self.has_record { behind } else { 0 },
-            full: keepers.filter(|keeper| keeper.is_full).count(),
+            full_replicas: keepers.filter(|keeper| keeper.is_full).count(),
         }
     }
 
     /// Replaces the replicas that keep the record. A new one is told the whole.
-    pub(crate) fn set_keepers(&mut self, keepers: BTreeSet<SocketAddrV4>) {
+    pub(crate) fn set_record_replicas(&mut self, keepers: BTreeSet<SocketAddrV4>) {
         self.keepers.retain(|address, _| keepers.contains(address));
         for address in keepers {
             self.keepers.entry(address).or_default();
@@ -169,7 +169,7 @@
 
     /// Compares the flows with the record. What differs makes the next record.
     pub(crate) fn note_flows(&mut self, now: Timestamp, backend: u64, flows: &AgentFlows) {
-        if self.settings.age.is_zero() {
+        if self.settings.min_flow_age.is_zero() {
             return;
         }
         let next = self.number + 1;
@@ -200,7 +200,7 @@
         self.beyond_limit = 0;
         for (id, flow) in flows.iter() {
             let age = now.saturating_since(flow.created_at);
-            if !flow.is_proved_open() || age < self.settings.age {
+            if !flow.is_confirmed_open() || age < self.settings.min_flow_age {
                 continue;
             }
             let known = self.recorded.get(id).map(|known| known.flow);
@@ -210,7 +210,7 @@
             if known.is_some_and(|known| !is_renewed(&known, &flow)) {
                 continue;
             }
-            if known.is_none() && self.recorded.len() >= self.settings.most_flows {
+            if known.is_none() && self.recorded.len() >= self.settings.max_flows {
                 self.beyond_limit += 1;
                 continue;
             }
@@ -230,8 +230,8 @@
         if self.witnesses.len() < WITNESSES.min(recorded.len()) {
             let candidate = |id: &FlowId| {
                 let flow = flows.get(*id)?;
-                let packet = flow.bare_packet.as_ref()?;
-                Some((flow.active_at, *id, packet))
+                let packet = flow.probe_packet.as_ref()?;
+                Some((flow.last_active_at, *id, packet))
             };
             let unused = recorded.keys();
             let unused = unused.filter(|id| !self.witnesses.contains_key(*id));
@@ -262,23 +262,23 @@
     }
 
     /// Takes what a keeper says that it has.
-    pub(crate) fn handle_kept(
+    pub(crate) fn handle_ack(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
         own_life: u64,
-        kept: &FlowRecordKept,
+        kept: &FlowRecordAck,
     ) {
         if kept.incarnation != own_life {
             // It has a record of another life under a number that is as high.
-            self.continue_above(kept.number);
+            self.continue_above(kept.revision);
         }
         let newest = self.number;
         let Some(keeper) = self.keepers.get_mut(&from) else {
             return;
         };
-        let is_own = kept.incarnation == own_life && kept.number <= newest;
-        let number = if is_own { kept.number } else { 0 };
+        let is_own = kept.incarnation == own_life && kept.revision <= newest;
+        let number = if is_own { kept.revision } else { 0 };
         keeper.is_full = kept.is_full;
         if kept.is_full {
             keeper.kept = 0;
@@ -377,14 +377,14 @@
         let part = |part| FlowRecordChange {
             agent,
             incarnation: life,
-            backend: self.backend,
-            base,
-            number: self.number,
+            backend_incarnation: self.backend,
+            base_revision: base,
+            revision: self.number,
             part: part as u32,
             parts: parts as u32,
             put: to_columns(put.next().unwrap_or_default().iter().copied()),
-            removed: to_ended_columns(removed.next().unwrap_or_default()),
-            witnesses: match part {
+            removed: to_closed_columns(removed.next().unwrap_or_default()),
+            probe_packets: match part {
                 0 => self.witnesses_since(base),
                 _ => Vec::new(),
             },
@@ -412,7 +412,7 @@
     let known = known.map(|known| known.sequence);
     let sequence = flow.sequence.or(known).or(flow.acknowledged)?;
     let ahead = flow.acknowledged.unwrap_or(sequence).wrapping_sub(sequence);
-    let told = ahead / ACKNOWLEDGED_STEP * ACKNOWLEDGED_STEP;
+    let told = ahead / ACKNOWLEDGED_STEP_BYTES * ACKNOWLEDGED_STEP_BYTES;
     Some(RecordedFlow {
         id,
         sequence,
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::NotHeld;
+use petrellatch_proto::pass_through::ReturnedPacket;
 
 use crate::time::Timestamp;
 
@@ -24,7 +24,7 @@
 /// Back ends that may get a packet of a flow while its own agent is missing.
 const MAX_STRANGERS: usize = 2;
 /// Agents that have not answered by then are missing.
-pub(super) const ROUND: Duration = Duration::from_millis(60);
+pub(super) const QUERY_ROUND: Duration = Duration::from_millis(60);
 /// The time between two rounds doubles so often at most.
 const MAX_ROUND_DOUBLINGS: u32 = 3;
 /// A search for a flow that its caller has ended waits for so many rounds for a whole
@@ -53,15 +53,15 @@
 #[derive(Clone, Copy, Debug)]
 struct AskedAgent {
     answer: SearchAnswer,
-    /// See [`SearchedAgent::is_expected`].
+    /// See [`SearchTarget::is_expected`].
     is_expected: bool,
-    /// See [`SearchedAgent::has_backend`].
+    /// See [`SearchTarget::has_backend`].
     has_backend: bool,
 }
 
 /// An agent that may be asked for flows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SearchedAgent {
+pub(crate) struct SearchTarget {
     pub(crate) address: SocketAddrV4,
     /// Whether it answers questions, and has heard of its back end in its
     /// present life. Otherwise its back end is taken for gone if it does not
@@ -78,14 +78,14 @@
     /// Nothing yet.
     Wait,
     /// Ask the agents of other services as well.
-    AskAll,
+    QueryAll,
     /// Hand the waiting packets to these agents, all at once.
-    Try(Vec<SocketAddrV4>),
+    DeliverSpeculatively(Vec<SocketAddrV4>),
     /// No back end has the flow.
-    Gone,
+    Orphaned,
     /// Its caller has ended the flow, and nobody who answers has it: nobody waits to be
     /// told.
-    Ended,
+    CallerClosed,
 }
 
 /// Whom a search asks.
@@ -155,19 +155,19 @@
     }
 
     /// Whether agents of other services are asked as well.
-    pub(crate) fn asks_all(&self) -> bool {
+    pub(crate) fn queries_all(&self) -> bool {
         self.scope != SearchScope::Service
     }
 
     /// Lets the next round go to the agents of all services.
-    pub(crate) fn ask_all(&mut self) {
+    pub(crate) fn query_all(&mut self) {
         if self.scope == SearchScope::Service {
             self.scope = SearchScope::AllNext;
         }
     }
 
     /// How many agents the directory had got when the round began.
-    pub(crate) fn asked_of(&self) -> u64 {
+    pub(crate) fn agents_known_when_queried(&self) -> u64 {
         self.asked_of
     }
 
@@ -181,7 +181,7 @@
     }
 
     /// Whether the caller waits for an answer, and has not ended the flow.
-    pub(crate) fn caller_waits(&self) -> bool {
+    pub(crate) fn caller_awaits_response(&self) -> bool {
         self.awaits_answer && !self.ended
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// The packet to try: the oldest one that waits.
-    pub(crate) fn packet_to_try(&self) -> Option<&Vec<u8>> {
+    pub(crate) fn packet_to_deliver(&self) -> Option<&Vec<u8>> {
         self.waiting.front()
     }
 
     /// The packets that wait and were not tried. The one that was tried has
     /// reached the back end if the flow was found by it.
-    pub(crate) fn into_untried(mut self) -> VecDeque<Vec<u8>> {
+    pub(crate) fn into_undelivered(mut self) -> VecDeque<Vec<u8>> {
         if self.first_is_tried {
             self.waiting.pop_front();
         }
@@ -228,11 +228,11 @@
         &mut self,
         now: Timestamp,
         agent: SocketAddrV4,
-        returned: &NotHeld,
+        returned: &ReturnedPacket,
     ) {
         self.packet_at = now;
         self.acknowledged = returned.acknowledged;
-        self.awaits_answer |= returned.request;
+        self.awaits_answer |= returned.carried_data;
         let known = AskedAgent {
             answer: SearchAnswer::Lacks,
             is_expected: true,
@@ -242,8 +242,8 @@
     }
 
     /// Those of `agents` that have not said that they lack the flow.
-    pub(super) fn unsettled(&self, agents: &[SearchedAgent]) -> Vec<SocketAddrV4> {
-        let lacks = |agent: &&SearchedAgent| {
+    pub(super) fn undecided(&self, agents: &[SearchTarget]) -> Vec<SocketAddrV4> {
+        let lacks = |agent: &&SearchTarget| {
             let known = self.agents.get(&agent.address);
             known.is_some_and(|it| it.answer == SearchAnswer::Lacks)
         };
@@ -257,7 +257,7 @@
     pub(crate) fn begin_round(
         &mut self,
         now: Timestamp,
-        agents: &[SearchedAgent],
+        agents: &[SearchTarget],
         added: u64,
     ) -> Vec<SocketAddrV4> {
         self.rounds += 1;
@@ -266,7 +266,7 @@
             self.scope = SearchScope::All;
         }
         self.asked_at = now;
-        self.due_at = now + ROUND * (1 << (self.rounds - 1).min(MAX_ROUND_DOUBLINGS));
+        self.due_at = now + QUERY_ROUND * (1 << (self.rounds - 1).min(MAX_ROUND_DOUBLINGS));
         let lacks = |agent: &AskedAgent| agent.answer == SearchAnswer::Lacks;
         self.agents.retain(|_, agent| lacks(agent));
         let mut asked = Vec::new();
@@ -285,7 +285,7 @@
         asked
     }
 
-    pub(crate) fn note_lacks(&mut self, agent: SocketAddrV4, certain: bool) {
+    pub(crate) fn note_not_owned(&mut self, agent: SocketAddrV4, certain: bool) {
         let Some(asked) = self.agents.get_mut(&agent) else {
             return;
         };
@@ -302,7 +302,7 @@
         if self.rounds == 0 {
             return SearchStep::Wait;
         }
-        let is_due = now.saturating_since(self.asked_at) >= ROUND;
+        let is_due = now.saturating_since(self.asked_at) >= QUERY_ROUND;
         let missing = match is_due {
             true => self.expected(),
             false => self.count(SearchAnswer::Missing),
@@ -311,7 +311,7 @@
             return SearchStep::Wait;
         }
         match self.scope {
-            SearchScope::Service => return SearchStep::AskAll,
+            SearchScope::Service => return SearchStep::QueryAll,
             SearchScope::AllNext => return SearchStep::Wait,
             SearchScope::All => {}
         }
@@ -322,16 +322,16 @@
             let are_few = uncertain + self.tries <= MAX_STRANGERS;
             let may_try = is_complete || (are_few && is_due);
             return match may_try && !self.waiting.is_empty() {
-                true => SearchStep::Try(self.note_tried()),
+                true => SearchStep::DeliverSpeculatively(self.note_tried()),
                 false => SearchStep::Wait,
             };
         }
         if self.ended && missing == 0 && self.is_end_settled(whole_directory) {
-            return SearchStep::Ended;
+            return SearchStep::CallerClosed;
         }
-        let may_reset = self.caller_waits() && !self.may_be_at_silent_agent();
+        let may_reset = self.caller_awaits_response() && !self.may_be_at_silent_agent();
         match is_complete && tried == 0 && may_reset {
-            true => SearchStep::Gone,
+            true => SearchStep::Orphaned,
             false => SearchStep::Wait,
         }
     }
@@ -417,7 +417,7 @@
     }
 
     /// Whether the caller has been silent for so long that it gave up.
-    pub(crate) fn is_over(&self, now: Timestamp) -> bool {
+    pub(crate) fn has_timed_out(&self, now: Timestamp) -> bool {
         now.saturating_since(self.packet_at) >= SEARCH_LIMIT
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::NotHeld;
+use petrellatch_proto::pass_through::ReturnedPacket;
 
 use crate::time::Timestamp;
 
-use super::flow_search::{FlowSearch, ROUND, SearchedAgent};
+use super::flow_search::{FlowSearch, QUERY_ROUND, SearchTarget};
 use crate::pass_through::packet::{FlowId, PacketView};
 
 /// Flows that are sought at once. More are not sought: their callers repeat.
@@ -44,7 +44,7 @@
             return false;
         };
         search.note_packet(now, view, packet);
-        let is_settled = now.saturating_since(search.asked_at) >= ROUND;
+        let is_settled = now.saturating_since(search.asked_at) >= QUERY_ROUND;
         let due = (search.due_at, flow);
         if !is_new && is_settled && self.due.remove(&due) {
             // The caller still waits.
@@ -59,7 +59,7 @@
         now: Timestamp,
         service: u64,
         agent: SocketAddrV4,
-        returned: &NotHeld,
+        returned: &ReturnedPacket,
     ) {
         if let Some((search, _)) = self.entry(now, returned.flow.into(), service) {
             search.note_returned(now, agent, returned);
@@ -93,7 +93,7 @@
     }
 
     /// Lets the next round of a flow begin now, unless it is about to.
-    pub(crate) fn ask_now(&mut self, flow: FlowId) {
+    pub(crate) fn query_now(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get(&flow) else {
             return;
         };
@@ -133,23 +133,23 @@
     }
 
     /// Lets the next round of a flow begin.
-    pub(crate) fn ask_again(&mut self, flow: FlowId) {
+    pub(crate) fn query_again(&mut self, flow: FlowId) {
         self.unasked.push(flow);
     }
 
     /// Lets the next round of a flow begin now, with the agents of all services.
-    pub(crate) fn ask_all(&mut self, flow: FlowId) {
+    pub(crate) fn query_all(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get_mut(&flow) else {
             return;
         };
-        search.ask_all();
+        search.query_all();
         if self.due.remove(&(search.due_at, flow)) {
             self.unasked.push(flow);
         }
     }
 
     /// The flows to ask for now, if questions are due.
-    pub(crate) fn take_unasked(&mut self, now: Timestamp) -> Vec<FlowId> {
+    pub(crate) fn take_unqueried(&mut self, now: Timestamp) -> Vec<FlowId> {
         if now < self.ask_at || self.unasked.is_empty() {
             return Vec::new();
         }
@@ -163,17 +163,17 @@
         &mut self,
         now: Timestamp,
         flow: FlowId,
-        agents: &[SearchedAgent],
+        agents: &[SearchTarget],
         added: u64,
         take_budget: impl FnOnce(&Vec<SocketAddrV4>) -> bool,
     ) -> Vec<SocketAddrV4> {
         let Some(search) = self.searches.get_mut(&flow) else {
             return Vec::new();
         };
-        let asked = match take_budget(&search.unsettled(agents)) {
+        let asked = match take_budget(&search.undecided(agents)) {
             true => search.begin_round(now, agents, added),
             false => {
-                search.due_at = now + ROUND;
+                search.due_at = now + QUERY_ROUND;
                 Vec::new()
             }
         };
--- a/crates/petrellatch-core/src/pass_through/flows/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/mod.rs
@@ -3,16 +3,16 @@
 
 pub(crate) mod agent_flows;
 pub(crate) mod agent_set;
-pub(crate) mod ended_columns;
+pub(crate) mod closed_flow_columns;
 pub(crate) mod flow_demand;
-pub(crate) mod flow_hints;
+pub(crate) mod flow_cache;
 pub(crate) mod flow_recorder;
 pub(crate) mod flow_search;
 pub(crate) mod flow_searches;
-pub(crate) mod former_flows;
-pub(crate) mod former_recall;
-pub(crate) mod gathered_questions;
-pub(crate) mod gone_flows;
-pub(crate) mod life_proof;
-pub(crate) mod seek_budget;
-pub(crate) mod tried_flows;
+pub(crate) mod recorded_flow;
+pub(crate) mod flow_record_recovery;
+pub(crate) mod relayed_queries;
+pub(crate) mod orphaned_flows;
+pub(crate) mod restart_probe;
+pub(crate) mod query_budget;
+pub(crate) mod speculative_deliveries;
--- a/crates/petrellatch-core/src/pass_through/flows/gone_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/orphaned_flows.rs
@@ -6,7 +6,7 @@
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
-use super::former_flows::RecordedFlow;
+use super::recorded_flow::RecordedFlow;
 
 /// The callers that wait for nothing are told within this time, not all at once: they
 /// return to back ends that may be cold.
@@ -18,7 +18,7 @@
 
 /// Flows that are gone for certain.
 #[derive(Debug, Default)]
-pub(crate) struct GoneFlows {
+pub(crate) struct OrphanedFlows {
     flows: HashMap<FlowId, GoneFlow>,
     /// Those whose callers are told at a pace.
     untold: VecDeque<FlowId>,
@@ -34,7 +34,7 @@
     is_told: bool,
 }
 
-impl GoneFlows {
+impl OrphanedFlows {
     /// Notes that a flow is gone. Returns whether that is new, and remembered.
     pub(crate) fn add(&mut self, now: Timestamp, flow: RecordedFlow) -> bool {
         if self.flows.len() >= MAX_GONE || self.contains(flow.id, flow.acknowledged) {
@@ -59,7 +59,7 @@
     /// Whether the flow of a packet that acknowledges `acknowledged` is gone.
     pub(crate) fn contains(&self, id: FlowId, acknowledged: u32) -> bool {
         let gone = self.flows.get(&id);
-        gone.is_some_and(|gone| gone.flow.owns(acknowledged))
+        gone.is_some_and(|gone| gone.flow.owns_ack(acknowledged))
     }
 
     /// For how long it has been known that a flow is gone.
@@ -69,7 +69,7 @@
     }
 
     /// Notes that the caller of a flow is told, or has ended it.
-    pub(crate) fn note_told(&mut self, id: FlowId) {
+    pub(crate) fn note_notified(&mut self, id: FlowId) {
         if let Some(gone) = self.flows.get_mut(&id) {
             gone.is_told = true;
         }
@@ -100,7 +100,7 @@
         due
     }
 
-    /// When [`GoneFlows::take_due`] has something.
+    /// When [`OrphanedFlows::take_due`] has something.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         (!self.untold.is_empty()).then_some(self.tell_at)
     }
--- a/crates/petrellatch-core/src/pass_through/flows/seek_budget.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
@@ -17,19 +17,19 @@
 
 /// A token bucket; one token is one byte of a question.
 #[derive(Debug)]
-pub(crate) struct SeekBudget {
+pub(crate) struct QueryBudget {
     bytes_per_second: u64,
     tokens: u64,
     refilled_at: Timestamp,
 }
 
-impl SeekBudget {
+impl QueryBudget {
     /// Starts with the tokens of a rest. The link's speed is in bytes a second.
     pub(crate) fn new(now: Timestamp, link_bytes_per_second: Option<u64>) -> Self {
         let share = link_bytes_per_second.map(|bytes| bytes / 100 * LINK_PERCENT);
         let bytes_per_second =
             share.map_or(MAX_BYTES_PER_SECOND, |it| it.clamp(1, MAX_BYTES_PER_SECOND));
-        SeekBudget {
+        QueryBudget {
             bytes_per_second,
             tokens: tokens_of(bytes_per_second, BURST),
             refilled_at: now,
@@ -38,7 +38,7 @@
 
     /// Takes a token for each of `bytes`, if there are so many. A question that
     /// is larger than all tokens of a rest takes these.
-    pub(crate) fn take(&mut self, now: Timestamp, bytes: usize) -> bool {
+    pub(crate) fn try_spend(&mut self, now: Timestamp, bytes: usize) -> bool {
         self.refill(now);
         let burst = tokens_of(self.bytes_per_second, BURST);
         let tokens = (bytes as u64).min(burst);
--- a/crates/petrellatch-core/src/pass_through/flows/former_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    ACKNOWLEDGED_STEP, FlowColumns, pack_address, unpack_address,
+    ACKNOWLEDGED_STEP_BYTES, FlowColumns, pack_address, unpack_address,
 };
 
 use super::agent_flows::SEQUENCE_WINDOW;
@@ -22,7 +22,7 @@
 impl RecordedFlow {
     /// Whether a packet with this acknowledgement belongs to the flow, and not to another one
     /// under its address and port.
-    pub(crate) fn owns(&self, acknowledged: u32) -> bool {
+    pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
         let known = self.acknowledged.wrapping_sub(self.sequence);
         let ahead = acknowledged.wrapping_sub(self.sequence);
         ahead < known.saturating_add(SEQUENCE_WINDOW)
@@ -31,13 +31,13 @@
 
 /// The flows that one life of a back end had.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct FormerRecord {
+pub(crate) struct PreviousFlowRecord {
     /// Digest of that life; zero if it is not known.
-    pub(crate) backend: u64,
+    pub(crate) backend_incarnation: u64,
     pub(crate) flows: Vec<RecordedFlow>,
     /// Packets of callers without data, of some of the flows: the back end returns them
     /// once that life is over.
-    pub(crate) witnesses: Vec<Vec<u8>>,
+    pub(crate) probe_packets: Vec<Vec<u8>>,
 }
 
 /// Puts flows into columns.
@@ -52,9 +52,9 @@
         });
         let ahead = flow.acknowledged.wrapping_sub(flow.sequence);
         columns.callers.push(pack_address(flow.id.caller));
-        columns.route_places.push(place as u32);
+        columns.route_indexes.push(place as u32);
         columns.sequences.push(flow.sequence);
-        columns.acknowledged_steps.push(ahead / ACKNOWLEDGED_STEP);
+        columns.acknowledged_steps.push(ahead / ACKNOWLEDGED_STEP_BYTES);
     }
     columns
 }
@@ -62,12 +62,12 @@
 /// Takes flows out of columns. Incomplete ones are left out.
 pub(crate) fn from_columns(columns: &FlowColumns) -> Vec<RecordedFlow> {
     let flow = |place: usize| {
-        let route = *columns.route_places.get(place)?;
+        let route = *columns.route_indexes.get(place)?;
         let route: SocketAddrV4 = unpack_address(*columns.routes.get(route as usize)?);
         let caller = unpack_address(*columns.callers.get(place)?);
         let sequence = *columns.sequences.get(place)?;
         let steps = *columns.acknowledged_steps.get(place)?;
-        let ahead = steps.wrapping_mul(ACKNOWLEDGED_STEP);
+        let ahead = steps.wrapping_mul(ACKNOWLEDGED_STEP_BYTES);
         Some(RecordedFlow {
             id: FlowId { caller, route },
             sequence,
--- a/crates/petrellatch-core/src/pass_through/flows/gathered_questions.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    FlowMessage, GatheredAnswers, GatheredFlow, Holds, Lacks, Seek, unpack_address,
+    FlowMessage, AggregatedReplies, AggregatedFlowReply, FlowsOwned, FlowsNotOwned, FlowQuery, unpack_address,
 };
 
 use crate::time::Timestamp;
@@ -58,24 +58,24 @@
 
 /// All questions that an agent asks others.
 #[derive(Debug, Default)]
-pub(crate) struct GatheredQuestions {
+pub(crate) struct RelayedQueries {
     questions: VecDeque<GatheredQuestion>,
 }
 
-impl GatheredQuestions {
+impl RelayedQueries {
     /// Begins to gather the answers to a question of a balancer. `own` is the
     /// address of this agent, which answers like the others.
     pub(crate) fn begin(
         &mut self,
         now: Timestamp,
         balancer: SocketAddrV4,
-        seek: &Seek,
+        seek: &FlowQuery,
         own: SocketAddrV4,
     ) {
         if self.questions.len() == MAX_QUESTIONS {
             self.questions.pop_front();
         }
-        let others = seek.others.iter().copied().map(unpack_address);
+        let others = seek.relay_to.iter().copied().map(unpack_address);
         let agents: Vec<SocketAddrV4> = others.chain([own]).collect();
         let flows = seek.flows.iter().map(|sought| FlowAnswers {
             flow: sought.flow.into(),
@@ -85,7 +85,7 @@
         });
         self.questions.push_back(GatheredQuestion {
             balancer,
-            number: seek.question,
+            number: seek.query_id,
             flows: flows.collect(),
             awaited: agents.len(),
             agents,
@@ -95,17 +95,17 @@
     }
 
     /// Takes the flows that an agent lacks.
-    pub(crate) fn handle_lacks(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &Lacks) {
-        let certain = lacks.certain.iter().map(|flow| (*flow, Answer::Certain));
+    pub(crate) fn handle_flows_not_owned(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &FlowsNotOwned) {
+        let certain = lacks.not_owned.iter().map(|flow| (*flow, Answer::Certain));
         let uncertain = lacks
-            .uncertain
+            .possibly_owned
             .iter()
             .map(|flow| (*flow, Answer::Uncertain));
         self.handle_answers(now, from, certain.chain(uncertain));
     }
 
     /// Takes the flows that an agent has, as the balancer does.
-    pub(crate) fn handle_holds(&mut self, now: Timestamp, from: SocketAddrV4, holds: &Holds) {
+    pub(crate) fn handle_flows_owned(&mut self, now: Timestamp, from: SocketAddrV4, holds: &FlowsOwned) {
         let held = holds.flows.iter().map(|held| (held.flow, Answer::Held));
         self.handle_answers(now, from, held);
     }
@@ -124,7 +124,7 @@
     }
 
     /// What balancers are to be told now.
-    pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, GatheredAnswers)> {
+    pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, AggregatedReplies)> {
         let mut due = Vec::new();
         for question in &mut self.questions {
             if question.tell_at.is_some_and(|at| at <= now) {
@@ -137,7 +137,7 @@
         due
     }
 
-    /// When [`GatheredQuestions::take_due`] is wanted.
+    /// When [`RelayedQueries::take_due`] is wanted.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         let told = self.questions.iter().filter_map(|it| it.tell_at).min();
         let ended = self.questions.iter().map(|it| it.ends_at).min();
@@ -183,15 +183,15 @@
         self.awaited == 0 && self.tell_at.is_none()
     }
 
-    fn answers(&self) -> GatheredAnswers {
-        let flows = self.flows.iter().map(|answers| GatheredFlow {
+    fn answers(&self) -> AggregatedReplies {
+        let flows = self.flows.iter().map(|answers| AggregatedFlowReply {
             flow: answers.flow.into(),
-            certain: answers.certain.to_bytes(),
-            uncertain: answers.uncertain.to_bytes(),
-            held: answers.held.to_bytes(),
+            not_owned: answers.certain.to_bytes(),
+            possibly_owned: answers.uncertain.to_bytes(),
+            owned: answers.held.to_bytes(),
         });
-        GatheredAnswers {
-            question: self.number,
+        AggregatedReplies {
+            query_id: self.number,
             flows: flows.collect(),
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/life_proof.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -13,7 +13,7 @@
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
-use super::former_flows::RecordedFlow;
+use super::recorded_flow::RecordedFlow;
 
 /// As many witnesses are handed over first. As many must come back, of so many flows or
 /// more, until others are taken for gone with them.
@@ -37,7 +37,7 @@
     /// When it was first seen; the oldest are asked for first.
     pub(crate) seen_at: Timestamp,
     /// A packet of its caller without data.
-    pub(crate) witness: Option<Vec<u8>>,
+    pub(crate) probe_packet: Option<Vec<u8>>,
 }
 
 /// What the back end has shown of a flow.
@@ -54,31 +54,31 @@
 
 /// What a proof wants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ProofStep {
+pub(crate) enum RestartProbeStep {
     /// Nothing before the round has ended.
     Wait,
     /// Hand these packets to the back end.
-    Hand(Vec<Vec<u8>>),
+    Send(Vec<Vec<u8>>),
     /// It has ended with this verdict.
-    End(ProofVerdict),
+    End(RestartProbeResult),
 }
 
 /// How a proof has ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ProofVerdict {
+pub(crate) struct RestartProbeResult {
     /// Whether so many packets came back that a life is over.
-    pub(crate) is_over: bool,
+    pub(crate) has_ended: bool,
     /// Flows without a witness, if all witnesses came back.
-    pub(crate) gone: Vec<RecordedFlow>,
+    pub(crate) orphaned: Vec<RecordedFlow>,
     /// Flows whose packets the back end got.
-    pub(crate) witnesses: usize,
+    pub(crate) probes: usize,
     /// Flows whose packets it returned.
     pub(crate) returned: usize,
 }
 
 /// A proof under way.
 #[derive(Debug)]
-pub(crate) struct LifeProof {
+pub(crate) struct RestartProbe {
     /// Flows, the oldest first.
     flows: Vec<(ProbedFlow, Evidence)>,
     /// How many fresh witnesses the next round takes.
@@ -86,23 +86,23 @@
     silent_rounds: u32,
     returned_in_round: usize,
     round_ends_at: Timestamp,
-    pub(crate) begun_at: Timestamp,
+    pub(crate) started_at: Timestamp,
 }
 
-impl LifeProof {
-    pub(crate) fn new(now: Timestamp, mut flows: Vec<ProbedFlow>) -> LifeProof {
+impl RestartProbe {
+    pub(crate) fn new(now: Timestamp, mut flows: Vec<ProbedFlow>) -> RestartProbe {
         flows.sort_by_key(|it| (it.seen_at, it.flow.id));
-        LifeProof {
+        RestartProbe {
             flows: flows.into_iter().map(|it| (it, Evidence::None)).collect(),
             batch: WITNESSES,
             silent_rounds: 0,
             returned_in_round: 0,
             round_ends_at: now,
-            begun_at: now,
+            started_at: now,
         }
     }
 
-    /// When [`LifeProof::next_step`] is wanted.
+    /// When [`RestartProbe::next_step`] is wanted.
     pub(crate) fn poll_timeout(&self) -> Timestamp {
         self.round_ends_at
     }
@@ -117,7 +117,7 @@
     pub(crate) fn note_returned(&mut self, id: FlowId, acknowledged: u32) -> Option<RecordedFlow> {
         let (probed, evidence) = self.entry(id)?;
         let flow = probed.flow;
-        if !flow.owns(acknowledged) {
+        if !flow.owns_ack(acknowledged) {
             return None;
         }
         // One on which it has spoken has ended since, and shows nothing of others.
@@ -136,11 +136,11 @@
     }
 
     /// What to do now.
-    pub(crate) fn next_step(&mut self, now: Timestamp) -> ProofStep {
+    pub(crate) fn next_step(&mut self, now: Timestamp) -> RestartProbeStep {
         let is_awaited = |it: &(ProbedFlow, Evidence)| matches!(it.1, Evidence::Handed(_));
         let is_awaited = self.flows.iter().any(is_awaited);
         if is_awaited && now < self.round_ends_at {
-            return ProofStep::Wait;
+            return RestartProbeStep::Wait;
         }
         self.end_round();
         let picked = match self.silent_rounds <= MAX_SILENT_ROUNDS {
@@ -148,10 +148,10 @@
             false => Vec::new(),
         };
         if picked.is_empty() {
-            return ProofStep::End(self.verdict());
+            return RestartProbeStep::End(self.verdict());
         }
         self.round_ends_at = now + ROUND;
-        ProofStep::Hand(self.hand(&picked))
+        RestartProbeStep::Send(self.hand(&picked))
     }
 
     fn end_round(&mut self) {
@@ -177,7 +177,7 @@
                 .map(|(place, _)| place)
         };
         let again = places(|it| matches!(it.1, Evidence::Handed(times) if times < MAX_HANDINGS));
-        let fresh = places(|it| it.1 == Evidence::None && it.0.witness.is_some());
+        let fresh = places(|it| it.1 == Evidence::None && it.0.probe_packet.is_some());
         again.chain(fresh.take(self.batch)).collect()
     }
 
@@ -189,7 +189,7 @@
                 Evidence::Handed(times) => Evidence::Handed(times + 1),
                 _ => Evidence::Handed(1),
             };
-            packets.extend(flow.witness.clone());
+            packets.extend(flow.probe_packet.clone());
         }
         packets
     }
@@ -198,7 +198,7 @@
         self.flows.iter_mut().find(|(it, _)| it.flow.id == id)
     }
 
-    fn verdict(&self) -> ProofVerdict {
+    fn verdict(&self) -> RestartProbeResult {
         let count = |wanted: fn(&Evidence) -> bool| {
             let evidence = self.flows.iter().map(|(_, evidence)| evidence);
             evidence.filter(|it| wanted(it)).count()
@@ -209,10 +209,10 @@
         let all_returned = is_over && witnesses == returned;
         let rest = self.flows.iter().filter(|(_, it)| *it == Evidence::None);
         let rest = rest.map(|(probed, _)| probed.flow);
-        ProofVerdict {
-            is_over,
-            gone: rest.filter(|_| all_returned).collect(),
-            witnesses,
+        RestartProbeResult {
+            has_ended: is_over,
+            orphaned: rest.filter(|_| all_returned).collect(),
+            probes: witnesses,
             returned,
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/tried_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
@@ -19,27 +19,27 @@
 
 /// A flow whose packet is at the back end.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PendingTry {
+pub(crate) struct PendingDelivery {
     /// The balancer that wants to know whether the back end has the flow.
     pub(crate) balancer: SocketAddrV4,
     /// Whether it wants to know at once that the back end does not.
-    pub(crate) tells_return: bool,
+    pub(crate) report_return: bool,
     tried_at: Timestamp,
 }
 
 /// Which flows were tried, and which of them the back end does not have.
 #[derive(Debug, Default)]
-pub(crate) struct TriedFlows {
+pub(crate) struct SpeculativeDeliveries {
     /// Flows without an answer.
-    pending: HashMap<FlowId, PendingTry>,
+    pending: HashMap<FlowId, PendingDelivery>,
     /// Flows whose packets came back.
     returned: HashMap<FlowId, Timestamp>,
 }
 
-impl TriedFlows {
+impl SpeculativeDeliveries {
     /// Notes that a balancer wants a packet to be tried. Returns whether it goes
     /// to the back end: not if another one went there a moment ago.
-    pub(crate) fn note_tried(
+    pub(crate) fn note_delivered(
         &mut self,
         now: Timestamp,
         flow: FlowId,
@@ -48,9 +48,9 @@
     ) -> bool {
         let former = self.pending.get(&flow).map(|former| former.tried_at);
         let repeated = former.filter(|at| now.saturating_since(*at) < REPEAT_PAUSE);
-        let pending = PendingTry {
+        let pending = PendingDelivery {
             balancer,
-            tells_return,
+            report_return: tells_return,
             tried_at: repeated.unwrap_or(now),
         };
         if former.is_some() || self.pending.len() < MAX_REMEMBERED {
@@ -60,7 +60,7 @@
     }
 
     /// Takes what is known of a flow whose packet is at the back end.
-    pub(crate) fn take_pending(&mut self, flow: FlowId) -> Option<PendingTry> {
+    pub(crate) fn take_pending(&mut self, flow: FlowId) -> Option<PendingDelivery> {
         self.pending.remove(&flow)
     }
 
--- a/crates/petrellatch-core/src/pass_through/group/contacts.rs
+++ b/crates/petrellatch-core/src/pass_through/group/contacts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-use petrellatch_proto::pass_through::{Group, unpack_address};
+use petrellatch_proto::pass_through::{GroupStatus, unpack_address};
 
 /// The addresses that the settings name, and those that the group told.
 #[derive(Clone, Debug, Default)]
@@ -29,16 +29,16 @@
     }
 
     /// Takes what a replica told, unless something newer is known.
-    pub fn handle_group(&mut self, group: &Group) {
-        if group.serves {
+    pub fn handle_group(&mut self, group: &GroupStatus) {
+        if group.has_leader {
             self.leader = (group.leader != 0).then(|| unpack_address(group.leader));
         } else {
             self.leader = None;
         }
-        if group.index < self.group_index || group.replicas.is_empty() {
+        if group.membership_index < self.group_index || group.replicas.is_empty() {
             return;
         }
-        self.group_index = group.index;
+        self.group_index = group.membership_index;
         self.group = group.replicas.iter().copied().map(unpack_address).collect();
     }
 
--- a/crates/petrellatch-core/src/pass_through/group/daemon_memory.rs
+++ b/crates/petrellatch-core/src/pass_through/group/daemon_memory.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{RememberedDaemons, pack_address, unpack_address};
+use petrellatch_proto::pass_through::{SavedDaemons, pack_address, unpack_address};
 use prost::Message;
 
 use crate::time::Timestamp;
@@ -33,9 +33,9 @@
 #[derive(Debug)]
 pub(crate) struct DaemonMemory {
     /// Daemons that have not been told in this life.
-    untold: RememberedDaemons,
+    untold: SavedDaemons,
     /// What was asked to be saved last, and when.
-    saved: RememberedDaemons,
+    saved: SavedDaemons,
     saved_at: Timestamp,
     /// The agents that were saved before that.
     saved_before: Vec<u64>,
@@ -46,8 +46,8 @@
 impl DaemonMemory {
     pub(crate) fn new(now: Timestamp) -> Self {
         DaemonMemory {
-            untold: RememberedDaemons::default(),
-            saved: RememberedDaemons::default(),
+            untold: SavedDaemons::default(),
+            saved: SavedDaemons::default(),
             saved_at: now,
             saved_before: Vec::new(),
             save_at: now + SAVE_INTERVAL,
@@ -62,7 +62,7 @@
 
     /// Takes what a former life saved. Returns whether it could be read.
     pub(crate) fn recall(&mut self, bytes: &[u8]) -> bool {
-        let Ok(saved) = RememberedDaemons::decode(bytes) else {
+        let Ok(saved) = SavedDaemons::decode(bytes) else {
             return false;
         };
         self.untold = saved.clone();
@@ -92,7 +92,7 @@
     pub(crate) fn save(
         &mut self,
         now: Timestamp,
-        current: impl FnOnce() -> RememberedDaemons,
+        current: impl FnOnce() -> SavedDaemons,
     ) -> Option<Vec<u8>> {
         if now < self.save_at {
             return None;
@@ -100,7 +100,7 @@
         let current = current();
         let steps = current.agents.len() / AGENTS_PER_INTERVAL + 1;
         self.save_at = now + SAVE_INTERVAL * steps as u32;
-        let hears_nobody = current == RememberedDaemons::default();
+        let hears_nobody = current == SavedDaemons::default();
         let is_due = current.agents != self.saved.agents || now >= self.save_balancers_at;
         if !is_due || current == self.saved || hears_nobody {
             return None;
@@ -147,8 +147,8 @@
 pub(crate) fn remembered(
     balancers: Vec<SocketAddrV4>,
     agents: impl IntoIterator<Item = u64>,
-) -> RememberedDaemons {
-    RememberedDaemons {
+) -> SavedDaemons {
+    SavedDaemons {
         balancers: balancers.into_iter().map(pack_address).collect(),
         agents: agents.into_iter().collect(),
     }
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use petrellatch_proto::pass_through::{ZoneOrder, ZoneRecord, ZoneRecords};
+use petrellatch_proto::pass_through::{ZoneCommand, ZoneStatus, ZoneStatuses};
 
 /// The latest order about each zone, as of an index of the log. There are as many
 /// records as zones that were ever ordered about.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     index: u64,
-    zones: BTreeMap<String, ZoneRecord>,
+    zones: BTreeMap<String, ZoneStatus>,
 }
 
 impl Evacuations {
@@ -25,7 +25,7 @@
     }
 
     /// The zones out of service, by name.
-    pub fn evacuated(&self) -> impl Iterator<Item = &ZoneRecord> {
+    pub fn evacuated(&self) -> impl Iterator<Item = &ZoneStatus> {
         self.zones.values().filter(|record| record.evacuated)
     }
 
@@ -36,24 +36,24 @@
 
     /// Applies an order. A repeated one keeps what the first one noted. Returns
     /// whether it changed something.
-    pub(crate) fn apply(&mut self, index: u64, order: &ZoneOrder) -> bool {
+    pub(crate) fn apply(&mut self, index: u64, order: &ZoneCommand) -> bool {
         if self.contains(&order.zone) == order.evacuated {
             return false;
         }
         self.index = index;
-        let record = ZoneRecord {
+        let record = ZoneStatus {
             zone: order.zone.clone(),
             evacuated: order.evacuated,
-            order: order.order,
+            command_id: order.command_id,
             index,
-            ordered_at_millis: order.ordered_at_millis,
+            issued_at_millis: order.issued_at_millis,
         };
         self.zones.insert(order.zone.clone(), record);
         true
     }
 
     /// Takes what another process told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &ZoneRecords) -> bool {
+    pub(crate) fn take_newer(&mut self, told: &ZoneStatuses) -> bool {
         let is_newer = told.index > self.index;
         if is_newer {
             *self = Evacuations::from_message(told);
@@ -61,7 +61,7 @@
         is_newer
     }
 
-    pub(crate) fn from_message(told: &ZoneRecords) -> Evacuations {
+    pub(crate) fn from_message(told: &ZoneStatuses) -> Evacuations {
         let zones = told.zones.iter();
         let zones = zones.map(|record| (record.zone.clone(), record.clone()));
         Evacuations {
@@ -70,15 +70,15 @@
         }
     }
 
-    pub(crate) fn to_message(&self) -> ZoneRecords {
-        ZoneRecords {
+    pub(crate) fn to_message(&self) -> ZoneStatuses {
+        ZoneStatuses {
             index: self.index,
             zones: self.zones.values().cloned().collect(),
         }
     }
 
     /// What somebody who knows the orders up to `known` has to be told, if anything.
-    pub(crate) fn news_since(&self, known: u64) -> Option<ZoneRecords> {
+    pub(crate) fn news_since(&self, known: u64) -> Option<ZoneStatuses> {
         (self.index > known).then(|| self.to_message())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/flow_records.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_records.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    FlowColumns, FlowRecordChange, FlowRecordKept, FormerFlows, RecallFlows,
+    FlowColumns, FlowRecordChange, FlowRecordAck, FlowRecordResponse, FlowRecordRequest,
 };
 use prost::Message;
 
-use crate::pass_through::flows::ended_columns::{ended_flows, to_ended_columns};
-use crate::pass_through::flows::former_flows::{RecordedFlow, from_columns, to_columns};
+use crate::pass_through::flows::closed_flow_columns::{closed_flows, to_closed_columns};
+use crate::pass_through::flows::recorded_flow::{RecordedFlow, from_columns, to_columns};
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
@@ -76,21 +76,21 @@
     }
 
     fn apply(&mut self, change: &FlowRecordChange) {
-        if change.base == 0 {
+        if change.base_revision == 0 {
             *self = Kept::default();
         }
         self.incarnation = change.incarnation;
-        self.backend = change.backend;
-        self.number = change.number;
-        for id in ended_flows(&change.removed) {
+        self.backend = change.backend_incarnation;
+        self.number = change.revision;
+        for id in closed_flows(&change.removed) {
             self.flows.remove(&id);
         }
         for flow in from_columns(&change.put) {
             self.flows
                 .insert(flow.id, (flow.sequence, flow.acknowledged));
         }
-        if !change.witnesses.is_empty() {
-            self.witnesses.clone_from(&change.witnesses);
+        if !change.probe_packets.is_empty() {
+            self.witnesses.clone_from(&change.probe_packets);
         }
     }
 
@@ -109,14 +109,14 @@
         FlowRecordChange {
             agent,
             incarnation: self.incarnation,
-            backend: self.backend,
-            base: 0,
-            number: self.number,
+            backend_incarnation: self.backend,
+            base_revision: 0,
+            revision: self.number,
             part: 0,
             parts: 1,
             put: to_columns(self.recorded()),
             removed: FlowColumns::default(),
-            witnesses: self.witnesses.clone(),
+            probe_packets: self.witnesses.clone(),
         }
     }
 }
@@ -219,13 +219,13 @@
 
     fn take_whole(&mut self, now: Timestamp, change: FlowRecordChange) {
         let agent = change.agent;
-        if change.number == 0 {
+        if change.revision == 0 {
             self.forget(agent);
             return;
         }
         let known = self.agents.get(&agent).and_then(|it| it.kept.as_ref());
         let number = known.map_or(0, |kept| kept.number);
-        if change.base == 0 || (known.is_some() && change.base <= number) {
+        if change.base_revision == 0 || (known.is_some() && change.base_revision <= number) {
             self.apply(now, &change);
         }
     }
@@ -235,14 +235,14 @@
         &mut self,
         now: Timestamp,
         change: FlowRecordChange,
-    ) -> Option<FlowRecordKept> {
+    ) -> Option<FlowRecordAck> {
         let agent = change.agent;
-        let (incarnation, base) = (change.incarnation, change.base);
+        let (incarnation, base) = (change.incarnation, change.base_revision);
         let known = self.agents.get_mut(&agent);
         let known = known.map(|known| known.hear(now));
         let kept = known.and_then(|known| known.kept.as_ref());
         if let Some(kept) = kept
-            && kept.number >= change.number
+            && kept.number >= change.revision
         {
             // A copy, or a life that does not know of this one.
             return Some(answer(kept.incarnation, kept.number));
@@ -257,7 +257,7 @@
             return Some(self.refuse(agent, incarnation));
         }
         let change = self.complete(now, change)?;
-        let number = change.number;
+        let number = change.revision;
         self.apply(now, &change);
         if self.bytes > self.limit_bytes {
             return Some(self.refuse(agent, incarnation));
@@ -278,13 +278,13 @@
         let parts = part.parts as usize;
         self.change_agent(now, agent, |known| {
             let is_same = |it: &Incomplete| {
-                (it.incarnation, it.base, it.number) == (part.incarnation, part.base, part.number)
+                (it.incarnation, it.base, it.number) == (part.incarnation, part.base_revision, part.revision)
             };
             if !known.incomplete.as_ref().is_some_and(is_same) {
                 known.incomplete = Some(Incomplete {
                     incarnation: part.incarnation,
-                    base: part.base,
-                    number: part.number,
+                    base: part.base_revision,
+                    number: part.revision,
                     parts: BTreeMap::new(),
                     bytes: 0,
                 });
@@ -326,10 +326,10 @@
     }
 
     /// There is no room: half a record would count as one, so that none is kept.
-    fn refuse(&mut self, agent: u64, incarnation: u64) -> FlowRecordKept {
+    fn refuse(&mut self, agent: u64, incarnation: u64) -> FlowRecordAck {
         self.refused += 1;
         self.drop_record(agent);
-        FlowRecordKept {
+        FlowRecordAck {
             is_full: true,
             ..answer(incarnation, 0)
         }
@@ -359,30 +359,30 @@
     pub(crate) fn handle_recall(
         &mut self,
         now: Timestamp,
-        question: RecallFlows,
-    ) -> Vec<FormerFlows> {
+        question: FlowRecordRequest,
+    ) -> Vec<FlowRecordResponse> {
         let known = self.agents.get_mut(&question.agent);
         let known = known.map(|known| known.hear(now));
         let kept = known.and_then(|known| known.kept.as_ref());
         let former = kept.filter(|kept| kept.incarnation != question.incarnation);
         let Some(kept) = former else {
-            return vec![FormerFlows {
+            return vec![FlowRecordResponse {
                 incarnation: question.incarnation,
-                ..FormerFlows::default()
+                ..FlowRecordResponse::default()
             }];
         };
         let flows = kept.recorded();
         let parts = flows.len().div_ceil(FLOWS_PER_PART).max(1);
         let part = |part: usize| {
             let flows = flows.chunks(FLOWS_PER_PART).nth(part).unwrap_or_default();
-            FormerFlows {
+            FlowRecordResponse {
                 incarnation: question.incarnation,
-                backend: kept.backend,
-                number: kept.number,
+                backend_incarnation: kept.backend,
+                revision: kept.number,
                 part: part as u32,
                 parts: parts as u32,
                 flows: to_columns(flows.iter().copied()),
-                witnesses: match part {
+                probe_packets: match part {
                     0 => kept.witnesses.clone(),
                     _ => Vec::new(),
                 },
@@ -466,17 +466,17 @@
     }
 }
 
-fn answer(incarnation: u64, number: u64) -> FlowRecordKept {
-    FlowRecordKept {
+fn answer(incarnation: u64, number: u64) -> FlowRecordAck {
+    FlowRecordAck {
         incarnation,
-        number,
+        revision: number,
         is_full: false,
     }
 }
 
 /// What a change takes in memory at most.
 fn change_bytes(change: &FlowRecordChange) -> usize {
-    let witnesses: usize = change.witnesses.iter().map(Vec::len).sum();
+    let witnesses: usize = change.probe_packets.iter().map(Vec::len).sum();
     let flows = change.put.callers.len() + change.removed.callers.len();
     flows * FLOW_BYTES + witnesses
 }
@@ -486,14 +486,14 @@
     let mut parts = incomplete.parts.into_values();
     let mut whole = parts.next()?;
     let mut put = from_columns(&whole.put);
-    let mut removed = ended_flows(&whole.removed);
+    let mut removed = closed_flows(&whole.removed);
     for part in parts {
         put.extend(from_columns(&part.put));
-        removed.extend(ended_flows(&part.removed));
-        whole.witnesses.extend(part.witnesses);
+        removed.extend(closed_flows(&part.removed));
+        whole.probe_packets.extend(part.probe_packets);
     }
     (whole.part, whole.parts) = (0, 1);
     whole.put = to_columns(put);
-    whole.removed = to_ended_columns(&removed);
+    whole.removed = to_closed_columns(&removed);
     Some(whole)
 }
--- a/crates/petrellatch-core/src/pass_through/group/followers.rs
+++ b/crates/petrellatch-core/src/pass_through/group/followers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, Directory, DirectoryChange, DirectoryEntry, MAX_PART_BYTES, PassThroughBody,
+    AgentState, DirectoryPart, DirectoryChange, DirectoryEntry, MAX_PART_BYTES, PassThroughBody,
     Report, unpack_address,
 };
 use prost::Message;
@@ -207,8 +207,8 @@
 
     /// Takes a report. Returns whether balancers should know at once.
     pub(crate) fn handle_report(&mut self, now: Timestamp, mut report: Report) -> bool {
-        let leaving = std::mem::take(&mut report.leaving);
-        let interval = Duration::from_millis(u64::from(report.interval_millis));
+        let leaving = std::mem::take(&mut report.draining_backends);
+        let interval = Duration::from_millis(u64::from(report.next_report_millis));
         self.told_interval = self.told_interval.max(interval.min(MAX_REPORT_INTERVAL));
         self.note_leaving(now, report.address, leaving);
         self.expected.note_heard(report.address);
@@ -250,11 +250,11 @@
 
     /// Takes a part of what another replica knows of agents. Returns whether
     /// that is complete. What this replica heard itself goes before it.
-    pub(crate) fn handle_directory(&mut self, now: Timestamp, directory: Directory) -> bool {
+    pub(crate) fn handle_directory(&mut self, now: Timestamp, directory: DirectoryPart) -> bool {
         if directory.base_revision != 0 {
             return false;
         }
-        let Directory {
+        let DirectoryPart {
             revision,
             part,
             parts,
@@ -342,7 +342,7 @@
 
     /// The back ends that agents report of, as policies see them.
     pub(crate) fn backends(&self, now: Timestamp) -> Vec<ReportedBackend> {
-        let serves = |agent: &&ReportedAgent| agent.report.state() != AgentState::Empty;
+        let serves = |agent: &&ReportedAgent| agent.report.state() != AgentState::Unavailable;
         let agents = self.agents.values().filter(serves);
         let backend =
             |agent: &ReportedAgent| ReportedBackend::new(now, agent.heard_at, &agent.report);
@@ -424,7 +424,7 @@
             Some(first) => self.change_of(now, self.touched.iter().skip(first)),
             None => DirectoryChange {
                 agents: self.agents.values().map(|it| it.entry(now)).collect(),
-                gone: Vec::new(),
+                removed: Vec::new(),
             },
         };
         let base_revision = first.map_or(0, |_| base);
@@ -441,7 +441,7 @@
         let gone = addresses.iter().filter(|it| !self.agents.contains_key(it));
         DirectoryChange {
             agents: known.map(|agent| agent.entry(now)).collect(),
-            gone: gone.copied().collect(),
+            removed: gone.copied().collect(),
         }
     }
 
@@ -454,7 +454,7 @@
         let parts = split(&bytes, MAX_PART_BYTES);
         let count = parts.len() as u32;
         let part = |(part, bytes): (usize, &[u8])| {
-            PassThroughBody::Directory(Directory {
+            PassThroughBody::DirectoryPart(DirectoryPart {
                 base_revision,
                 revision: self.revision,
                 part: part as u32,
@@ -480,12 +480,12 @@
 
     /// Whether it has said its last word.
     fn has_stopped(&self) -> bool {
-        self.report.interval_millis == 0
+        self.report.next_report_millis == 0
     }
 
     /// Whether it has stopped and leaves no flows.
     fn is_gone(&self) -> bool {
-        self.has_stopped() && self.report.state() == AgentState::Empty
+        self.has_stopped() && self.report.state() == AgentState::Unavailable
     }
 
     fn is_behind(&self, evacuations: &Evacuations) -> bool {
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -43,8 +43,8 @@
     ConfigurationRequest, ConfigurationResponse, ZoneOrderRefusal, node_address, node_at,
 };
 pub use digest::{backend_digest, service_digest};
-pub use flows::flow_recorder::{FlowRecordFigures, FlowRecordSettings};
-pub use flows::former_recall::RecallOutcome;
+pub use flows::flow_recorder::{FlowRecorderStats, FlowRecordSettings};
+pub use flows::flow_record_recovery::RecoveryOutcome;
 pub use group::contacts::Contacts;
 pub use group::evacuations::Evacuations;
 pub use group::flow_records::{FlowRecordWrite, FlowRecordsKept};
--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 
-use petrellatch_proto::pass_through::{PlacementPolicy, PolicyRecords};
+use petrellatch_proto::pass_through::{PlacementPolicy, PolicySet};
 
 use super::placement_policies::{PlacementPolicies, routes};
 use crate::pass_through::choice::known_agent::KnownAgent;
@@ -96,7 +96,7 @@
     }
 
     /// Takes what a replica told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &PolicyRecords) -> bool {
+    pub(crate) fn take_newer(&mut self, told: &PolicySet) -> bool {
         if !self.records.take_newer(told) {
             return false;
         }
