--- a/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
@@ -68,7 +68,7 @@
     /// The back end as a policy sees it.
     pub(crate) fn view(&self, now: Timestamp, condition: &BackendCondition) -> BackendView {
         let load = &condition.load;
-        let busy = load.busy.saturating_add(condition.sent_since);
+        let busy = load.in_flight_requests.saturating_add(condition.sent_since);
         // Who answers is the system's own concern: one that is silent for a moment is asked
         // last, and is not taken for down.
         let health = match condition.is_left_out {
@@ -79,8 +79,8 @@
             name: self.name.clone(),
             zone: self.zone.clone(),
             labels: self.labels.clone(),
-            slots: load.capacity,
-            free_slots: load.capacity.saturating_sub(busy),
+            slots: load.slots,
+            free_slots: load.slots.saturating_sub(busy),
             connections: load.open_flows,
             health,
             draining: condition.state == AgentState::Draining,
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    PlacementPolicy, PolicyChange, PolicyRecords, unpack_address,
+    PlacementPolicy, PolicyChange, PolicySet, unpack_address,
 };
 use prost::Message;
 use snafu::Snafu;
@@ -147,7 +147,7 @@
     }
 
     /// Takes what another process told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &PolicyRecords) -> bool {
+    pub(crate) fn take_newer(&mut self, told: &PolicySet) -> bool {
         let is_newer = told.index > self.index;
         if is_newer {
             *self = PlacementPolicies::from_message(told);
@@ -155,7 +155,7 @@
         is_newer
     }
 
-    pub(crate) fn from_message(told: &PolicyRecords) -> PlacementPolicies {
+    pub(crate) fn from_message(told: &PolicySet) -> PlacementPolicies {
         let policies = told.policies.iter();
         let policies = policies.map(|policy| (policy.name.clone(), policy.clone()));
         PlacementPolicies {
@@ -164,15 +164,15 @@
         }
     }
 
-    pub(crate) fn to_message(&self) -> PolicyRecords {
-        PolicyRecords {
+    pub(crate) fn to_message(&self) -> PolicySet {
+        PolicySet {
             index: self.index,
             policies: self.policies.values().cloned().collect(),
         }
     }
 
     /// What somebody who knows the policies up to `known` has to be told, if anything.
-    pub(crate) fn news_since(&self, known: u64) -> Option<PolicyRecords> {
+    pub(crate) fn news_since(&self, known: u64) -> Option<PolicySet> {
         (self.index > known).then(|| self.to_message())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
@@ -47,7 +47,7 @@
             state: report.state(),
             load: report.load,
             sent_since: 0,
-            is_left_out: report.load.left_out_millis > 0,
+            is_left_out: report.load.ejected_millis > 0,
         };
         ReportedBackend {
             service: report.service.clone(),
--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -85,7 +85,7 @@
                 return SameAddressSnafu { address }.fail();
             }
         }
-        let says_something = |record: &ServiceRecord| record.cold_millirequests_per_second > 0;
+        let says_something = |record: &ServiceRecord| record.warm_up_millirequests_per_second > 0;
         let services = services.into_iter().filter(says_something);
         let services = services.map(|record| (record.service.clone(), record));
         Ok(Configuration {
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -1,7 +1,7 @@
 //! The replicated state: what the commands of the log lead to.
 
 use petrellatch_proto::pass_through::{
-    ConfigurationChange, GroupCommand, PolicyChange, PolicyRecords, ZoneOrder, ZoneRecords,
+    ConfigurationChange, LogCommand, PolicyChange, PolicySet, ZoneCommand, ZoneStatuses,
 };
 use prost::Message;
 
@@ -30,7 +30,7 @@
     /// An order about a zone holds.
     ZoneOrder {
         /// The order.
-        order: ZoneOrder,
+        order: ZoneCommand,
         /// Whether it changed something.
         changed: bool,
     },
@@ -62,9 +62,9 @@
     #[prost(bytes = "vec", repeated, tag = "2")]
     pending: Vec<Vec<u8>>,
     #[prost(message, optional, tag = "3")]
-    zones: Option<ZoneRecords>,
+    zones: Option<ZoneStatuses>,
     #[prost(message, optional, tag = "4")]
-    policies: Option<PolicyRecords>,
+    policies: Option<PolicySet>,
 }
 
 impl ConfigurationState {
@@ -82,18 +82,18 @@
 
     /// The command that makes a change of the placement policies.
     pub(crate) fn policy_command(change: &PolicyChange) -> Vec<u8> {
-        let command = GroupCommand {
+        let command = LogCommand {
             policy_change: Some(change.clone()),
-            ..GroupCommand::default()
+            ..LogCommand::default()
         };
         command.encode_to_vec()
     }
 
     /// The command that makes an order about a zone.
-    pub(crate) fn zone_command(order: &ZoneOrder) -> Vec<u8> {
-        let command = GroupCommand {
-            zone_order: Some(order.clone()),
-            ..GroupCommand::default()
+    pub(crate) fn zone_command(order: &ZoneCommand) -> Vec<u8> {
+        let command = LogCommand {
+            zone_command: Some(order.clone()),
+            ..LogCommand::default()
         };
         command.encode_to_vec()
     }
@@ -103,12 +103,12 @@
         let bytes = compress(&change.encode_to_vec());
         let parts = split(&bytes, COMMAND_PART_BYTES);
         let count = parts.len() as u32;
-        let command = |(part, bytes): (usize, &[u8])| GroupCommand {
-            change: id,
+        let command = |(part, bytes): (usize, &[u8])| LogCommand {
+            change_id: id,
             part: part as u32,
             parts: count,
             bytes: bytes.to_vec(),
-            ..GroupCommand::default()
+            ..LogCommand::default()
         };
         let commands = parts.into_iter().enumerate().map(command);
         commands.map(|command| command.encode_to_vec()).collect()
@@ -117,8 +117,8 @@
     /// Applies the command at `index` of the log. One that can't be decoded has no
     /// effect at any replica.
     pub(crate) fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<Applied> {
-        let command = GroupCommand::decode(bytes).ok()?;
-        if let Some(order) = command.zone_order {
+        let command = LogCommand::decode(bytes).ok()?;
+        if let Some(order) = command.zone_command {
             let changed = self.evacuations.apply(index, &order);
             return Some(Applied::ZoneOrder { order, changed });
         }
@@ -129,12 +129,12 @@
         self.apply_part(command, bytes).map(Applied::Change)
     }
 
-    fn apply_part(&mut self, command: GroupCommand, bytes: &[u8]) -> Option<AppliedChange> {
+    fn apply_part(&mut self, command: LogCommand, bytes: &[u8]) -> Option<AppliedChange> {
         if command.part == 0 {
             self.pending.clear();
         }
         self.pending.push(bytes.to_vec());
-        let id = command.change;
+        let id = command.change_id;
         let complete = self
             .assembly
             .add(id, command.part, command.parts, command.bytes)?;
@@ -160,7 +160,7 @@
         let mut state = ConfigurationState::default();
         state.configuration.apply(&snapshot.configuration?);
         for bytes in &snapshot.pending {
-            let command = GroupCommand::decode(bytes.as_slice()).ok()?;
+            let command = LogCommand::decode(bytes.as_slice()).ok()?;
             state.apply_part(command, bytes);
         }
         if let Some(zones) = &snapshot.zones {
--- a/crates/petrellatch-core/src/pass_through/routes/route_table.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/route_table.rs
@@ -22,7 +22,7 @@
 pub struct RouteTable {
     version: u64,
     routes: HashMap<SocketAddrV4, Route>,
-    /// See [`ServiceRecord::cold_millirequests_per_second`], by the service's digest.
+    /// See [`ServiceRecord::warm_up_millirequests_per_second`], by the service's digest.
     cold_rates: HashMap<u64, u32>,
     assembly: PartAssembly,
     /// Changes that have overtaken others, by the version that they are based
@@ -150,7 +150,7 @@
             let route = Route {
                 shares: shares(record),
                 class: RequestClass {
-                    objective_millis: record.objective_millis,
+                    objective_millis: record.latency_objective_millis,
                     deadline_millis: record.deadline_millis,
                     priority: record.priority,
                 },
@@ -162,7 +162,7 @@
         }
         for ServiceRecord {
             service,
-            cold_millirequests_per_second,
+            warm_up_millirequests_per_second: cold_millirequests_per_second,
         } in &change.put_services
         {
             self.cold_rates
@@ -174,7 +174,7 @@
 }
 
 fn shares(route: &RouteRecord) -> Vec<Share> {
-    let share = |record: &petrellatch_proto::pass_through::ShareRecord| Share {
+    let share = |record: &petrellatch_proto::pass_through::RouteShare| Share {
         service: service_digest(&record.service),
         weight: record.weight,
     };
--- a/crates/petrellatch-core/tests/pass_through/changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/changes.rs
@@ -102,7 +102,7 @@
     routes.remove(20);
     let services = vec![ServiceRecord {
         service: "desk".to_owned(),
-        cold_millirequests_per_second: 0,
+        warm_up_millirequests_per_second: 0,
     }];
     let after = Configuration::new(5, routes.clone(), services.clone(), Vec::new()).expect("valid");
     let change = before.change_to(&after);
--- a/crates/petrellatch-core/tests/pass_through/cold_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/cold_backends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use petrellatch_core::pass_through::Registration;
-use petrellatch_proto::pass_through::{Group, PassThroughBody, ZoneRecord, ZoneRecords};
+use petrellatch_proto::pass_through::{GroupStatus, PassThroughBody, ZoneStatus, ZoneStatuses};
 
 use super::world::{MILLI, REPLICA, SERVICE, World, agent_address};
 
@@ -130,23 +130,23 @@
     let mut world = world();
     call(&mut world, "one", 1, Duration::ZERO);
     for (index, evacuated) in [(5, true), (6, false)] {
-        let record = ZoneRecord {
+        let record = ZoneStatus {
             zone: "a".to_owned(),
             evacuated,
             index,
-            ..ZoneRecord::default()
+            ..ZoneStatus::default()
         };
-        let group = Group {
-            serves: true,
-            zones: Some(ZoneRecords {
+        let group = GroupStatus {
+            has_leader: true,
+            zones: Some(ZoneStatuses {
                 index,
                 zones: vec![record],
             }),
-            ..Group::default()
+            ..GroupStatus::default()
         };
         let now = world.now;
         let agent = world.agents.get_mut(&agent_address(1)).expect("known");
-        agent.handle_message(now, REPLICA, PassThroughBody::Group(group));
+        agent.handle_message(now, REPLICA, PassThroughBody::GroupStatus(group));
         world.run(5 * MILLI);
     }
     let times = arrivals(&mut world, 3_000, SECOND);
--- a/crates/petrellatch-core/tests/pass_through/edge.rs
+++ b/crates/petrellatch-core/tests/pass_through/edge.rs
@@ -7,7 +7,7 @@
 use petrellatch_core::pass_through::PassThroughOutput;
 use petrellatch_core::{EventKind, pass_through::PacketView};
 use petrellatch_proto::pass_through::{
-    Accepted, CarryReason, DeclineReason, Declined, LoadMessage, PassThroughBody, Waiting,
+    Accepted, ForwardReason, DeclineReason, Declined, LoadMessage, PassThroughBody, FlowQueued,
 };
 
 use super::codec::{TestCodec, empty, encode};
@@ -42,8 +42,8 @@
             match output {
                 PassThroughOutput::Send {
                     to,
-                    body: PassThroughBody::Carry(carry),
-                } if carry.reason() != CarryReason::Deliver => {
+                    body: PassThroughBody::ForwardedPacket(carry),
+                } if carry.reason() != ForwardReason::Deliver => {
                     let view = TestCodec.view(&carry.packet).expect("a packet");
                     self.asked.push((to, view.flow_from_caller()));
                 }
@@ -89,7 +89,7 @@
                 flow: flow.into(),
                 reason: reason.into(),
                 load: load(2),
-                turn_micros,
+                expected_wait_micros: turn_micros,
             };
             let body = PassThroughBody::Declined(declined);
             self.world
@@ -117,11 +117,11 @@
     /// The agent that was asked last lets its flow wait.
     fn let_wait(&mut self, load: LoadMessage) {
         let (agent, flow) = self.asked.pop().expect("asked");
-        let waiting = Waiting {
+        let waiting = FlowQueued {
             flow: flow.into(),
             load,
         };
-        let body = PassThroughBody::Waiting(waiting);
+        let body = PassThroughBody::FlowQueued(waiting);
         self.world
             .balancer
             .handle_message(self.world.now, agent, body);
@@ -141,8 +141,8 @@
 
 fn load(busy: u32) -> LoadMessage {
     LoadMessage {
-        busy,
-        capacity: 2,
+        in_flight_requests: busy,
+        slots: 2,
         ..LoadMessage::default()
     }
 }
@@ -150,7 +150,7 @@
 /// A back end that is warm and has a queue.
 fn warm() -> LoadMessage {
     LoadMessage {
-        work_micros: 33_000,
+        processing_micros: 33_000,
         ..load(6)
     }
 }
@@ -256,7 +256,7 @@
         ..warm()
     };
     let just_started = LoadMessage {
-        work_micros: 0,
+        processing_micros: 0,
         ..warm()
     };
     for load in [cold, just_started] {
@@ -309,7 +309,7 @@
         flow: flow.into(),
         reason: DeclineReason::Full.into(),
         load: load(0),
-        turn_micros: 0,
+        expected_wait_micros: 0,
     };
     let body = PassThroughBody::Declined(declined);
     edge.world
--- a/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
@@ -1,30 +1,30 @@
 //! Flows of zones that are out of service.
 
-use petrellatch_proto::pass_through::{Confirmed, Group, PassThroughBody, ZoneRecord, ZoneRecords};
+use petrellatch_proto::pass_through::{VersionConfirmed, GroupStatus, PassThroughBody, ZoneStatus, ZoneStatuses};
 
 use super::world::{MILLI, REPLICA, World, agent_address};
 
 const PORT: u16 = 1_000;
 
 /// The zone of all agents of the world.
-fn zones(index: u64, evacuated: bool) -> ZoneRecords {
-    let record = ZoneRecord {
+fn zones(index: u64, evacuated: bool) -> ZoneStatuses {
+    let record = ZoneStatus {
         zone: "a".to_owned(),
         evacuated,
         index,
-        ..ZoneRecord::default()
+        ..ZoneStatus::default()
     };
-    ZoneRecords {
+    ZoneStatuses {
         index,
         zones: vec![record],
     }
 }
 
-fn group(zones: ZoneRecords) -> PassThroughBody {
-    PassThroughBody::Group(Group {
-        serves: true,
+fn group(zones: ZoneStatuses) -> PassThroughBody {
+    PassThroughBody::GroupStatus(GroupStatus {
+        has_leader: true,
         zones: Some(zones),
-        ..Group::default()
+        ..GroupStatus::default()
     })
 }
 
@@ -103,11 +103,11 @@
 #[test]
 fn a_balancer_that_starts_knows_the_zones_before_it_is_ready() {
     let mut world = World::new(2, 2);
-    let confirmed = Confirmed {
-        confirm: 7,
+    let confirmed = VersionConfirmed {
+        confirmation_id: 7,
         version: 3,
         zones: Some(zones(7, true)),
-        ..Confirmed::default()
+        ..VersionConfirmed::default()
     };
     world.start_balancer_with(confirmed);
     assert!(world.balancer.is_ready(world.now));
--- a/crates/petrellatch-core/tests/pass_through/evacuation_orders.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuation_orders.rs
@@ -4,7 +4,7 @@
 
 use petrellatch_core::pass_through::{ConfigurationResponse, ZoneOrderRefusal};
 use petrellatch_proto::pass_through::{
-    AgentState, EvacuationsKnown, PassThroughBody, Report, pack_address,
+    AgentState, EvacuationsAck, PassThroughBody, Report, pack_address,
 };
 
 use super::group::{Group, address};
@@ -57,7 +57,7 @@
 fn told(group: &mut Group, agent: u8) -> usize {
     let sent = std::mem::take(&mut group.sent_outside);
     let tells = |(_, to, body): &&(u8, u8, PassThroughBody)| {
-        *to == agent && matches!(body, PassThroughBody::Group(group) if group.zones.is_some())
+        *to == agent && matches!(body, PassThroughBody::GroupStatus(group) if group.zones.is_some())
     };
     sent.iter().filter(tells).count()
 }
@@ -200,11 +200,11 @@
     assert_eq!(others, 0, "the other zone is not concerned");
     assert_eq!(group.node(leader).agents_behind(), 1);
 
-    let known = EvacuationsKnown {
+    let known = EvacuationsAck {
         address: pack_address(address(AGENT)),
         index: group.node(leader).evacuations().index(),
     };
-    group.hear(leader, AGENT, PassThroughBody::EvacuationsKnown(known));
+    group.hear(leader, AGENT, PassThroughBody::EvacuationsAck(known));
     group.run(SECOND);
     assert_eq!(told(&mut group, AGENT), 0);
     assert_eq!(group.node(leader).agents_behind(), 0);
--- a/crates/petrellatch-core/tests/pass_through/expected_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/expected_agents.rs
@@ -3,12 +3,12 @@
 
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{RememberedDaemons, pack_address};
+use petrellatch_proto::pass_through::{SavedDaemons, pack_address};
 use prost::Message;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::returning_site::{REPLICAS, Site, agent_address};
+use super::site::{REPLICAS, Site, agent_address};
 use super::world::MILLI;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
         site.request(1);
         site.run(150 * MILLI);
         assert_eq!(site.resets, 1, "{agents} agents");
-        assert_eq!(site.tried.len(), 0, "nobody may have it");
+        assert_eq!(site.packets_to_backends.len(), 0, "nobody may have it");
     }
 }
 
@@ -48,10 +48,10 @@
 fn agents_that_run_on_report_at_once_to_replicas_that_start() {
     let mut site = Site::new(690);
     site.run(20 * SECOND);
-    site.lose_replicas();
+    site.stop_replicas();
     site.run(5 * SECOND);
     site.start_replicas();
-    let time = site.time_until_whole(REPLICAS.len(), 4 * SECOND);
+    let time = site.time_until_complete(REPLICAS.len(), 4 * SECOND);
     assert!(time.is_some(), "not by the time between two reports");
 }
 
@@ -63,9 +63,9 @@
     site.start_replicas();
     return_agents(&mut site, AGENTS - 1);
     let limit = ALL_REPORTED - 200 * MILLI;
-    assert_eq!(site.time_until_whole(1, limit - 200 * MILLI), None);
+    assert_eq!(site.time_until_complete(1, limit - 200 * MILLI), None);
     assert!(
-        site.time_until_whole(3, 2 * SECOND).is_some(),
+        site.time_until_complete(3, 2 * SECOND).is_some(),
         "not for ever"
     );
 }
@@ -74,12 +74,12 @@
 fn an_agent_that_joined_after_the_last_save_and_runs_on_keeps_its_flows() {
     for outage in [MILLI, 250 * MILLI, SECOND, 4 * SECOND, 30 * SECOND] {
         let mut site = Site::new(AGENTS);
-        let memories = site.memories.clone();
+        let memories = site.saved_daemons.clone();
         let young = AGENTS + 1;
         site.start_agent(young, 100);
         site.run(20 * MILLI);
-        site.memories = memories;
-        site.lose_replicas();
+        site.saved_daemons = memories;
+        site.stop_replicas();
         site.run(outage);
         site.start_replicas();
         site.start_balancer();
@@ -88,26 +88,26 @@
             site.run(100 * MILLI);
         }
         assert_eq!(site.resets, 0, "after {outage:?}");
-        assert!(site.tried.contains(&agent_address(young)), "it is asked");
+        assert!(site.packets_to_backends.contains(&agent_address(young)), "it is asked");
     }
 }
 
 #[test]
 fn a_replica_that_was_down_when_an_agent_joined_waits_for_it() {
     let mut site = Site::new(AGENTS);
-    let stale = site.memories[&REPLICAS[0]].clone();
+    let stale = site.saved_daemons[&REPLICAS[0]].clone();
     site.replicas.remove(&REPLICAS[0]);
     let young = AGENTS + 1;
     site.start_agent(young, 100);
     site.run(10 * SECOND);
-    site.memories.insert(REPLICAS[0], stale);
+    site.saved_daemons.insert(REPLICAS[0], stale);
     site.lose_power();
     site.run(SECOND);
     site.start_replicas();
     return_agents(&mut site, AGENTS);
-    assert_eq!(site.time_until_whole(1, ALL_REPORTED - 400 * MILLI), None);
+    assert_eq!(site.time_until_complete(1, ALL_REPORTED - 400 * MILLI), None);
     site.start_agent(young, 100);
-    assert!(site.time_until_whole(3, 600 * MILLI).is_some());
+    assert!(site.time_until_complete(3, 600 * MILLI).is_some());
 }
 
 #[test]
@@ -117,7 +117,7 @@
     site.run(SECOND);
     site.start_replica(REPLICAS[0]);
     return_agents(&mut site, AGENTS);
-    assert_eq!(site.time_until_whole(1, ALL_REPORTED - 400 * MILLI), None);
+    assert_eq!(site.time_until_complete(1, ALL_REPORTED - 400 * MILLI), None);
 }
 
 #[test]
@@ -125,25 +125,25 @@
     for memory in [None, Some(vec![0xFF; 9])] {
         let mut site = Site::new(AGENTS);
         site.lose_power();
-        site.memories.clear();
+        site.saved_daemons.clear();
         if let Some(memory) = memory {
-            site.memories = REPLICAS.map(|it| (it, memory.clone())).into();
+            site.saved_daemons = REPLICAS.map(|it| (it, memory.clone())).into();
         }
         site.run(SECOND);
         site.start_replicas();
         return_agents(&mut site, AGENTS);
-        assert_eq!(site.time_until_whole(1, 350 * MILLI), None);
-        assert!(site.time_until_whole(3, 2 * SECOND).is_some());
+        assert_eq!(site.time_until_complete(1, 350 * MILLI), None);
+        assert!(site.time_until_complete(3, 2 * SECOND).is_some());
     }
 }
 
 fn remembers(site: &Site, agent: u16) -> bool {
     let agent = pack_address(agent_address(agent));
     let is_remembered = |memory: &Vec<u8>| {
-        let memory = RememberedDaemons::decode(memory.as_slice()).expect("readable");
+        let memory = SavedDaemons::decode(memory.as_slice()).expect("readable");
         memory.agents.contains(&agent)
     };
-    site.memories.values().all(is_remembered)
+    site.saved_daemons.values().all(is_remembered)
 }
 
 #[test]
@@ -220,8 +220,8 @@
     let replica = REPLICAS[random.random_range(0..REPLICAS.len())];
     let index = random.random_range(1..=12);
     match random.random_range(0..8) {
-        0 if outage => REPLICAS.into_iter().for_each(|it| site.end_replica(it)),
-        0 | 1 => site.end_replica(replica),
+        0 if outage => REPLICAS.into_iter().for_each(|it| site.stop_replica(it)),
+        0 | 1 => site.stop_replica(replica),
         2..=4 if !site.replicas.contains_key(&replica) => site.start_replica(replica),
         5 => {
             site.agents.remove(&agent_address(index));
@@ -242,8 +242,8 @@
             let pause = random.random_range(1..=if round % 40 < 30 { 12 } else { 120 });
             for _ in 0..pause {
                 site.run(5 * MILLI);
-                whole += site.whole();
-                assert_eq!(site.left_out(), None, "seed {seed}, round {round}");
+                whole += site.complete_replicas();
+                assert_eq!(site.unlisted_agent(), None, "seed {seed}, round {round}");
             }
         }
         assert!(whole > 100, "{whole}");
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -15,8 +15,8 @@
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    CarryReason, ConfigurationChange, ConfigurationPart, Confirmed, Directory, DirectoryChange,
-    DirectoryEntry, Group, PassThroughBody, PassThroughMessage, RouteRecord, ShareRecord,
+    ForwardReason, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart, DirectoryChange,
+    DirectoryEntry, GroupStatus, PassThroughBody, PassThroughMessage, RouteRecord, RouteShare,
     pack_address,
 };
 use prost::Message;
@@ -325,8 +325,8 @@
                 PassThroughOutput::Send { to, .. } if to == REPLICA => {}
                 PassThroughOutput::Send { to, body } => {
                     let bytes = message_bytes(&body);
-                    if let PassThroughBody::Carry(carry) = &body
-                        && carry.reason() != CarryReason::Deliver
+                    if let PassThroughBody::ForwardedPacket(carry) = &body
+                        && carry.reason() != ForwardReason::Deliver
                     {
                         let view = TestCodec.view(&carry.packet).expect("a packet");
                         let call = self.calls.get_mut(&view.source);
@@ -358,11 +358,11 @@
                     if let PassThroughBody::Report(report) = body {
                         let age_millis = 0;
                         self.tell_all(DirectoryEntry { report, age_millis });
-                        let heard = Group {
-                            answers_report: true,
-                            ..Group::default()
+                        let heard = GroupStatus {
+                            has_report: true,
+                            ..GroupStatus::default()
                         };
-                        let body = Box::new(PassThroughBody::Group(heard));
+                        let body = Box::new(PassThroughBody::GroupStatus(heard));
                         self.schedule(WAY, Event::ToAgent(address, REPLICA, body));
                     }
                 }
@@ -391,11 +391,11 @@
     fn tell_all(&mut self, entry: DirectoryEntry) {
         let change = DirectoryChange {
             agents: vec![entry],
-            gone: Vec::new(),
+            removed: Vec::new(),
         };
         let bytes = compress_prepend_size(&change.encode_to_vec());
         self.order += 1;
-        let directory = Directory {
+        let directory = DirectoryPart {
             base_revision: 0,
             revision: self.order,
             part: 0,
@@ -404,7 +404,7 @@
         };
         let now = self.time();
         for balancer in &mut self.balancers {
-            let body = PassThroughBody::Directory(directory.clone());
+            let body = PassThroughBody::DirectoryPart(directory.clone());
             balancer.handle_message(now, REPLICA, body);
         }
     }
@@ -563,11 +563,11 @@
     let mut balancer = PassThroughBalancer::new(now, settings, TestCodec, life, contacts);
     let route = |priority: usize| RouteRecord {
         address: pack_address(ROUTES[priority]),
-        shares: vec![ShareRecord {
+        shares: vec![RouteShare {
             service: SERVICE.to_owned(),
             weight: 1,
         }],
-        objective_millis: 200,
+        latency_objective_millis: 200,
         deadline_millis: 2_000,
         priority: priority as u32,
         ..RouteRecord::default()
@@ -584,14 +584,14 @@
         parts: 1,
         bytes: compress_prepend_size(&change.encode_to_vec()),
     };
-    let confirmed = Confirmed {
-        confirm: life.0 | 1,
+    let confirmed = VersionConfirmed {
+        confirmation_id: life.0 | 1,
         version: 3,
         zones: None,
-        ..Confirmed::default()
+        ..VersionConfirmed::default()
     };
     balancer.handle_message(now, REPLICA, PassThroughBody::Configuration(part));
-    balancer.handle_message(now, REPLICA, PassThroughBody::Confirmed(confirmed));
+    balancer.handle_message(now, REPLICA, PassThroughBody::VersionConfirmed(confirmed));
     assert!(balancer.is_ready(now));
     balancer
 }
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -4,10 +4,10 @@
 
 use petrellatch_core::EventKind;
 use petrellatch_core::pass_through::{
-    ConfigurationNodeSettings, FlowRecordSettings, RecallOutcome,
+    ConfigurationNodeSettings, FlowRecordSettings, RecoveryOutcome,
 };
 use petrellatch_proto::pass_through::{
-    FlowRecordChange, Group, MAX_PART_BYTES, PassThroughBody, pack_address,
+    FlowRecordChange, GroupStatus, MAX_PART_BYTES, PassThroughBody, pack_address,
 };
 
 use super::flow_record_world::{AGENT, Disk, RecordWorld, encoded_bytes, replica};
@@ -20,15 +20,15 @@
 }
 
 fn only_acknowledgements(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::FlowRecordKept(_))
+    matches!(body, PassThroughBody::FlowRecordAck(_))
 }
 
 fn only_questions(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::RecallFlows(_))
+    matches!(body, PassThroughBody::FlowRecordRequest(_))
 }
 
 fn only_answers(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::FormerFlows(_))
+    matches!(body, PassThroughBody::FlowRecordResponse(_))
 }
 
 /// A world whose three replicas keep so many flows.
@@ -52,7 +52,7 @@
     for number in 1..=3 {
         assert_eq!(world.kept_at(replica(number)), [1, 3, 4]);
     }
-    assert!(world.changes.iter().all(|(_, _, change)| change.base > 0));
+    assert!(world.changes.iter().all(|(_, _, change)| change.base_revision > 0));
     let put = world
         .changes
         .iter()
@@ -144,7 +144,7 @@
         world.start_agent();
         world.run(3 * SECOND);
         assert_eq!(world.to_lose, 0, "they did get lost");
-        assert_eq!(world.agent.recall_outcome(), Some(RecallOutcome::Recalled));
+        assert_eq!(world.agent.recall_outcome(), Some(RecoveryOutcome::Recalled));
     }
 }
 
@@ -245,17 +245,17 @@
     world.replicas.remove(&replica(1));
     world.start_agent_with(vec![replica(1)]);
     world.run(SECOND);
-    let group = Group {
-        index: 9,
+    let group = GroupStatus {
+        membership_index: 9,
         replicas: vec![pack_address(replica(2)), pack_address(replica(3))],
-        ..Group::default()
+        ..GroupStatus::default()
     };
     let now = world.now;
     world
         .agent
-        .handle_message(now, replica(2), PassThroughBody::Group(group));
+        .handle_message(now, replica(2), PassThroughBody::GroupStatus(group));
     world.run(SECOND);
-    assert_eq!(world.agent.recall_outcome(), Some(RecallOutcome::Recalled));
+    assert_eq!(world.agent.recall_outcome(), Some(RecoveryOutcome::Recalled));
 }
 
 #[test]
@@ -277,13 +277,13 @@
 #[test]
 fn numbers_of_a_new_life_are_above_those_of_the_former() {
     let mut world = world_with(5);
-    let former = world.ask(replica(1))[0].number;
+    let former = world.ask(replica(1))[0].revision;
     world.changes.clear();
     world.start_agent();
     world.open(9);
     world.run(4 * SECOND);
     assert!(!world.changes.is_empty());
-    assert!(world.changes.iter().all(|(_, _, it)| it.number > former));
+    assert!(world.changes.iter().all(|(_, _, it)| it.revision > former));
     // The back end lives on: its flows are taken over, and told again.
     assert_eq!(world.kept_at(replica(2)), [1, 2, 3, 4, 5, 9]);
 }
@@ -298,7 +298,7 @@
     world.run(31 * SECOND);
     assert_eq!(
         world.agent.recall_outcome(),
-        Some(RecallOutcome::Unanswered)
+        Some(RecoveryOutcome::Unanswered)
     );
     world.open(9);
     world.run(4 * SECOND);
@@ -313,7 +313,7 @@
     let mut world = world_with(1);
     assert_eq!(world.recalls, 0);
     let off = FlowRecordSettings {
-        age: Duration::ZERO,
+        min_flow_age: Duration::ZERO,
         ..FlowRecordSettings::default()
     };
     let mut off = RecordWorld::with(3, off, ConfigurationNodeSettings::default());
@@ -344,7 +344,7 @@
     let kept = world.replica_mut(replica(1)).flow_records(now);
     assert!(kept.bytes <= 8 * 1024 && kept.refused > 0, "{kept:?}");
     assert!(kept.refused < 8, "it is not asked all the time: {kept:?}");
-    assert_eq!(world.agent.flow_record().full, 3);
+    assert_eq!(world.agent.flow_record().full_replicas, 3);
     assert_eq!(world.told(EventKind::FlowRecordRefused).len(), 3);
     (2..400).for_each(|port| world.end(port));
     world.run(60 * SECOND);
@@ -383,7 +383,7 @@
 #[test]
 fn an_agent_records_so_many_flows_and_counts_the_rest() {
     let few = FlowRecordSettings {
-        most_flows: 10,
+        max_flows: 10,
         ..FlowRecordSettings::default()
     };
     let mut world = RecordWorld::with(3, few, ConfigurationNodeSettings::default());
@@ -391,7 +391,7 @@
     world.run(3 * SECOND);
     assert_eq!(world.kept_at(replica(1)).len(), 10);
     let figures = world.agent.flow_record();
-    assert_eq!((figures.recorded, figures.beyond_limit), (10, 5));
+    assert_eq!((figures.recorded, figures.over_limit), (10, 5));
 }
 
 #[test]
@@ -509,13 +509,13 @@
 fn witnesses_are_packets_of_open_flows() {
     let mut world = world_with(3);
     let before = world.ask(replica(1));
-    assert_eq!(before[0].witnesses.len(), 3);
+    assert_eq!(before[0].probe_packets.len(), 3);
     (1..=3).for_each(|port| world.end(port));
     world.open(4);
     world.run(3 * SECOND);
     let after = world.ask(replica(1));
-    assert_eq!(after[0].witnesses.len(), 1);
-    assert!(!before[0].witnesses.contains(&after[0].witnesses[0]));
+    assert_eq!(after[0].probe_packets.len(), 1);
+    assert!(!before[0].probe_packets.contains(&after[0].probe_packets[0]));
     assert_eq!(after[0].flows.callers.len(), 1);
-    assert_ne!(after[0].backend, 0);
+    assert_ne!(after[0].backend_incarnation, 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
@@ -13,8 +13,8 @@
 };
 use petrellatch_core::{Event, EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    Carry, CarryReason, FlowRecordChange, FormerFlows, PassThroughBody, PassThroughMessage,
-    RecallFlows, pack_address,
+    ForwardedPacket, ForwardReason, FlowRecordChange, FlowRecordResponse, PassThroughBody, PassThroughMessage,
+    FlowRecordRequest, pack_address,
 };
 use prost::Message;
 
@@ -184,7 +184,7 @@
                     PassThroughBody::FlowRecordChange(change) => {
                         self.changes.push((self.now, to, (**change).clone()));
                     }
-                    PassThroughBody::RecallFlows(_) => self.recalls += 1,
+                    PassThroughBody::FlowRecordRequest(_) => self.recalls += 1,
                     _ => {}
                 }
                 let now = self.now;
@@ -239,15 +239,15 @@
         node.handle_flow_records_written(now, result);
     }
 
-    fn carry(&mut self, reason: CarryReason, view: &PacketView) {
-        let carry = Carry {
+    fn carry(&mut self, reason: ForwardReason, view: &PacketView) {
+        let carry = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(view),
-            ..Carry::default()
+            ..ForwardedPacket::default()
         };
         self.agent
-            .handle_message(self.now, BALANCER, PassThroughBody::Carry(carry));
+            .handle_message(self.now, BALANCER, PassThroughBody::ForwardedPacket(carry));
     }
 
     /// A caller opens a flow.
@@ -256,7 +256,7 @@
             synchronize: true,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(CarryReason::Open, &opening);
+        self.carry(ForwardReason::Open, &opening);
         let answer = PacketView {
             synchronize: true,
             acknowledge: true,
@@ -274,7 +274,7 @@
             acknowledged: FIRST + bytes,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(CarryReason::Deliver, &bare);
+        self.carry(ForwardReason::Deliver, &bare);
     }
 
     /// The caller ends its flow.
@@ -285,23 +285,23 @@
             acknowledged: FIRST + 1,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(CarryReason::Deliver, &end);
+        self.carry(ForwardReason::Deliver, &end);
     }
 
     /// What a replica would tell another life of the agent.
-    pub fn ask(&mut self, address: SocketAddrV4) -> Vec<FormerFlows> {
+    pub fn ask(&mut self, address: SocketAddrV4) -> Vec<FlowRecordResponse> {
         self.settle();
-        let question = RecallFlows {
+        let question = FlowRecordRequest {
             agent: pack_address(AGENT),
             incarnation: u64::MAX,
         };
         let now = self.now;
         let node = self.replica_mut(address);
-        node.handle_message(now, AGENT, PassThroughBody::RecallFlows(question));
+        node.handle_message(now, AGENT, PassThroughBody::FlowRecordRequest(question));
         let mut answers = Vec::new();
         while let Some(output) = self.replica_mut(address).poll_output() {
             if let ConfigurationOutput::Send {
-                body: PassThroughBody::FormerFlows(answer),
+                body: PassThroughBody::FlowRecordResponse(answer),
                 ..
             } = output
             {
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -13,7 +13,7 @@
     Configuration, ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput,
     ConfigurationRequest, ConfigurationResponse, node_at,
 };
-use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, ServiceRecord, ShareRecord};
+use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, ServiceRecord, RouteShare};
 
 /// Time that a message takes.
 const DELAY: Duration = Duration::from_millis(1);
@@ -34,18 +34,18 @@
 pub fn configuration(version: u64, routes: u8) -> Configuration {
     let route = |index: u8| RouteRecord {
         address: (u64::from(index) << 16) | 80,
-        shares: vec![ShareRecord {
+        shares: vec![RouteShare {
             service: "desk".to_owned(),
             weight: 1,
         }],
         annotation: vec![index; 40],
         position: 0,
-        objective_millis: 0,
+        latency_objective_millis: 0,
         ..RouteRecord::default()
     };
     let services = vec![ServiceRecord {
         service: "desk".to_owned(),
-        cold_millirequests_per_second: 0,
+        warm_up_millirequests_per_second: 0,
     }];
     let routes = (0..routes).map(route).collect();
     Configuration::new(version, routes, services, Vec::new()).expect("it is valid")
--- a/crates/petrellatch-core/tests/pass_through/last_words.rs
+++ b/crates/petrellatch-core/tests/pass_through/last_words.rs
@@ -9,7 +9,7 @@
     Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
-use petrellatch_proto::pass_through::{AgentState, Group, PassThroughBody, Report, pack_address};
+use petrellatch_proto::pass_through::{AgentState, GroupStatus, PassThroughBody, Report, pack_address};
 
 use super::codec::TestCodec;
 use super::world::{COLD_BOUNDS, MILLI, REPLICA, SERVICE, agent_address};
@@ -104,21 +104,21 @@
 
     /// The replica answers the report with this number.
     fn answer(&mut self, number: u64) {
-        let group = Group {
+        let group = GroupStatus {
             replicas: vec![pack_address(REPLICA)],
-            answers_report: true,
-            answered_report: number,
-            ..Group::default()
+            has_report: true,
+            acknowledged_report: number,
+            ..GroupStatus::default()
         };
         let from: SocketAddrV4 = REPLICA;
-        let body = PassThroughBody::Group(group);
+        let body = PassThroughBody::GroupStatus(group);
         self.agent.handle_message(self.now, from, body);
         self.collect();
     }
 
     fn last_words(&self) -> Vec<u64> {
         let last = self.reports.iter();
-        let last = last.filter(|it| it.state() == AgentState::Empty && it.interval_millis == 0);
+        let last = last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
         last.map(|report| report.sequence).collect()
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/lives.rs
+++ b/crates/petrellatch-core/tests/pass_through/lives.rs
@@ -11,8 +11,8 @@
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    ACKNOWLEDGED_STEP, Carry, CarryReason, FlowColumns, FormerFlows, NotHeld, PassThroughBody,
-    Seek, SoughtFlow, pack_address,
+    ACKNOWLEDGED_STEP_BYTES, ForwardedPacket, ForwardReason, FlowColumns, FlowRecordResponse, ReturnedPacket, PassThroughBody,
+    FlowQuery, QueriedFlow, pack_address,
 };
 
 use super::codec::{TestCodec, empty, encode};
@@ -59,7 +59,7 @@
     /// Resets of the agent, with their times.
     pub resets: Vec<(Timestamp, u16)>,
     /// What balancers were told to be gone.
-    pub not_held: Vec<NotHeld>,
+    pub not_held: Vec<ReturnedPacket>,
     pub held: Vec<FlowId>,
     pub events: Vec<(EventKind, String)>,
     /// Packets without data that the back end got, by the caller's port.
@@ -80,7 +80,7 @@
 }
 
 /// The port of the caller of a flow that is not held.
-pub fn port(not_held: &NotHeld) -> u16 {
+pub fn port(not_held: &ReturnedPacket) -> u16 {
     FlowId::from(not_held.flow).caller.port()
 }
 
@@ -198,7 +198,7 @@
             synchronize: true,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(CarryReason::OpenQueued, &opening);
+        self.carry(ForwardReason::OpenQueued, &opening);
         self.callers.contains_key(&port)
     }
 
@@ -214,13 +214,13 @@
     /// The caller acknowledges what it has.
     pub fn acknowledge(&mut self, port: u16) {
         let packet = self.packet(port, 0);
-        self.carry(CarryReason::Deliver, &packet);
+        self.carry(ForwardReason::Deliver, &packet);
     }
 
     /// The caller sends a request.
     pub fn request(&mut self, port: u16) {
         let packet = self.packet(port, 50);
-        self.carry(CarryReason::Deliver, &packet);
+        self.carry(ForwardReason::Deliver, &packet);
     }
 
     /// The caller ends its flow; the back end learns of it.
@@ -229,7 +229,7 @@
             finish: true,
             ..self.packet(port, 0)
         };
-        self.carry(CarryReason::Deliver, &packet);
+        self.carry(ForwardReason::Deliver, &packet);
         self.callers.remove(&port);
         if let Some(life) = &mut self.life {
             life.flows.remove(&port);
@@ -245,14 +245,14 @@
         }
     }
 
-    pub fn carry(&mut self, reason: CarryReason, packet: &PacketView) {
-        let carry = Carry {
+    pub fn carry(&mut self, reason: ForwardReason, packet: &PacketView) {
+        let carry = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(packet),
-            ..Carry::default()
+            ..ForwardedPacket::default()
         };
-        let body = PassThroughBody::Carry(carry);
+        let body = PassThroughBody::ForwardedPacket(carry);
         self.agent.handle_message(self.now, BALANCER, body);
         self.settle();
     }
@@ -260,20 +260,20 @@
     /// A balancer hands a packet to the agent to try.
     pub fn try_packet(&mut self, port: u16, data_bytes: u16) {
         let packet = self.packet(port, data_bytes);
-        self.carry(CarryReason::Try, &packet);
+        self.carry(ForwardReason::Try, &packet);
     }
 
     /// A balancer asks for a flow.
     pub fn seek(&mut self, port: u16) {
-        let sought = SoughtFlow {
+        let sought = QueriedFlow {
             flow: flow_id(port).into(),
             acknowledged: self.callers[&port].sequence.wrapping_add(1),
         };
-        let seek = Seek {
+        let seek = FlowQuery {
             flows: vec![sought],
-            ..Seek::default()
+            ..FlowQuery::default()
         };
-        let body = PassThroughBody::Seek(seek);
+        let body = PassThroughBody::FlowQuery(seek);
         self.agent.handle_message(self.now, BALANCER, body);
         self.settle();
     }
@@ -285,7 +285,7 @@
     }
 
     /// What a record of a life holds.
-    pub fn record(&self, life: &Life) -> FormerFlows {
+    pub fn record(&self, life: &Life) -> FlowRecordResponse {
         let mut columns = FlowColumns {
             routes: vec![pack_address(ROUTE)],
             ..FlowColumns::default()
@@ -293,9 +293,9 @@
         let mut witnesses = Vec::new();
         for (port, sequence) in &life.flows {
             columns.callers.push(pack_address(caller(*port)));
-            columns.route_places.push(0);
+            columns.route_indexes.push(0);
             columns.sequences.push(*sequence);
-            columns.acknowledged_steps.push(1 / ACKNOWLEDGED_STEP);
+            columns.acknowledged_steps.push(1 / ACKNOWLEDGED_STEP_BYTES);
             let witness = PacketView {
                 acknowledge: true,
                 acknowledged: sequence.wrapping_add(1),
@@ -303,24 +303,24 @@
             };
             witnesses.push(encode(&witness));
         }
-        FormerFlows {
+        FlowRecordResponse {
             incarnation: 0,
-            backend: life.digest(),
-            number: 1,
+            backend_incarnation: life.digest(),
+            revision: 1,
             part: 0,
             parts: 1,
             flows: columns,
-            witnesses,
+            probe_packets: witnesses,
         }
     }
 
     /// A replica hands a record to the agent.
-    pub fn recall(&mut self, record: FormerFlows) {
-        let record = FormerFlows {
+    pub fn recall(&mut self, record: FlowRecordResponse) {
+        let record = FlowRecordResponse {
             incarnation: self.incarnation,
             ..record
         };
-        let body = PassThroughBody::FormerFlows(record);
+        let body = PassThroughBody::FlowRecordResponse(record);
         self.agent.handle_message(self.now, REPLICA, body);
         self.settle();
     }
@@ -380,8 +380,8 @@
                 }
                 PassThroughOutput::ToCaller { packet, .. } => self.reach_caller(&packet),
                 PassThroughOutput::Send { to, body } if to == BALANCER => match body {
-                    PassThroughBody::NotHeld(not_held) => self.take_not_held(not_held),
-                    PassThroughBody::Holds(holds) => {
+                    PassThroughBody::ReturnedPacket(not_held) => self.take_not_held(not_held),
+                    PassThroughBody::FlowsOwned(holds) => {
                         let held = holds.flows.iter().map(|held| FlowId::from(held.flow));
                         self.held.extend(held);
                     }
@@ -393,7 +393,7 @@
         }
     }
 
-    fn take_not_held(&mut self, not_held: NotHeld) {
+    fn take_not_held(&mut self, not_held: ReturnedPacket) {
         let id = FlowId::from(not_held.flow);
         if not_held.was_open {
             self.assert_dead(id.caller.port(), not_held.acknowledged);
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -362,11 +362,11 @@
         let bytes = wire_bytes(output);
         match output {
             PassThroughOutput::Send {
-                body: PassThroughBody::Follow(follow),
+                body: PassThroughBody::Subscribe(follow),
                 ..
-            } if follow.leaving => self.goodbyes += 1,
+            } if follow.unsubscribe => self.goodbyes += 1,
             PassThroughOutput::Send {
-                body: PassThroughBody::Carry(carry),
+                body: PassThroughBody::ForwardedPacket(carry),
                 ..
             } if carry.packet.len() > usize::from(DATA) => {
                 self.upload_wire_bytes = bytes;
--- a/crates/petrellatch-core/tests/pass_through/news.rs
+++ b/crates/petrellatch-core/tests/pass_through/news.rs
@@ -9,8 +9,8 @@
     Contacts, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
 use petrellatch_proto::pass_through::{
-    ConfigurationChange, ConfigurationPart, Confirmed, Group, PassThroughBody, RouteRecord,
-    ShareRecord, pack_address,
+    ConfigurationChange, ConfigurationPart, VersionConfirmed, GroupStatus, PassThroughBody, RouteRecord,
+    RouteShare, pack_address,
 };
 use prost::Message;
 
@@ -33,13 +33,13 @@
     let mut balancer =
         PassThroughBalancer::new(START, settings, TestCodec, Incarnation(6), contacts);
     balancer.handle_message(START, REPLICA, part(0, 3));
-    let confirmed = Confirmed {
-        confirm: 7,
+    let confirmed = VersionConfirmed {
+        confirmation_id: 7,
         version: 3,
         zones: None,
-        ..Confirmed::default()
+        ..VersionConfirmed::default()
     };
-    balancer.handle_message(START, REPLICA, PassThroughBody::Confirmed(confirmed));
+    balancer.handle_message(START, REPLICA, PassThroughBody::VersionConfirmed(confirmed));
     assert!(balancer.is_ready(START));
     balancer.handle_timeout(START);
     hear_group(&mut balancer, START, 3);
@@ -52,7 +52,7 @@
     let address = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), version as u16);
     let route = RouteRecord {
         address: pack_address(address),
-        shares: vec![ShareRecord {
+        shares: vec![RouteShare {
             service: "desk".to_owned(),
             weight: 1,
         }],
@@ -76,12 +76,12 @@
 }
 
 fn hear_group(balancer: &mut Balancer, now: Timestamp, version: u64) {
-    let group = Group {
+    let group = GroupStatus {
         version,
-        serves: true,
-        ..Group::default()
+        has_leader: true,
+        ..GroupStatus::default()
     };
-    balancer.handle_message(now, REPLICA, PassThroughBody::Group(group));
+    balancer.handle_message(now, REPLICA, PassThroughBody::GroupStatus(group));
 }
 
 /// Questions for what is missing of the configuration, and for news.
@@ -91,7 +91,7 @@
         matches!(
             output,
             PassThroughOutput::Send {
-                body: PassThroughBody::Follow(_),
+                body: PassThroughBody::Subscribe(_),
                 ..
             }
         )
--- a/crates/petrellatch-core/tests/pass_through/former_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use petrellatch_core::EventKind;
-use petrellatch_proto::pass_through::FormerFlows;
+use petrellatch_proto::pass_through::FlowRecordResponse;
 
 use super::lives::{Lives, flow_id, port};
 use super::world::MILLI;
@@ -303,9 +303,9 @@
 }
 
 /// A restarted agent with a record of the life that has run, which has three witnesses.
-fn restart_with_three_witnesses(lives: &mut Lives, record: FormerFlows) {
+fn restart_with_three_witnesses(lives: &mut Lives, record: FlowRecordResponse) {
     let mut record = record;
-    record.witnesses.truncate(3);
+    record.probe_packets.truncate(3);
     lives.restart_agent();
     lives.recall(record);
 }
@@ -350,7 +350,7 @@
     lives.run(SECOND);
     assert_eq!(lives.agent.counters().lives_over, 1);
     assert_eq!(lives.not_held.iter().map(port).collect::<Vec<u16>>(), [4]);
-    assert!(lives.not_held[0].was_open && lives.not_held[0].request);
+    assert!(lives.not_held[0].was_open && lives.not_held[0].carried_data);
     assert_eq!(lives.reset_ports(), [1, 2, 3, 5, 6, 7, 8]);
 }
 
--- a/crates/petrellatch-core/tests/pass_through/former_flows_at_random.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
@@ -111,7 +111,7 @@
         let life = before.cloned().unwrap_or(running);
         let mut record = self.lives.record(&life);
         if self.random.random_bool(0.5) {
-            record.witnesses.truncate(3);
+            record.probe_packets.truncate(3);
         }
         self.lives.restart_agent();
         self.lives.recall(record);
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -7,7 +7,7 @@
 
 use petrellatch_core::pass_through::Registration;
 use petrellatch_proto::pass_through::{
-    Confirmed, Group, PassThroughBody, PlacementPolicy, PolicyRecords, pack_address,
+    VersionConfirmed, GroupStatus, PassThroughBody, PlacementPolicy, PolicySet, pack_address,
 };
 
 use super::world::{FIRST_OWN_PORT, MILLI, REPLICA, ROUTE, SERVICE, World, agent_address};
@@ -27,16 +27,16 @@
 
 /// A replica tells the balancer which policies there are.
 fn tell(world: &mut World, index: u64, policies: &[PlacementPolicy]) {
-    let group = Group {
+    let group = GroupStatus {
         directory_revision: world.revision,
-        serves: true,
-        policies: Some(PolicyRecords {
+        has_leader: true,
+        policies: Some(PolicySet {
             index,
             policies: policies.to_vec(),
         }),
-        ..Group::default()
+        ..GroupStatus::default()
     };
-    let body = PassThroughBody::Group(group);
+    let body = PassThroughBody::GroupStatus(group);
     world.balancer.handle_message(world.now, REPLICA, body);
 }
 
@@ -458,14 +458,14 @@
 #[test]
 fn a_balancer_that_starts_has_the_policies_once_it_is_current() {
     let mut world = World::new(3, CAPACITY);
-    let confirmed = Confirmed {
-        confirm: 7,
+    let confirmed = VersionConfirmed {
+        confirmation_id: 7,
         version: 3,
-        policies: Some(PolicyRecords {
+        policies: Some(PolicySet {
             index: 9,
             policies: vec![policy("one", "backend.name == 'backend-2'", "1.0")],
         }),
-        ..Confirmed::default()
+        ..VersionConfirmed::default()
     };
     world.start_balancer_with(confirmed);
     assert!(world.balancer.is_ready(world.now));
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -7,7 +7,7 @@
     ConfigurationRequest, ConfigurationResponse, MAX_PLACEMENT_POLICIES, PolicyRefusal,
 };
 use petrellatch_proto::pass_through::{
-    AgentState, BackendDescription, Follow, LoadMessage, PassThroughBody, PlacementPolicy, Report,
+    AgentState, BackendDescription, Subscribe, LoadMessage, PassThroughBody, PlacementPolicy, Report,
     pack_address,
 };
 use proptest::prelude::*;
@@ -201,11 +201,11 @@
     let mut group = founded(3);
     let leader = leader(&mut group);
     let attach = |known| {
-        PassThroughBody::Follow(Follow {
+        PassThroughBody::Subscribe(Subscribe {
             incarnation: 1,
-            attached: true,
+            wants_updates: true,
             policies_index: known,
-            ..Follow::default()
+            ..Subscribe::default()
         })
     };
     group.hear(leader, BALANCER, attach(0));
@@ -217,7 +217,7 @@
     let told = |group: &Group| {
         let sent = group.sent_outside.iter();
         let told = sent.filter_map(|(_, _, body)| match body {
-            PassThroughBody::Group(group) => group.policies.as_ref().map(|it| it.index),
+            PassThroughBody::GroupStatus(group) => group.policies.as_ref().map(|it| it.index),
             _ => None,
         });
         told.collect::<Vec<u64>>()
@@ -239,19 +239,19 @@
     ));
     let leader = leader(&mut group);
     group.sent_outside.clear();
-    let follow = Follow {
+    let follow = Subscribe {
         incarnation: 1,
-        confirm: 5,
+        confirmation_id: 5,
         policies_index: index,
-        ..Follow::default()
+        ..Subscribe::default()
     };
-    group.hear(leader, BALANCER, PassThroughBody::Follow(follow));
+    group.hear(leader, BALANCER, PassThroughBody::Subscribe(follow));
     group.run(SECOND);
     let confirmed = group
         .sent_outside
         .iter()
         .find_map(|(_, _, body)| match body {
-            PassThroughBody::Confirmed(confirmed) => Some(confirmed),
+            PassThroughBody::VersionConfirmed(confirmed) => Some(confirmed),
             _ => None,
         });
     let policies = confirmed.expect("a confirmation").policies.as_ref();
@@ -293,7 +293,7 @@
         zone: "a".to_owned(),
         state: AgentState::Ready.into(),
         load: LoadMessage {
-            capacity: 4,
+            slots: 4,
             ..LoadMessage::default()
         },
         backend: Some(BackendDescription {
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -10,7 +10,7 @@
     Contacts, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughOutput, Registration, service_digest,
 };
-use petrellatch_proto::pass_through::{Carry, CarryReason, PassThroughBody};
+use petrellatch_proto::pass_through::{ForwardedPacket, ForwardReason, PassThroughBody};
 
 use super::codec::{TestCodec, empty, encode};
 use super::world::COLD_BOUNDS;
@@ -25,7 +25,7 @@
     pub agent: PassThroughAgent<TestCodec>,
     next_port: u16,
     /// What balancers say of the route and the caller with opening packets.
-    pub opening: Carry,
+    pub opening: ForwardedPacket,
     pub balancer: SocketAddrV4,
     /// What the agent has answered to balancers, until it is taken.
     pub told: Vec<PassThroughBody>,
@@ -38,7 +38,7 @@
     pub fn new(work: Duration) -> Desk {
         let mut desk = Desk::without_answers();
         for _ in 0..30 {
-            let flow = desk.request(0, CarryReason::Open).expect("slots are free");
+            let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
             desk.now = desk.now + work;
             desk.answer(flow);
         }
@@ -80,7 +80,7 @@
             now,
             agent,
             next_port: 1,
-            opening: Carry::default(),
+            opening: ForwardedPacket::default(),
             balancer: BALANCER,
             told: Vec::new(),
             reached: Vec::new(),
@@ -88,7 +88,7 @@
     }
 
     /// Offers a flow with a request; returns it if it was taken.
-    pub fn request(&mut self, objective_millis: u32, reason: CarryReason) -> Option<SocketAddrV4> {
+    pub fn request(&mut self, objective_millis: u32, reason: ForwardReason) -> Option<SocketAddrV4> {
         self.next_port += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), self.next_port);
         let opening = PacketView {
@@ -117,7 +117,7 @@
             data_bytes: 50,
             ..empty(caller, ROUTE)
         };
-        self.carry(&request, CarryReason::Deliver, 0);
+        self.carry(&request, ForwardReason::Deliver, 0);
     }
 
     /// Flows that waited and reached the back end since it was last asked.
@@ -170,15 +170,15 @@
         self.agent.handle_backend_packet(self.now, &encode(&end));
     }
 
-    fn carry(&mut self, view: &PacketView, reason: CarryReason, objective_millis: u32) {
-        let carry = Carry {
+    fn carry(&mut self, view: &PacketView, reason: ForwardReason, objective_millis: u32) {
+        let carry = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(view),
-            objective_millis,
+            latency_objective_millis: objective_millis,
             ..self.opening.clone()
         };
-        let body = PassThroughBody::Carry(carry);
+        let body = PassThroughBody::ForwardedPacket(carry);
         self.agent.handle_message(self.now, self.balancer, body);
     }
 
@@ -186,7 +186,7 @@
     pub fn fill(&mut self, objective_millis: u32) -> u32 {
         let mut taken = 0;
         while self
-            .request(objective_millis, CarryReason::OpenQueued)
+            .request(objective_millis, ForwardReason::OpenQueued)
             .is_some()
         {
             taken += 1;
@@ -219,7 +219,7 @@
 fn a_back_end_that_turns_slow_gets_a_shorter_queue() {
     let mut desk = Desk::new(Duration::from_millis(40));
     for _ in 0..60 {
-        let flow = desk.request(0, CarryReason::Open).expect("slots are free");
+        let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
         desk.now = desk.now + Duration::from_millis(200);
         desk.answer(flow);
     }
@@ -231,7 +231,7 @@
     let mut desk = Desk::new(Duration::from_millis(50));
     let mut flows = Vec::new();
     for _ in 0..SLOTS * 2 {
-        flows.extend(desk.request(250, CarryReason::OpenQueued));
+        flows.extend(desk.request(250, ForwardReason::OpenQueued));
     }
     desk.now = desk.now + Duration::from_millis(50);
     for flow in flows.drain(..SLOTS as usize) {
@@ -249,7 +249,7 @@
     let mut desk = Desk::new(Duration::from_millis(10));
     let mut inside: VecDeque<SocketAddrV4> = VecDeque::new();
     for _ in 0..30 {
-        while let Some(flow) = desk.request(250, CarryReason::OpenQueued) {
+        while let Some(flow) = desk.request(250, ForwardReason::OpenQueued) {
             inside.push_back(flow);
         }
         desk.now = desk.now + Duration::from_millis(100);
@@ -268,7 +268,7 @@
 fn the_end_of_an_answer_that_overtakes_it_tells_the_time_of_work() {
     let mut desk = Desk::new(Duration::from_millis(10));
     for _ in 0..60 {
-        let flow = desk.request(0, CarryReason::Open).expect("slots are free");
+        let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
         desk.now = desk.now + Duration::from_millis(100);
         desk.end(flow);
         desk.answer(flow);
--- a/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
@@ -7,7 +7,7 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::pass_through::{ConfigurationNode, ConfigurationOutput};
 use petrellatch_proto::pass_through::{
-    AgentState, Follow, LoadMessage, PassThroughBody, Report, pack_address,
+    AgentState, Subscribe, LoadMessage, PassThroughBody, Report, pack_address,
 };
 
 use super::replica::start_replica;
@@ -39,8 +39,8 @@
                 ConfigurationOutput::Remember(bytes) => saved.push(bytes),
                 ConfigurationOutput::Send {
                     to,
-                    body: PassThroughBody::Group(group),
-                } if group.serves => told.push(to),
+                    body: PassThroughBody::GroupStatus(group),
+                } if group.has_leader => told.push(to),
                 _ => {}
             }
         }
@@ -57,18 +57,18 @@
         zone: "a".to_owned(),
         state: AgentState::Ready.into(),
         load: LoadMessage::default(),
-        leaving: Vec::new(),
-        interval_millis: 60_000,
+        draining_backends: Vec::new(),
+        next_report_millis: 60_000,
         evacuations_index: 0,
         ..Report::default()
     })
 }
 
 fn attach(incarnation: u64) -> PassThroughBody {
-    PassThroughBody::Follow(Follow {
+    PassThroughBody::Subscribe(Subscribe {
         incarnation,
-        attached: true,
-        ..Follow::default()
+        wants_updates: true,
+        ..Subscribe::default()
     })
 }
 
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -10,7 +10,7 @@
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    AgentState, Carry, CarryReason, DeclineReason, Group, PassThroughBody, pack_address,
+    AgentState, ForwardedPacket, ForwardReason, DeclineReason, GroupStatus, PassThroughBody, pack_address,
 };
 
 use super::codec::{TestCodec, empty, encode};
@@ -72,27 +72,27 @@
 /// Offers a new flow; returns why it was declined, or `None` if the back end
 /// got it.
 fn open(agent: &mut Agent, now: Timestamp, port: u16) -> Option<DeclineReason> {
-    offer(agent, now, port, CarryReason::Open)
+    offer(agent, now, port, ForwardReason::Open)
 }
 
 fn offer(
     agent: &mut Agent,
     now: Timestamp,
     port: u16,
-    reason: CarryReason,
+    reason: ForwardReason,
 ) -> Option<DeclineReason> {
     let opening = PacketView {
         synchronize: true,
         ..empty(caller(port), ROUTE)
     };
-    let carry = Carry {
+    let carry = ForwardedPacket {
         service: petrellatch_core::pass_through::service_digest(SERVICE),
         reason: reason.into(),
         packet: encode(&opening),
-        ..Carry::default()
+        ..ForwardedPacket::default()
     };
     outputs(agent);
-    agent.handle_message(now, BALANCER, PassThroughBody::Carry(carry));
+    agent.handle_message(now, BALANCER, PassThroughBody::ForwardedPacket(carry));
     for output in outputs(agent) {
         match output {
             PassThroughOutput::ToBackend(_) => return None,
@@ -206,7 +206,7 @@
 fn an_agent_that_just_started_tries_its_back_end_with_flows_that_nobody_takes() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
-    let last_resort = CarryReason::OpenQueued;
+    let last_resort = ForwardReason::OpenQueued;
     assert_eq!(open(&mut agent, start, 1), Some(DeclineReason::NoBackend));
     assert_eq!(offer(&mut agent, start, 2, last_resort), None);
     let answer = PacketView {
@@ -254,7 +254,7 @@
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     agent.handle_timeout(now);
-    assert_eq!(offer(&mut agent, now, 1, CarryReason::OpenQueued), None);
+    assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
     let told = return_opening(&mut agent, now, 1);
     let is_decline = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Send { body: PassThroughBody::Declined(it), .. }
@@ -268,10 +268,10 @@
     assert!(told.iter().any(is_line), "no decline without a line");
     let is_report = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Send { body: PassThroughBody::Report(it), .. }
-            if it.state() == AgentState::Empty)
+            if it.state() == AgentState::Unavailable)
     };
     assert!(told.iter().any(is_report), "balancers learn of it at once");
-    let declined = offer(&mut agent, now, 2, CarryReason::OpenQueued);
+    let declined = offer(&mut agent, now, 2, ForwardReason::OpenQueued);
     assert_eq!(declined, Some(DeclineReason::NoBackend));
 }
 
@@ -279,7 +279,7 @@
 fn a_back_end_that_sheds_and_then_speaks_is_trusted_again() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
-    assert_eq!(offer(&mut agent, now, 1, CarryReason::OpenQueued), None);
+    assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
     return_opening(&mut agent, now, 1);
     let_backend_speak(&mut agent, now);
     assert_eq!(open(&mut agent, now, 2), None);
@@ -289,7 +289,7 @@
 fn a_back_end_that_sheds_and_then_calls_is_offered_flows() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
-    assert_eq!(offer(&mut agent, now, 1, CarryReason::OpenQueued), None);
+    assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
     return_opening(&mut agent, now, 1);
     register(&mut agent, now, 7, false);
     assert_eq!(open(&mut agent, now, 2), None);
@@ -302,7 +302,7 @@
     register(&mut agent, now, 1, false);
     for port in 1..=14 {
         now = now + Duration::from_millis(500);
-        offer(&mut agent, now, port, CarryReason::Open);
+        offer(&mut agent, now, port, ForwardReason::Open);
         return_opening(&mut agent, now, port);
     }
     let declined = open(&mut agent, now, 99);
@@ -316,13 +316,13 @@
     agent.handle_timeout(now);
     outputs(&mut agent);
     let other = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 2), 7000);
-    let group = Group {
+    let group = GroupStatus {
         replicas: vec![pack_address(other)],
-        index: 1,
-        serves: true,
-        ..Group::default()
+        membership_index: 1,
+        has_leader: true,
+        ..GroupStatus::default()
     };
-    agent.handle_message(now, other, PassThroughBody::Group(group.clone()));
+    agent.handle_message(now, other, PassThroughBody::GroupStatus(group.clone()));
     let is_report = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Send { to, body: PassThroughBody::Report(_) }
             if *to == other)
@@ -330,13 +330,13 @@
     assert!(outputs(&mut agent).iter().any(is_report));
     let soon = now + Duration::from_millis(100);
     assert!(agent.poll_timeout() < soon, "nobody has heard of it yet");
-    let answer = Group {
-        answers_report: true,
-        remembered: true,
+    let answer = GroupStatus {
+        has_report: true,
+        agent_is_saved: true,
         ..group
     };
     for replica in agent.contacts_mut().all() {
-        let answer = PassThroughBody::Group(answer.clone());
+        let answer = PassThroughBody::GroupStatus(answer.clone());
         agent.handle_message(now, replica, answer);
     }
     let mut reports = 0;
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -10,7 +10,7 @@
     ConfigurationNode, ConfigurationOutput, Contacts, FlowRecordSettings, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
-use petrellatch_proto::pass_through::{Confirmed, Follow, Group, PassThroughBody, pack_address};
+use petrellatch_proto::pass_through::{VersionConfirmed, Subscribe, GroupStatus, PassThroughBody, pack_address};
 
 use super::codec::TestCodec;
 use super::replica::start_replica;
@@ -111,17 +111,17 @@
 
     /// Agents that the replica would tell a balancer of.
     fn known(&mut self) -> u32 {
-        let follow = Follow {
-            attached: true,
-            ..Follow::default()
+        let follow = Subscribe {
+            wants_updates: true,
+            ..Subscribe::default()
         };
         let balancer = replica_address(200);
-        let body = PassThroughBody::Follow(follow);
+        let body = PassThroughBody::Subscribe(follow);
         self.replica.handle_message(self.now, balancer, body);
         while let Some(output) = self.replica.poll_output() {
             if let ConfigurationOutput::Send { to, body } = output
                 && to == balancer
-                && let PassThroughBody::Group(group) = body
+                && let PassThroughBody::GroupStatus(group) = body
             {
                 return group.report_interval_millis * 50 / 1_000;
             }
@@ -250,7 +250,7 @@
             self.exchange();
             // Somebody is heard all the time.
             let agent = agent_address(1);
-            let body = PassThroughBody::Holds(Default::default());
+            let body = PassThroughBody::FlowsOwned(Default::default());
             self.balancer.handle_message(now, agent, body);
         }
     }
@@ -258,47 +258,47 @@
     fn exchange(&mut self) {
         while let Some(output) = self.balancer.poll_output() {
             if let PassThroughOutput::Send { to, body } = output
-                && let PassThroughBody::Follow(follow) = body
+                && let PassThroughBody::Subscribe(follow) = body
             {
                 self.answer(to, &follow);
             }
         }
     }
 
-    fn answer(&mut self, to: SocketAddrV4, follow: &Follow) {
+    fn answer(&mut self, to: SocketAddrV4, follow: &Subscribe) {
         let index = to.ip().octets()[3];
-        if follow.attached {
+        if follow.wants_updates {
             *self.asked.entry(index).or_default() += 1;
         }
         if self.silent.contains(&index) {
             return;
         }
-        if follow.confirm != 0 && index == 1 && !self.leaderless.contains(&1) {
+        if follow.confirmation_id != 0 && index == 1 && !self.leaderless.contains(&1) {
             self.confirms += 1;
-            let confirmed = Confirmed {
-                confirm: follow.confirm,
+            let confirmed = VersionConfirmed {
+                confirmation_id: follow.confirmation_id,
                 version: self.version,
                 zones: None,
-                ..Confirmed::default()
+                ..VersionConfirmed::default()
             };
-            let body = PassThroughBody::Confirmed(confirmed);
+            let body = PassThroughBody::VersionConfirmed(confirmed);
             self.balancer.handle_message(self.now, to, body);
         }
         let group = self.group(index);
-        let body = PassThroughBody::Group(group);
+        let body = PassThroughBody::GroupStatus(group);
         self.balancer.handle_message(self.now, to, body);
     }
 
-    fn group(&self, index: u8) -> Group {
+    fn group(&self, index: u8) -> GroupStatus {
         let serves = !self.leaderless.contains(&index);
         let leader = pack_address(replica_address(1));
         let replicas = (1..=REPLICAS).map(|it| pack_address(replica_address(it)));
-        Group {
+        GroupStatus {
             replicas: replicas.collect(),
-            index: 1,
-            serves,
+            membership_index: 1,
+            has_leader: serves,
             leader: if serves { leader } else { 0 },
-            ..Group::default()
+            ..GroupStatus::default()
         }
     }
 
@@ -360,7 +360,7 @@
     attached.leaderless.clear();
     let group = attached.group(2);
     let (now, from) = (attached.now, replica_address(2));
-    let body = PassThroughBody::Group(group);
+    let body = PassThroughBody::GroupStatus(group);
     attached.balancer.handle_message(now, from, body);
     attached.exchange();
     assert_eq!(
--- a/crates/petrellatch-core/tests/pass_through/returning_site.rs
+++ b/crates/petrellatch-core/tests/pass_through/site.rs
@@ -15,8 +15,8 @@
     PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput, Registration, node_at,
 };
 use petrellatch_proto::pass_through::{
-    ConfigurationChange, ConfigurationPart, Confirmed, Directory, DirectoryChange, Follow,
-    PassThroughBody, RouteRecord, ShareRecord, pack_address,
+    ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart, DirectoryChange, Subscribe,
+    PassThroughBody, RouteRecord, RouteShare, pack_address,
 };
 use prost::Message;
 
@@ -42,14 +42,14 @@
     pub now: Timestamp,
     pub replicas: BTreeMap<SocketAddrV4, ConfigurationNode>,
     /// What each replica has on its disk, and how often it wrote that.
-    pub memories: BTreeMap<SocketAddrV4, Vec<u8>>,
+    pub saved_daemons: BTreeMap<SocketAddrV4, Vec<u8>>,
     pub writes: usize,
     pub agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     pub balancer: Option<PassThroughBalancer<TestCodec>>,
     /// Nothing reaches these, and nothing leaves them.
     pub cut: BTreeSet<SocketAddrV4>,
     /// Packets that reached back ends.
-    pub tried: Vec<SocketAddrV4>,
+    pub packets_to_backends: Vec<SocketAddrV4>,
     pub resets: usize,
     /// Replicas whose directories are whole by their latest word.
     said_whole: BTreeSet<SocketAddrV4>,
@@ -66,12 +66,12 @@
         let mut site = Site {
             now: Timestamp::from_millis(1_000),
             replicas: BTreeMap::new(),
-            memories: BTreeMap::new(),
+            saved_daemons: BTreeMap::new(),
             writes: 0,
             agents: BTreeMap::new(),
             balancer: None,
             cut: BTreeSet::new(),
-            tried: Vec::new(),
+            packets_to_backends: Vec::new(),
             resets: 0,
             said_whole: BTreeSet::new(),
             listed: BTreeMap::new(),
@@ -88,12 +88,12 @@
 
     /// Everything loses its power.
     pub fn lose_power(&mut self) {
-        self.lose_replicas();
+        self.stop_replicas();
         self.agents.clear();
         self.balancer = None;
     }
 
-    pub fn lose_replicas(&mut self) {
+    pub fn stop_replicas(&mut self) {
         self.replicas.clear();
         self.said_whole.clear();
         self.under_way.clear();
@@ -119,7 +119,7 @@
         };
         let settings = ConfigurationNodeSettings::default();
         let mut node = ConfigurationNode::new(self.now, settings, start);
-        if let Some(memory) = self.memories.get(&address) {
+        if let Some(memory) = self.saved_daemons.get(&address) {
             node.recall_daemons(memory);
         }
         self.replicas.insert(address, node);
@@ -175,7 +175,7 @@
             PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts);
         let route = RouteRecord {
             address: pack_address(ROUTE),
-            shares: vec![ShareRecord {
+            shares: vec![RouteShare {
                 service: SERVICE.to_owned(),
                 weight: 1,
             }],
@@ -192,14 +192,14 @@
             bytes: compress_prepend_size(&change.encode_to_vec()),
             ..ConfigurationPart::default()
         };
-        let confirmed = Confirmed {
-            confirm: 7,
+        let confirmed = VersionConfirmed {
+            confirmation_id: 7,
             version: 3,
             zones: None,
-            ..Confirmed::default()
+            ..VersionConfirmed::default()
         };
         balancer.handle_message(now, REPLICAS[0], PassThroughBody::Configuration(part));
-        balancer.handle_message(now, REPLICAS[0], PassThroughBody::Confirmed(confirmed));
+        balancer.handle_message(now, REPLICAS[0], PassThroughBody::VersionConfirmed(confirmed));
         self.balancer = Some(balancer);
     }
 
@@ -271,13 +271,13 @@
 
     fn take_answer(&mut self, from: SocketAddrV4, body: PassThroughBody) {
         match body {
-            PassThroughBody::Group(group) if group.whole_directory => {
+            PassThroughBody::GroupStatus(group) if group.directory_is_complete => {
                 self.said_whole.insert(from);
             }
-            PassThroughBody::Group(_) => {
+            PassThroughBody::GroupStatus(_) => {
                 self.said_whole.remove(&from);
             }
-            PassThroughBody::Directory(directory) => {
+            PassThroughBody::DirectoryPart(directory) => {
                 assert_eq!(directory.base_revision, 0);
                 let Some(bytes) = self.assemble(from, directory) else {
                     return;
@@ -292,7 +292,7 @@
     }
 
     /// Joins the parts of a directory; none as long as some are missing.
-    fn assemble(&mut self, from: SocketAddrV4, directory: Directory) -> Option<Vec<u8>> {
+    fn assemble(&mut self, from: SocketAddrV4, directory: DirectoryPart) -> Option<Vec<u8>> {
         let key = (from, directory.revision);
         let parts = self.directory_parts.entry(key).or_default();
         parts.insert(directory.part, directory.bytes);
@@ -317,7 +317,7 @@
                     }
                     ConfigurationOutput::Remember(bytes) => {
                         self.writes += 1;
-                        self.memories.insert(*address, bytes);
+                        self.saved_daemons.insert(*address, bytes);
                     }
                     _ => {}
                 }
@@ -329,7 +329,7 @@
                     PassThroughOutput::Send { to, body } => {
                         self.under_way.push_back((*address, to, body));
                     }
-                    PassThroughOutput::ToBackend(_) => self.tried.push(*address),
+                    PassThroughOutput::ToBackend(_) => self.packets_to_backends.push(*address),
                     _ => {}
                 }
             }
@@ -349,18 +349,18 @@
     }
 
     /// Replicas that say now that their directories are whole.
-    pub fn whole(&mut self) -> usize {
+    pub fn complete_replicas(&mut self) -> usize {
         for address in self.replicas.keys() {
-            let follow = Follow {
-                attached: true,
-                ..Follow::default()
+            let follow = Subscribe {
+                wants_updates: true,
+                ..Subscribe::default()
             };
-            let leaving = Follow {
-                leaving: true,
-                ..Follow::default()
+            let leaving = Subscribe {
+                unsubscribe: true,
+                ..Subscribe::default()
             };
             for follow in [follow, leaving] {
-                let body = PassThroughBody::Follow(follow);
+                let body = PassThroughBody::Subscribe(follow);
                 self.under_way.push_back((ASKER, *address, body));
             }
         }
@@ -370,8 +370,8 @@
 
     /// An agent that runs and that a replica leaves out, although its directory is whole
     /// by its word.
-    pub fn left_out(&mut self) -> Option<(SocketAddrV4, SocketAddrV4)> {
-        self.whole();
+    pub fn unlisted_agent(&mut self) -> Option<(SocketAddrV4, SocketAddrV4)> {
+        self.complete_replicas();
         for replica in &self.said_whole {
             let listed = &self.listed[replica];
             let is_missing = |agent: &&SocketAddrV4| !listed.contains(&pack_address(**agent));
@@ -383,17 +383,17 @@
     }
 
     /// Ends a replica, which keeps its disk.
-    pub fn end_replica(&mut self, address: SocketAddrV4) {
+    pub fn stop_replica(&mut self, address: SocketAddrV4) {
         self.replicas.remove(&address);
         self.said_whole.remove(&address);
         self.listed.remove(&address);
     }
 
     /// How long it takes until so many replicas have whole directories.
-    pub fn time_until_whole(&mut self, replicas: usize, limit: Duration) -> Option<Duration> {
+    pub fn time_until_complete(&mut self, replicas: usize, limit: Duration) -> Option<Duration> {
         let begin = self.now;
         while self.now.saturating_since(begin) < limit {
-            if self.whole() >= replicas {
+            if self.complete_replicas() >= replicas {
                 return Some(self.now.saturating_since(begin));
             }
             self.run(10 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    CarryReason, DeclineReason, Declined, PassThroughBody, pack_address,
+    ForwardReason, DeclineReason, Declined, PassThroughBody, pack_address,
 };
 
 use super::queueing::{Desk, SLOTS};
@@ -57,7 +57,7 @@
                 continue;
             }
             desk.opening.priority = *priority;
-            let taken = desk.request(OBJECTIVE_MILLIS, CarryReason::OpenQueued);
+            let taken = desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
             priorities.insert(pack_address(desk.latest_caller()), *priority);
             inside.extend(taken);
             let taken = taken.map(|_| millis);
@@ -138,7 +138,7 @@
     });
     let full = |declined: &Declined| declined.reason() == DeclineReason::Full;
     told.filter(full)
-        .map(|declined| declined.turn_micros)
+        .map(|declined| declined.expected_wait_micros)
         .collect()
 }
 
@@ -149,12 +149,12 @@
     assert_eq!(turns(&mut desk), [10_000], "one place each 10 ms");
     for last in 1..=4 {
         desk.balancer = SocketAddrV4::new(Ipv4Addr::new(10, 0, 2, last), 7000);
-        desk.request(OBJECTIVE_MILLIS, CarryReason::OpenQueued);
+        desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
     }
     let grown = turns(&mut desk);
     assert_eq!(grown, [20_000, 30_000, 40_000, 50_000]);
     desk.now = desk.now + Duration::from_secs(1);
-    desk.request(OBJECTIVE_MILLIS, CarryReason::OpenQueued);
+    desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
     assert_eq!(turns(&mut desk), [10_000], "the others ask no more");
 }
 
--- a/crates/petrellatch-core/tests/pass_through/waiting_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/waiting_callers.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{CarryReason, FlowMessage, PassThroughBody};
+use petrellatch_proto::pass_through::{ForwardReason, FlowMessage, PassThroughBody};
 
 use super::queueing::{Desk, SLOTS};
 use super::world::MILLI;
@@ -44,7 +44,7 @@
 
     /// Offers one more flow.
     fn offer(&mut self) {
-        let taken = self.desk.request(OBJECTIVE_MILLIS, CarryReason::OpenQueued);
+        let taken = self.desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
         self.inside.extend(taken);
         self.listen();
     }
@@ -56,7 +56,7 @@
         }
         for body in self.desk.told.drain(..) {
             match body {
-                PassThroughBody::Waiting(waiting) => {
+                PassThroughBody::FlowQueued(waiting) => {
                     self.told.waiting.insert(flow(waiting.flow));
                 }
                 PassThroughBody::Declined(declined) => {
@@ -151,7 +151,7 @@
     let mut expected = Vec::new();
     for (priority, age_millis) in [(2, 500), (2, 600), (2, 0), (1, 600), (1, 10), (1, 20)] {
         full.desk.opening.priority = priority;
-        full.desk.opening.age_millis = age_millis;
+        full.desk.opening.syn_age_millis = age_millis;
         full.offer();
         expected.push(full.desk.latest_caller());
     }
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -13,9 +13,9 @@
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    Carry, CarryReason, ConfigurationChange, ConfigurationPart, Confirmed, Directory,
-    DirectoryChange, DirectoryEntry, Group, PassThroughBody, PassThroughMessage, Report,
-    RouteRecord, ServiceRecord, ShareRecord, pack_address,
+    ForwardedPacket, ForwardReason, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart,
+    DirectoryChange, DirectoryEntry, GroupStatus, PassThroughBody, PassThroughMessage, Report,
+    RouteRecord, ServiceRecord, RouteShare, pack_address,
 };
 use prost::Message;
 
@@ -150,7 +150,7 @@
 
     /// Starts the balancer again, which forgets all flows, and confirms to it what
     /// is newest. Agents report to it.
-    pub fn start_balancer_with(&mut self, confirmed: Confirmed) {
+    pub fn start_balancer_with(&mut self, confirmed: VersionConfirmed) {
         self.balancer = new_balancer(self.now, None);
         self.confirm_with(confirmed);
         self.run(600 * MILLI);
@@ -164,11 +164,11 @@
 
     /// Makes the balancer current with one route.
     pub fn confirm(&mut self) {
-        let confirmed = Confirmed {
-            confirm: 7,
+        let confirmed = VersionConfirmed {
+            confirmation_id: 7,
             version: self.version,
             zones: None,
-            ..Confirmed::default()
+            ..VersionConfirmed::default()
         };
         self.confirm_with(confirmed);
     }
@@ -180,8 +180,8 @@
         self.confirm();
     }
 
-    fn confirm_with(&mut self, confirmed: Confirmed) {
-        let share = |(service, weight): &(&str, u32)| ShareRecord {
+    fn confirm_with(&mut self, confirmed: VersionConfirmed) {
+        let share = |(service, weight): &(&str, u32)| RouteShare {
             service: (*service).to_owned(),
             weight: *weight,
         };
@@ -190,7 +190,7 @@
             shares: self.shares.iter().map(share).collect(),
             annotation: Vec::new(),
             position: 0,
-            objective_millis: self.objective_millis,
+            latency_objective_millis: self.objective_millis,
             ..RouteRecord::default()
         };
         let is_dropped = self.shares.is_empty();
@@ -202,7 +202,7 @@
             annotation: None,
             put_services: vec![ServiceRecord {
                 service: SERVICE.to_owned(),
-                cold_millirequests_per_second: self.cold_rate,
+                warm_up_millirequests_per_second: self.cold_rate,
             }],
             ..ConfigurationChange::default()
         };
@@ -215,7 +215,7 @@
         };
         for body in [
             PassThroughBody::Configuration(part),
-            PassThroughBody::Confirmed(confirmed),
+            PassThroughBody::VersionConfirmed(confirmed),
         ] {
             self.balancer.handle_message(self.now, REPLICA, body);
         }
@@ -224,36 +224,36 @@
 
     /// The replica says that it has told of every agent that runs.
     pub fn say_whole_directory(&mut self) {
-        let group = Group {
+        let group = GroupStatus {
             directory_revision: self.revision,
-            serves: true,
-            whole_directory: true,
-            ..Group::default()
+            has_leader: true,
+            directory_is_complete: true,
+            ..GroupStatus::default()
         };
-        let body = PassThroughBody::Group(group);
+        let body = PassThroughBody::GroupStatus(group);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
     /// The replica says that it may not know every agent that runs.
     pub fn forget_whole_directory(&mut self) {
-        let group = Group {
+        let group = GroupStatus {
             directory_revision: self.revision,
-            serves: true,
-            ..Group::default()
+            has_leader: true,
+            ..GroupStatus::default()
         };
-        let body = PassThroughBody::Group(group);
+        let body = PassThroughBody::GroupStatus(group);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
     /// A replica answers an agent's report.
     pub fn tell_agent(&mut self, index: u8, had_former_life: bool) {
-        let group = Group {
-            had_former_life,
-            answers_report: true,
-            ..Group::default()
+        let group = GroupStatus {
+            knows_previous_incarnation: had_former_life,
+            has_report: true,
+            ..GroupStatus::default()
         };
         let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::Group(group));
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
     }
 
     /// Starts the balancer again, which forgets all flows. Agents report to it.
@@ -305,14 +305,14 @@
     /// as leaving.
     pub fn restart_agent_with_memory(&mut self, index: u8) {
         let address = pack_address(agent_address(index));
-        let leaving = self.reports[&address].leaving.clone();
+        let leaving = self.reports[&address].draining_backends.clone();
         self.start_agent(index);
-        let group = Group {
-            leaving,
-            ..Group::default()
+        let group = GroupStatus {
+            draining_backends: leaving,
+            ..GroupStatus::default()
         };
         let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::Group(group));
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
     }
 
     pub fn register(&mut self, index: u8, capacity: u32, draining: bool, call_number: u64) {
@@ -432,7 +432,7 @@
                 }
             }
             PassThroughOutput::Send { to, body } => {
-                self.seeks += usize::from(matches!(body, PassThroughBody::Seek(_)));
+                self.seeks += usize::from(matches!(body, PassThroughBody::FlowQuery(_)));
                 self.tries_sent += usize::from(from == BALANCER && is_try(&body));
                 if self.frozen.contains(&to) {
                     return;
@@ -473,17 +473,17 @@
         };
         let change = DirectoryChange {
             agents: vec![entry],
-            gone: Vec::new(),
+            removed: Vec::new(),
         };
         self.revision += 1;
-        let directory = Directory {
+        let directory = DirectoryPart {
             base_revision: 0,
             revision: self.revision,
             part: 0,
             parts: 1,
             bytes: compress_prepend_size(&change.encode_to_vec()),
         };
-        let body = PassThroughBody::Directory(directory);
+        let body = PassThroughBody::DirectoryPart(directory);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
@@ -578,14 +578,14 @@
                 synchronize: true,
                 ..empty(caller(30_000 + port), ROUTE)
             };
-            let carry = Carry {
+            let carry = ForwardedPacket {
                 service: service_digest(SERVICE),
-                reason: CarryReason::OpenQueued.into(),
+                reason: ForwardReason::OpenQueued.into(),
                 packet: encode(&packet),
-                ..Carry::default()
+                ..ForwardedPacket::default()
             };
             let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-            agent.handle_message(self.now, elsewhere, PassThroughBody::Carry(carry));
+            agent.handle_message(self.now, elsewhere, PassThroughBody::ForwardedPacket(carry));
         }
         self.settle();
         self.callers.clear();
@@ -647,7 +647,7 @@
 }
 
 fn is_try(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::Carry(carry) if carry.reason() == CarryReason::Try)
+    matches!(body, PassThroughBody::ForwardedPacket(carry) if carry.reason() == ForwardReason::Try)
 }
 
 fn new_balancer(
--- a/crates/petrellatch-proto/src/pass_through/configuration.rs
+++ b/crates/petrellatch-proto/src/pass_through/configuration.rs
@@ -1,10 +1,10 @@
 //! Records and changes of the configuration, as they are kept, replicated and handed on.
 
-use super::{PolicyChange, ZoneOrder};
+use super::{PolicyChange, ZoneCommand};
 
 /// A service's share of a route's new flows.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct ShareRecord {
+pub struct RouteShare {
     /// The service's name.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -21,7 +21,7 @@
     pub address: u64,
     /// The services.
     #[prost(message, repeated, tag = "2")]
-    pub shares: Vec<ShareRecord>,
+    pub shares: Vec<RouteShare>,
     /// What the operator's interface keeps with the route. Balancers don't
     /// get it.
     #[prost(bytes = "vec", tag = "3")]
@@ -33,7 +33,7 @@
     /// By when a request should be answered, in milliseconds; zero if that is
     /// not known.
     #[prost(uint32, tag = "5")]
-    pub objective_millis: u32,
+    pub latency_objective_millis: u32,
     /// How urgent its requests are among those that compete for a place: zero is the
     /// most urgent.
     #[prost(uint32, tag = "6")]
@@ -53,7 +53,7 @@
     /// Requests that one of its back ends bears in 1,000 s while it warms up; zero
     /// if that is not known.
     #[prost(uint32, tag = "2")]
-    pub cold_millirequests_per_second: u32,
+    pub warm_up_millirequests_per_second: u32,
 }
 
 /// A replacement of the configuration, as records that differ from the one
@@ -87,10 +87,10 @@
 /// One command of the log: a part of an encoded and compressed
 /// [`ConfigurationChange`], an order about a zone, or a change of the policies.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct GroupCommand {
+pub struct LogCommand {
     /// Same for all parts of a change, and drawn at random for it.
     #[prost(fixed64, tag = "1")]
-    pub change: u64,
+    pub change_id: u64,
     /// Number of this part, from zero.
     #[prost(uint32, tag = "2")]
     pub part: u32,
@@ -102,7 +102,7 @@
     pub bytes: Vec<u8>,
     /// The order. The other fields are zero then.
     #[prost(message, optional, tag = "5")]
-    pub zone_order: Option<ZoneOrder>,
+    pub zone_command: Option<ZoneCommand>,
     /// The change of the policies. The other fields are zero then.
     #[prost(message, optional, tag = "6")]
     pub policy_change: Option<PolicyChange>,
--- a/crates/petrellatch-proto/src/pass_through/directory.rs
+++ b/crates/petrellatch-proto/src/pass_through/directory.rs
@@ -8,7 +8,7 @@
 pub enum AgentState {
     /// No back end has registered in this life of the agent, or it is silent, or the
     /// agent has stopped and its back end certainly has no open flow.
-    Empty = 0,
+    Unavailable = 0,
     /// New flows are welcome.
     Ready = 1,
     /// No new flows; open ones stay.
@@ -44,12 +44,12 @@
     pub load: LoadMessage,
     /// Digests of back ends that said that they leave, the latest last.
     #[prost(fixed64, repeated, tag = "9")]
-    pub leaving: Vec<u64>,
+    pub draining_backends: Vec<u64>,
     /// The time until the next report without news, in milliseconds; zero if this is
     /// the last one, as the agent has stopped.
     #[prost(uint32, tag = "10")]
-    pub interval_millis: u32,
-    /// [`super::ZoneRecords::index`] as the agent knows it.
+    pub next_report_millis: u32,
+    /// [`super::ZoneStatuses::index`] as the agent knows it.
     #[prost(uint64, tag = "11")]
     pub evacuations_index: u64,
     /// The back end, if one has registered.
@@ -57,7 +57,7 @@
     pub backend: Option<BackendDescription>,
 }
 
-/// One agent of a [`Directory`].
+/// One agent of a [`DirectoryPart`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DirectoryEntry {
     /// What it reported last.
@@ -76,12 +76,12 @@
     pub agents: Vec<DirectoryEntry>,
     /// Addresses of agents that are not heard any more.
     #[prost(fixed64, repeated, tag = "2")]
-    pub gone: Vec<u64>,
+    pub removed: Vec<u64>,
 }
 
 /// A part of an encoded and compressed [`DirectoryChange`].
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Directory {
+pub struct DirectoryPart {
     /// The revision that the change is based on; zero for none.
     #[prost(uint64, tag = "1")]
     pub base_revision: u64,
--- a/crates/petrellatch-proto/src/pass_through/mod.rs
+++ b/crates/petrellatch-proto/src/pass_through/mod.rs
@@ -7,25 +7,25 @@
 mod directory;
 mod flow_record;
 mod group;
-mod opening;
+mod new_flow;
 mod policies;
 mod search;
 mod zones;
 
 pub use configuration::{
-    ConfigurationChange, ConfigurationPart, GroupCommand, RouteRecord, ServiceRecord, ShareRecord,
+    ConfigurationChange, ConfigurationPart, LogCommand, RouteRecord, ServiceRecord, RouteShare,
 };
-pub use directory::{AgentState, Directory, DirectoryChange, DirectoryEntry, Report};
+pub use directory::{AgentState, DirectoryPart, DirectoryChange, DirectoryEntry, Report};
 pub use flow_record::{
-    ACKNOWLEDGED_STEP, FlowColumns, FlowRecordChange, FlowRecordKept, FormerFlows, RecallFlows,
+    ACKNOWLEDGED_STEP_BYTES, FlowColumns, FlowRecordChange, FlowRecordAck, FlowRecordResponse, FlowRecordRequest,
 };
-pub use group::{Confirmed, Follow, Group, RememberedDaemons, ReplicaZone};
-pub use opening::{Accepted, Carry, CarryReason, DeclineReason, Declined, LoadMessage, Waiting};
-pub use policies::{BackendDescription, PlacementPolicy, PolicyChange, PolicyRecords};
+pub use group::{VersionConfirmed, Subscribe, GroupStatus, SavedDaemons, ReplicaZone};
+pub use new_flow::{Accepted, ForwardedPacket, ForwardReason, DeclineReason, Declined, LoadMessage, FlowQueued};
+pub use policies::{BackendDescription, PlacementPolicy, PolicyChange, PolicySet};
 pub use search::{
-    GatheredAnswers, GatheredFlow, HeldFlow, Holds, Lacks, NotHeld, Seek, SoughtFlow,
+    AggregatedReplies, AggregatedFlowReply, OwnedFlow, FlowsOwned, FlowsNotOwned, ReturnedPacket, FlowQuery, QueriedFlow,
 };
-pub use zones::{EvacuationsKnown, ZoneOrder, ZoneRecord, ZoneRecords};
+pub use zones::{EvacuationsAck, ZoneCommand, ZoneStatus, ZoneStatuses};
 
 /// Encoded messages stay below this size, in bytes, so that they rarely need
 /// more than a few fragments. Log entries of other replicas are the exception.
@@ -61,7 +61,7 @@
     Consensus(Vec<u8>),
     /// Balancer to agent: a caller's packet.
     #[prost(message, tag = "2")]
-    Carry(Carry),
+    ForwardedPacket(ForwardedPacket),
     /// Agent to balancer: the back end answered an opening packet.
     #[prost(message, tag = "3")]
     Accepted(Accepted),
@@ -70,43 +70,43 @@
     Declined(Declined),
     /// Agent to balancer: the flows that its back end has.
     #[prost(message, tag = "5")]
-    Holds(Holds),
+    FlowsOwned(FlowsOwned),
     /// Agent to replica: what it serves.
     #[prost(message, tag = "6")]
     Report(Report),
     /// Balancer to replica: asks for news.
     #[prost(message, tag = "7")]
-    Follow(Follow),
+    Subscribe(Subscribe),
     /// Replica to daemon: the replicas of the group.
     #[prost(message, tag = "8")]
-    Group(Group),
+    GroupStatus(GroupStatus),
     /// Replica to balancer: the agents.
     #[prost(message, tag = "9")]
-    Directory(Directory),
+    DirectoryPart(DirectoryPart),
     /// Replica to balancer: a part of a configuration or of a change to it.
     #[prost(message, tag = "10")]
     Configuration(ConfigurationPart),
     /// Replica to balancer: the newest version at a time after the question.
     #[prost(message, tag = "11")]
-    Confirmed(Confirmed),
+    VersionConfirmed(VersionConfirmed),
     /// Agent to balancer: the back end does not have the flow.
     #[prost(message, tag = "12")]
-    NotHeld(NotHeld),
+    ReturnedPacket(ReturnedPacket),
     /// Balancer to agents: who has these flows.
     #[prost(message, tag = "13")]
-    Seek(Seek),
+    FlowQuery(FlowQuery),
     /// Agent to balancer: flows that it does not know.
     #[prost(message, tag = "14")]
-    Lacks(Lacks),
+    FlowsNotOwned(FlowsNotOwned),
     /// Agent to balancer: what several agents answered to a question.
     #[prost(message, tag = "15")]
-    GatheredAnswers(GatheredAnswers),
+    AggregatedReplies(AggregatedReplies),
     /// Agent to replica: which zones it knows to be out of service.
     #[prost(message, tag = "16")]
-    EvacuationsKnown(EvacuationsKnown),
+    EvacuationsAck(EvacuationsAck),
     /// Agent to balancer: an opening packet waits for a place.
     #[prost(message, tag = "17")]
-    Waiting(Waiting),
+    FlowQueued(FlowQueued),
     /// Between replicas: the zone of the sender.
     #[prost(message, tag = "18")]
     ReplicaZone(ReplicaZone),
@@ -115,13 +115,13 @@
     FlowRecordChange(Box<FlowRecordChange>),
     /// Replica to agent: what it keeps of them.
     #[prost(message, tag = "20")]
-    FlowRecordKept(FlowRecordKept),
+    FlowRecordAck(FlowRecordAck),
     /// Agent to replica: asks for the flows of its former life.
     #[prost(message, tag = "21")]
-    RecallFlows(RecallFlows),
+    FlowRecordRequest(FlowRecordRequest),
     /// Replica to agent: the flows of its former life.
     #[prost(message, tag = "22")]
-    FormerFlows(FormerFlows),
+    FlowRecordResponse(FlowRecordResponse),
 }
 
 /// Puts an IPv4 address and a port into one number.
--- a/crates/petrellatch-proto/src/pass_through/opening.rs
+++ b/crates/petrellatch-proto/src/pass_through/new_flow.rs
@@ -5,7 +5,7 @@
 /// Why a balancer hands a packet to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum CarryReason {
+pub enum ForwardReason {
     /// Not given; dropped.
     Unspecified = 0,
     /// An opening packet, for an agent with room.
@@ -20,12 +20,12 @@
 
 /// A caller's packet on its way to an agent.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Carry {
+pub struct ForwardedPacket {
     /// Digest of the service's name; the agent must serve it.
     #[prost(fixed64, tag = "1")]
     pub service: u64,
-    /// A [`CarryReason`].
-    #[prost(enumeration = "CarryReason", tag = "2")]
+    /// A [`ForwardReason`].
+    #[prost(enumeration = "ForwardReason", tag = "2")]
     pub reason: i32,
     /// The packet as it came.
     #[prost(bytes = "vec", tag = "3")]
@@ -33,26 +33,26 @@
     /// With an opening packet: by when a request should be answered, in
     /// milliseconds; zero if that is not known.
     #[prost(uint32, tag = "4")]
-    pub objective_millis: u32,
-    /// With [`CarryReason::Try`]: other agents that the receiver passes the packet
+    pub latency_objective_millis: u32,
+    /// With [`ForwardReason::Try`]: other agents that the receiver passes the packet
     /// on to, so that a balancer sends it once.
     #[prost(fixed64, repeated, tag = "5")]
-    pub others: Vec<u64>,
+    pub relay_to: Vec<u64>,
     /// The balancer, if another agent passed the packet on; otherwise zero.
     #[prost(fixed64, tag = "6")]
-    pub origin: u64,
-    /// With an opening packet: [`super::ServiceRecord::cold_millirequests_per_second`] of
+    pub origin_balancer: u64,
+    /// With an opening packet: [`super::ServiceRecord::warm_up_millirequests_per_second`] of
     /// the service; zero if that is not known.
     #[prost(uint32, tag = "7")]
-    pub cold_millirequests_per_second: u32,
+    pub warm_up_millirequests_per_second: u32,
     /// With an opening packet: how long ago its caller sent the first copy, at
     /// least, in milliseconds.
     #[prost(uint32, tag = "8")]
-    pub age_millis: u32,
+    pub syn_age_millis: u32,
     /// With an opening packet: so many back ends of the service fail that none is to be
     /// left out for that.
     #[prost(bool, tag = "9")]
-    pub despite_failures: bool,
+    pub ignore_ejection: bool,
     /// With an opening packet: [`super::RouteRecord::priority`].
     #[prost(uint32, tag = "10")]
     pub priority: u32,
@@ -66,21 +66,21 @@
 pub struct LoadMessage {
     /// Requests that wait for their answers.
     #[prost(uint32, tag = "1")]
-    pub busy: u32,
+    pub in_flight_requests: u32,
     /// Requests that the back end works on at once.
     #[prost(uint32, tag = "2")]
-    pub capacity: u32,
+    pub slots: u32,
     /// Whether the back end still warms up.
     #[prost(bool, tag = "3")]
     pub cold: bool,
     /// How much longer the back end is left out, in milliseconds, as it failed the
     /// requests that it got.
     #[prost(uint32, tag = "4")]
-    pub left_out_millis: u32,
+    pub ejected_millis: u32,
     /// The mean time that the back end works on a request from when it got a slot, in
     /// microseconds; zero if that is not known.
     #[prost(uint32, tag = "5")]
-    pub work_micros: u32,
+    pub processing_micros: u32,
     /// Flows that are open at the back end, also those that rest.
     #[prost(uint32, tag = "6")]
     pub open_flows: u32,
@@ -107,7 +107,7 @@
 /// An opening packet waits at the agent until fresh ones leave a place. The agent
 /// tells later what became of it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Waiting {
+pub struct FlowQueued {
     /// The flow.
     #[prost(message, required, tag = "1")]
     pub flow: FlowMessage,
@@ -156,5 +156,5 @@
     /// priority is likely to come free here for the balancer, among all balancers that
     /// ask, in microseconds; zero if that can't be foretold.
     #[prost(uint32, tag = "4")]
-    pub turn_micros: u32,
+    pub expected_wait_micros: u32,
 }
--- a/crates/petrellatch-proto/src/pass_through/policies.rs
+++ b/crates/petrellatch-proto/src/pass_through/policies.rs
@@ -26,8 +26,8 @@
 pub struct PolicyChange {
     /// Drawn at random for the change.
     #[prost(fixed64, tag = "1")]
-    pub change: u64,
-    /// [`PolicyRecords::index`] that it is based on; none if it holds in any case.
+    pub change_id: u64,
+    /// [`PolicySet::index`] that it is based on; none if it holds in any case.
     #[prost(uint64, optional, tag = "2")]
     pub base_index: Option<u64>,
     /// The policy that is put in place of one of the same name.
@@ -40,7 +40,7 @@
 
 /// All policies.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
-pub struct PolicyRecords {
+pub struct PolicySet {
     /// Index of the latest change in the log that had an effect; zero if there was
     /// none. The greater one of two is the newer one.
     #[prost(uint64, tag = "1")]
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -6,8 +6,8 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::consensus::{ElectionLoss, Role};
 use petrellatch_core::pass_through::{
-    ConfigurationNode, FlowRecordFigures, LatencyHistogram, PacketCodec, PassThroughAgent,
-    PassThroughBalancer, RecallOutcome,
+    ConfigurationNode, FlowRecorderStats, LatencyHistogram, PacketCodec, PassThroughAgent,
+    PassThroughBalancer, RecoveryOutcome,
 };
 use petrellatch_proto::pass_through::DeclineReason;
 use prometheus::proto::{Bucket, Histogram, Metric, MetricFamily, MetricType};
@@ -321,23 +321,23 @@
 }
 
 /// What an agent has recorded of its open flows.
-fn tell_recorded(registry: &Registry, figures: FlowRecordFigures, recall: Option<RecallOutcome>) {
+fn tell_recorded(registry: &Registry, figures: FlowRecorderStats, recall: Option<RecoveryOutcome>) {
     let help = "Open flows that replicas are told of.";
     set(&gauge(registry, RECORDED_FLOWS, help), figures.recorded);
     let help = "Open flows beyond the most that are recorded.";
-    let beyond = figures.beyond_limit;
+    let beyond = figures.over_limit;
     set(&gauge(registry, UNRECORDED_FLOWS, help), beyond);
     let help = "Keepers of the record that lack the newest one, by reason.";
     let keepers = gauges(registry, RECORD_KEEPERS, help, "state");
-    for (state, count) in [("behind", figures.unacknowledged), ("full", figures.full)] {
+    for (state, count) in [("behind", figures.unacknowledged), ("full", figures.full_replicas)] {
         set(&keepers.with_label_values(&[state]), count);
     }
     let help = "Recalls of the flows of a former life, by their end.";
     let recalls = counters(registry, RECALLS_TOTAL, help, "outcome");
     for (name, outcome) in [
-        ("recalled", RecallOutcome::Recalled),
-        ("no_record", RecallOutcome::NoRecord),
-        ("unanswered", RecallOutcome::Unanswered),
+        ("recalled", RecoveryOutcome::Recalled),
+        ("no_record", RecoveryOutcome::NoRecord),
+        ("unanswered", RecoveryOutcome::Unanswered),
     ] {
         let total = u64::from(recall == Some(outcome));
         raise(&recalls.with_label_values(&[name]), total);
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -8,7 +8,7 @@
     ConfigurationRequest, ConfigurationResponse, ExplainedBackend, ExplainedPolicy, PolicyRefusal,
 };
 use petrellatch_core::policy::Explanation;
-use petrellatch_proto::pass_through::{PlacementPolicy, PolicyRecords};
+use petrellatch_proto::pass_through::{PlacementPolicy, PolicySet};
 
 use crate::api::{
     Endpoint, ErrorDocument, PlacementPolicyDocument, PlacementPolicyList, PolicyChangeAccepted,
@@ -106,7 +106,7 @@
     HttpResponse::refusal(&document)
 }
 
-fn list(records: &PolicyRecords) -> PlacementPolicyList {
+fn list(records: &PolicySet) -> PlacementPolicyList {
     let policies = records.policies.iter().map(PlacementPolicyDocument::from);
     PlacementPolicyList {
         index: records.index,
