--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -43,8 +43,8 @@
     ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal, address_of_node_id, node_id_of_address,
 };
 pub use digest::{backend_digest, service_digest};
-pub use flows::flow_recorder::{FlowRecordFigures, FlowRecordSettings};
-pub use flows::former_recall::RecallOutcome;
+pub use flows::flow_recorder::{FlowRecorderStats, FlowRecordSettings};
+pub use flows::flow_record_recovery::RecoveryOutcome;
 pub use group::known_replicas::KnownReplicas;
 pub use group::evacuations::Evacuations;
 pub use group::flow_record_store::{FlowRecordWrite, FlowRecordStoreStats};
--- a/crates/petrellatch-core/tests/pass_through/former_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use petrellatch_core::EventKind;
-use petrellatch_proto::pass_through::FormerFlows;
+use petrellatch_proto::pass_through::FlowRecordResponse;
 
 use super::restart_world::{RestartWorld, caller_port, flow_id};
 use super::world::MILLI;
@@ -303,9 +303,9 @@
 }
 
 /// A restarted agent with a record of the life that has run, which has three witnesses.
-fn restart_with_three_witnesses(lives: &mut RestartWorld, record: FormerFlows) {
+fn restart_with_three_witnesses(lives: &mut RestartWorld, record: FlowRecordResponse) {
     let mut record = record;
-    record.witnesses.truncate(3);
+    record.probe_packets.truncate(3);
     lives.restart_agent();
     lives.recover(record);
 }
@@ -350,7 +350,7 @@
     lives.run(SECOND);
     assert_eq!(lives.agent.counters().lives_over, 1);
     assert_eq!(lives.returned_packets.iter().map(caller_port).collect::<Vec<u16>>(), [4]);
-    assert!(lives.returned_packets[0].was_open && lives.returned_packets[0].request);
+    assert!(lives.returned_packets[0].was_open && lives.returned_packets[0].carried_data);
     assert_eq!(lives.reset_ports(), [1, 2, 3, 5, 6, 7, 8]);
 }
 
