--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -7,13 +7,13 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    Configuration, KnownReplicas, FlowId, PacketCodec, PacketView, PassThroughBalancer,
+    Configuration, FlowId, KnownReplicas, PacketCodec, PacketView, PassThroughBalancer,
     PassThroughBalancerSettings,
 };
 use petrellatch_proto::pass_through::{
-    Accepted, AgentState, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart,
-    DirectoryChange, DirectoryEntry, LoadMessage, PassThroughBody, Report, RouteRecord,
-    ServiceRecord, RouteShare, pack_address, unpack_address,
+    Accepted, AgentState, ConfigurationChange, ConfigurationPart, DirectoryChange, DirectoryEntry,
+    DirectoryPart, LoadMessage, PassThroughBody, Report, RouteRecord, RouteShare, ServiceRecord,
+    VersionConfirmed, pack_address, unpack_address,
 };
 use prost::Message;
 
--- a/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{Accepted, DeclineReason, OwnedFlow, FlowsOwned, PassThroughBody};
+use petrellatch_proto::pass_through::{
+    Accepted, DeclineReason, FlowsOwned, OwnedFlow, PassThroughBody,
+};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
@@ -152,6 +154,9 @@
             flow: id.into(),
             sequence,
         };
-        self.send(to, PassThroughBody::FlowsOwned(FlowsOwned { flows: vec![held] }));
+        self.send(
+            to,
+            PassThroughBody::FlowsOwned(FlowsOwned { flows: vec![held] }),
+        );
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, ForwardedPacket, ForwardReason, DeclineReason, Declined, ReturnedPacket, PassThroughBody,
-    pack_address, unpack_address,
+    AgentState, DeclineReason, Declined, ForwardReason, ForwardedPacket, PassThroughBody,
+    ReturnedPacket, pack_address, unpack_address,
 };
 
 use super::PassThroughAgent;
@@ -17,7 +17,12 @@
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    pub(super) fn handle_carry(&mut self, now: Timestamp, from: SocketAddrV4, carry: ForwardedPacket) {
+    pub(super) fn handle_carry(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        carry: ForwardedPacket,
+    ) {
         let Some(view) = self.codec.view(&carry.packet) else {
             return;
         };
@@ -85,7 +90,10 @@
                 origin_balancer: pack_address(balancer),
                 ..carry.clone()
             };
-            self.send(unpack_address(*other), PassThroughBody::ForwardedPacket(passed_on));
+            self.send(
+                unpack_address(*other),
+                PassThroughBody::ForwardedPacket(passed_on),
+            );
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
@@ -4,15 +4,17 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{ReturnedPacket, PassThroughBody, QueriedFlow};
+use petrellatch_proto::pass_through::{PassThroughBody, QueriedFlow, ReturnedPacket};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
 use crate::pass_through::admission::registration::Registration;
 use crate::pass_through::digest::backend_digest;
-use crate::pass_through::flows::recorded_flow::{PreviousFlowRecord, RecordedFlow};
 use crate::pass_through::flows::orphaned_flows::OrphanedFlows;
-use crate::pass_through::flows::restart_probe::{RestartProbe, ProbedFlow, RestartProbeStep, RestartProbeResult};
+use crate::pass_through::flows::recorded_flow::{PreviousFlowRecord, RecordedFlow};
+use crate::pass_through::flows::restart_probe::{
+    ProbedFlow, RestartProbe, RestartProbeResult, RestartProbeStep,
+};
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::{FlowId, PacketCodec, PacketView};
 use crate::time::Timestamp;
@@ -229,7 +231,8 @@
         }
         for packet in &recalled.record.probe_packets {
             if let Some(view) = self.codec.view(packet) {
-                self.flows.note_probe_packet(view.flow_from_caller(), packet);
+                self.flows
+                    .note_probe_packet(view.flow_from_caller(), packet);
             }
         }
         self.counters.taken_over += taken;
@@ -252,7 +255,8 @@
             self.begin_record_proof(now);
         }
         let known = self.flows.get(id);
-        let was_open = known.is_some_and(|flow| flow.is_confirmed_open() && flow.owns_ack(acknowledged));
+        let was_open =
+            known.is_some_and(|flow| flow.is_confirmed_open() && flow.owns_ack(acknowledged));
         if was_open && self.stop_at.is_none() {
             self.former.is_in_doubt = true;
             self.begin_proof(now);
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -16,7 +16,8 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, DeclineReason, EvacuationsAck, GroupStatus, PassThroughBody, ZoneStatuses, pack_address,
+    AgentState, DeclineReason, EvacuationsAck, GroupStatus, PassThroughBody, ZoneStatuses,
+    pack_address,
 };
 
 use crate::event::{Event, EventKind};
@@ -33,12 +34,12 @@
 use crate::pass_through::admission::waiting_openings::WaitingOpenings;
 use crate::pass_through::digest::service_digest;
 use crate::pass_through::flows::agent_flows::AgentFlows;
-use crate::pass_through::flows::flow_recorder::{FlowRecordSettings, FlowRecorder};
 use crate::pass_through::flows::flow_record_recovery::{FlowRecordRecovery, RecoveryOutcome};
+use crate::pass_through::flows::flow_recorder::{FlowRecordSettings, FlowRecorder};
 use crate::pass_through::flows::relayed_queries::RelayedQueries;
 use crate::pass_through::flows::speculative_deliveries::SpeculativeDeliveries;
-use crate::pass_through::group::known_replicas::KnownReplicas;
 use crate::pass_through::group::evacuations::Evacuations;
+use crate::pass_through::group::known_replicas::KnownReplicas;
 use crate::pass_through::latency::LatencyHistogram;
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::PacketCodec;
@@ -287,7 +288,10 @@
     /// Requests that wait for their answers, and how many the back end works
     /// on at once.
     pub fn load(&self) -> (u32, u32) {
-        (self.flows.in_flight_requests(), self.registration.capacity())
+        (
+            self.flows.in_flight_requests(),
+            self.registration.capacity(),
+        )
     }
 
     /// Flows that are open at the back end, and the slots that they kept busy in the mean
@@ -364,7 +368,9 @@
             }
             PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
             PassThroughBody::FlowRecordAck(kept) => self.handle_record_kept(now, from, &kept),
-            PassThroughBody::FlowRecordResponse(former) => self.handle_former_flows(now, from, former),
+            PassThroughBody::FlowRecordResponse(former) => {
+                self.handle_former_flows(now, from, former)
+            }
             _ => {}
         }
         self.serve_waiting(now);
--- a/crates/petrellatch-core/src/pass_through/agent/openings.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/openings.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{AgentState, DeclineReason, PassThroughBody, FlowQueued};
+use petrellatch_proto::pass_through::{AgentState, DeclineReason, FlowQueued, PassThroughBody};
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
--- a/crates/petrellatch-core/src/pass_through/agent/questions.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/questions.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    AgentState, OwnedFlow, FlowsOwned, FlowsNotOwned, PassThroughBody, FlowQuery, QueriedFlow, pack_address,
-    unpack_address,
+    AgentState, FlowQuery, FlowsNotOwned, FlowsOwned, OwnedFlow, PassThroughBody, QueriedFlow,
+    pack_address, unpack_address,
 };
 
 use super::PassThroughAgent;
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/recording.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{
-    FlowRecordAck, FlowRecordResponse, PassThroughBody, FlowRecordRequest, pack_address,
+    FlowRecordAck, FlowRecordRequest, FlowRecordResponse, PassThroughBody, pack_address,
 };
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
-use crate::pass_through::flows::flow_recorder::FlowRecorderStats;
 use crate::pass_through::flows::flow_record_recovery::{RecoveryEnd, RecoveryOutcome};
+use crate::pass_through::flows::flow_recorder::FlowRecorderStats;
 use crate::pass_through::group::replica_assignment::is_assigned;
 use crate::pass_through::packet::PacketCodec;
 use crate::time::Timestamp;
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{AgentState, OwnedFlow, FlowsOwned, PassThroughBody};
+use petrellatch_proto::pass_through::{AgentState, FlowsOwned, OwnedFlow, PassThroughBody};
 
 use super::PassThroughAgent;
 use crate::pass_through::packet::PacketCodec;
--- a/crates/petrellatch-core/src/pass_through/balancer/edge.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/edge.rs
@@ -43,7 +43,12 @@
     }
 
     /// Whether agents are asked for a new flow; otherwise it is refused.
-    pub(super) fn admits_at_edge(&mut self, now: Timestamp, flow: FlowId, hint: &CachedFlow) -> bool {
+    pub(super) fn admits_at_edge(
+        &mut self,
+        now: Timestamp,
+        flow: FlowId,
+        hint: &CachedFlow,
+    ) -> bool {
         let kind = self.flow_kind(flow, hint.service, hint.syn_age);
         if self.pressure.decide(now, kind) == EdgeDecision::Ask {
             return true;
@@ -82,7 +87,11 @@
             route: flow.route,
             created_at: hint.created_at,
         };
-        let OfferCounts { offered: asked, full, .. } = hint.offer_counts;
+        let OfferCounts {
+            offered: asked,
+            full,
+            ..
+        } = hint.offer_counts;
         if full * 2 <= asked {
             self.pressure.note_unknown(asked_flow.kind);
         } else {
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -13,9 +13,10 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    Accepted, AgentState, ForwardedPacket, ForwardReason, ConfigurationPart, VersionConfirmed, DeclineReason,
-    Declined, Subscribe, AggregatedReplies, GroupStatus, FlowsOwned, FlowsNotOwned, ReturnedPacket, PassThroughBody,
-    PolicySet, FlowQuery, QueriedFlow, FlowQueued, ZoneStatuses, pack_address,
+    Accepted, AgentState, AggregatedReplies, ConfigurationPart, DeclineReason, Declined, FlowQuery,
+    FlowQueued, FlowsNotOwned, FlowsOwned, ForwardReason, ForwardedPacket, GroupStatus,
+    PassThroughBody, PolicySet, QueriedFlow, ReturnedPacket, Subscribe, VersionConfirmed,
+    ZoneStatuses, pack_address,
 };
 
 use crate::event::{Event, EventKind};
@@ -29,17 +30,17 @@
 use super::choice::service_pressure::{EdgeDecision, FlowKind, PressureChange, ServicePressure};
 use super::digest::{flow_digest, is_sampled};
 use super::flows::agent_set::AgentSet;
-use super::flows::flow_cache::{OfferCounts, Offer, OfferState, CachedFlow, FlowCache};
+use super::flows::flow_cache::{CachedFlow, FlowCache, Offer, OfferCounts, OfferState};
 use super::flows::flow_search::SearchStep;
 use super::flows::flow_searches::FlowSearches;
 use super::flows::query_budget::QueryBudget;
-use super::group::preferred_replicas::PreferredReplicas;
-use super::group::known_replicas::KnownReplicas;
 use super::group::evacuations::Evacuations;
+use super::group::known_replicas::KnownReplicas;
+use super::group::preferred_replicas::PreferredReplicas;
 use super::latency::LatencyHistogram;
 use super::link::link_queue::LinkQueue;
 use super::output::PassThroughOutput;
-use super::packet::{FlowId, SYN_TIMEOUT, PacketCodec, PacketView};
+use super::packet::{FlowId, PacketCodec, PacketView, SYN_TIMEOUT};
 use super::policies::active_policies::{ActivePolicies, PolicyStats};
 use super::routes::route_table::RouteTable;
 
--- a/crates/petrellatch-core/src/pass_through/balancer/searches.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/searches.rs
@@ -243,7 +243,12 @@
         }
     }
 
-    pub(super) fn handle_lacks(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &FlowsNotOwned) {
+    pub(super) fn handle_lacks(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        lacks: &FlowsNotOwned,
+    ) {
         self.note_heard(now, from, None);
         let certain = lacks.not_owned.iter().map(|flow| (flow, true));
         let uncertain = lacks.possibly_owned.iter().map(|flow| (flow, false));
@@ -266,7 +271,8 @@
         self.note_who_answered(now, &agents, gathered);
         for answers in &gathered.flows {
             let flow = FlowId::from(answers.flow);
-            for (set, is_certain) in [(&answers.not_owned, true), (&answers.possibly_owned, false)] {
+            for (set, is_certain) in [(&answers.not_owned, true), (&answers.possibly_owned, false)]
+            {
                 let places = AgentSet::from_bytes(set);
                 for agent in places.iter().filter_map(|place| agents.get(place)) {
                     if let Some(search) = self.searches.get_mut(flow) {
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -75,7 +75,9 @@
             return;
         };
         let LinkCounters {
-            duplicates, dropped, ..
+            duplicates,
+            dropped,
+            ..
         } = link.counters();
         let totals = format!("copies={duplicates} dropped={dropped}");
         match change {
--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, DirectoryPart, DirectoryChange, LoadMessage, Report, unpack_address,
+    AgentState, DirectoryChange, DirectoryPart, LoadMessage, Report, unpack_address,
 };
 
 use crate::time::Timestamp;
--- a/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/balancer_news.rs
@@ -171,7 +171,8 @@
         let followers = &self.followers;
         let current = || remembered(followers.followers(), followers.agents_to_remember());
         if let Some(bytes) = self.daemon_memory.save(now, current) {
-            self.outputs.push_back(ConfigurationOutput::SaveDaemons(bytes));
+            self.outputs
+                .push_back(ConfigurationOutput::SaveDaemons(bytes));
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/memory_exchange.rs
@@ -71,7 +71,9 @@
 
     fn member_addresses(&self) -> Vec<SocketAddrV4> {
         let members = self.replica.membership().members().iter();
-        members.map(|it| address_of_node_id(it.replica.node)).collect()
+        members
+            .map(|it| address_of_node_id(it.replica.node))
+            .collect()
     }
 
     /// Tells another replica which agents this one remembers. One that has lost its
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -20,8 +20,8 @@
 
 use petrellatch_proto::consensus::{ConsensusBody, ConsensusMessage};
 use petrellatch_proto::pass_through::{
-    VersionConfirmed, DirectoryPart, Subscribe, GroupStatus, PassThroughBody, PolicyChange, ReplicaZone, Report,
-    ZoneCommand, pack_address, unpack_address,
+    DirectoryPart, GroupStatus, PassThroughBody, PolicyChange, ReplicaZone, Report, Subscribe,
+    VersionConfirmed, ZoneCommand, pack_address, unpack_address,
 };
 use prost::Message;
 use rand::{RngExt, SeedableRng};
@@ -34,12 +34,12 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-use super::group::known_replicas::KnownReplicas;
 use super::group::daemon_memory::{DaemonMemory, remembered};
 use super::group::evacuations::Evacuations;
-use super::group::flow_record_store::{FlowRecords, FlowRecordStoreStats};
+use super::group::flow_record_store::{FlowRecordStoreStats, FlowRecords};
 use super::group::followers::Followers;
 use super::group::group_keeper::GroupKeeper;
+use super::group::known_replicas::KnownReplicas;
 use super::group::told_changes::ToldChanges;
 use super::latency::LatencyHistogram;
 use super::routes::configuration::Configuration;
@@ -285,7 +285,9 @@
             PassThroughBody::DirectoryPart(directory) => {
                 self.handle_directory(now, from, directory);
             }
-            PassThroughBody::ReplicaZone(told) => self.keeper.note_zone(node_id_of_address(from), told.zone),
+            PassThroughBody::ReplicaZone(told) => {
+                self.keeper.note_zone(node_id_of_address(from), told.zone)
+            }
             PassThroughBody::EvacuationsAck(known) => {
                 self.followers
                     .note_evacuations_known(known.address, known.index);
@@ -420,7 +422,8 @@
             return;
         };
         let joins = matches!(message.body, Some(ConsensusBody::JoinRequest(_)));
-        self.replica.handle_message(now, node_id_of_address(from), message);
+        self.replica
+            .handle_message(now, node_id_of_address(from), message);
         if joins && self.replica.role() != Role::Leader {
             // The newcomer may know no replica but this one.
             let group = self.group(now);
--- a/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
@@ -126,8 +126,7 @@
 
     /// Whether an answer to the opening packet is expected. A late one is not.
     pub(crate) fn awaits_reply(&self) -> bool {
-        let awaited =
-            |it: &Offer| matches!(it.state, OfferState::Pending | OfferState::Queued);
+        let awaited = |it: &Offer| matches!(it.state, OfferState::Pending | OfferState::Queued);
         self.offers.iter().any(awaited)
     }
 
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{ACKNOWLEDGED_STEP_BYTES, FlowRecordChange, FlowRecordAck};
+use petrellatch_proto::pass_through::{ACKNOWLEDGED_STEP_BYTES, FlowRecordAck, FlowRecordChange};
 
 use super::agent_flows::{AgentFlow, AgentFlows};
 use super::closed_flow_columns::to_closed_columns;
--- a/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
@@ -54,7 +54,9 @@
         columns.callers.push(pack_address(flow.id.caller));
         columns.route_indexes.push(place as u32);
         columns.sequences.push(flow.sequence);
-        columns.acknowledged_steps.push(ahead / ACKNOWLEDGED_STEP_BYTES);
+        columns
+            .acknowledged_steps
+            .push(ahead / ACKNOWLEDGED_STEP_BYTES);
     }
     columns
 }
--- a/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    FlowMessage, AggregatedReplies, AggregatedFlowReply, FlowsOwned, FlowsNotOwned, FlowQuery, unpack_address,
+    AggregatedFlowReply, AggregatedReplies, FlowMessage, FlowQuery, FlowsNotOwned, FlowsOwned,
+    unpack_address,
 };
 
 use crate::time::Timestamp;
@@ -95,7 +96,12 @@
     }
 
     /// Takes the flows that an agent lacks.
-    pub(crate) fn handle_flows_not_owned(&mut self, now: Timestamp, from: SocketAddrV4, lacks: &FlowsNotOwned) {
+    pub(crate) fn handle_flows_not_owned(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        lacks: &FlowsNotOwned,
+    ) {
         let certain = lacks.not_owned.iter().map(|flow| (*flow, Answer::Certain));
         let uncertain = lacks
             .possibly_owned
@@ -105,7 +111,12 @@
     }
 
     /// Takes the flows that an agent has, as the balancer does.
-    pub(crate) fn handle_flows_owned(&mut self, now: Timestamp, from: SocketAddrV4, holds: &FlowsOwned) {
+    pub(crate) fn handle_flows_owned(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddrV4,
+        holds: &FlowsOwned,
+    ) {
         let held = holds.flows.iter().map(|held| (held.flow, Answer::Held));
         self.handle_answers(now, from, held);
     }
--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    FlowColumns, FlowRecordChange, FlowRecordAck, FlowRecordResponse, FlowRecordRequest,
+    FlowColumns, FlowRecordAck, FlowRecordChange, FlowRecordRequest, FlowRecordResponse,
 };
 use prost::Message;
 
@@ -278,7 +278,8 @@
         let parts = part.parts as usize;
         self.change_agent(now, agent, |known| {
             let is_same = |it: &Incomplete| {
-                (it.incarnation, it.base, it.number) == (part.incarnation, part.base_revision, part.revision)
+                (it.incarnation, it.base, it.number)
+                    == (part.incarnation, part.base_revision, part.revision)
             };
             if !known.incomplete.as_ref().is_some_and(is_same) {
                 known.incomplete = Some(Incomplete {
--- a/crates/petrellatch-core/src/pass_through/group/followers.rs
+++ b/crates/petrellatch-core/src/pass_through/group/followers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    AgentState, DirectoryPart, DirectoryChange, DirectoryEntry, MAX_PART_BYTES, PassThroughBody,
+    AgentState, DirectoryChange, DirectoryEntry, DirectoryPart, MAX_PART_BYTES, PassThroughBody,
     Report, unpack_address,
 };
 use prost::Message;
--- a/crates/petrellatch-core/src/pass_through/group/told_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/group/told_changes.rs
@@ -7,8 +7,8 @@
 };
 use prost::Message;
 
-use crate::pass_through::routes::reassembly::{compress, split};
 use crate::pass_through::routes::configuration::Configuration;
+use crate::pass_through::routes::reassembly::{compress, split};
 
 /// Changes that are kept for balancers that are a little behind.
 const KEPT_CHANGES: usize = 64;
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -40,14 +40,15 @@
 };
 pub use configuration_node::{
     ConfigurationNode, ConfigurationNodeLatencies, ConfigurationNodeSettings, ConfigurationOutput,
-    ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal, address_of_node_id, node_id_of_address,
+    ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal, address_of_node_id,
+    node_id_of_address,
 };
 pub use digest::{backend_digest, service_digest};
-pub use flows::flow_recorder::{FlowRecorderStats, FlowRecordSettings};
 pub use flows::flow_record_recovery::RecoveryOutcome;
-pub use group::known_replicas::KnownReplicas;
+pub use flows::flow_recorder::{FlowRecordSettings, FlowRecorderStats};
 pub use group::evacuations::Evacuations;
-pub use group::flow_record_store::{FlowRecordWrite, FlowRecordStoreStats};
+pub use group::flow_record_store::{FlowRecordStoreStats, FlowRecordWrite};
+pub use group::known_replicas::KnownReplicas;
 pub use latency::LatencyHistogram;
 pub use link::link_queue::LinkCounters;
 pub use output::PassThroughOutput;
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -3,9 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use petrellatch_proto::pass_through::{
-    PlacementPolicy, PolicyChange, PolicySet, unpack_address,
-};
+use petrellatch_proto::pass_through::{PlacementPolicy, PolicyChange, PolicySet, unpack_address};
 use prost::Message;
 use snafu::Snafu;
 
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -5,8 +5,8 @@
 };
 use prost::Message;
 
-use super::reassembly::{Reassembly, compress, decompress, split};
 use super::configuration::Configuration;
+use super::reassembly::{Reassembly, compress, decompress, split};
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::policies::placement_policies::{PlacementPolicies, PolicyRefusal};
 
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use petrellatch_proto::pass_through::{ForwardReason, FlowMessage, PassThroughBody};
+use petrellatch_proto::pass_through::{FlowMessage, ForwardReason, PassThroughBody};
 
 use super::queueing::{LoadedAgent, SLOTS};
 use super::world::MILLI;
@@ -44,7 +44,9 @@
 
     /// Offers one more flow.
     fn offer(&mut self) {
-        let taken = self.desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
+        let taken = self
+            .desk
+            .request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
         self.inside.extend(taken);
         self.listen();
     }
--- a/crates/petrellatch-core/tests/pass_through/changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/changes.rs
@@ -85,7 +85,10 @@
     group.run_until(3 * SECOND, "another leader", |it| {
         it.leader().is_some_and(|index| index != leader)
     });
-    assert_matches!(group.response(lost), Some(ConfigurationResponse::Unavailable));
+    assert_matches!(
+        group.response(lost),
+        Some(ConfigurationResponse::Unavailable)
+    );
     group.replace(6, 2);
     assert_eq!(group.read().version, 6);
 }
--- a/crates/petrellatch-core/tests/pass_through/closed_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/closed_flows.rs
@@ -28,7 +28,11 @@
         world.run(Duration::from_secs(5));
         assert_eq!(world.flow_queries, seeks, "nobody is asked again");
         assert_eq!(world.resets(), 0, "its caller waits for nothing");
-        assert!(world.inconclusive_searches.is_empty(), "{:?}", world.inconclusive_searches);
+        assert!(
+            world.inconclusive_searches.is_empty(),
+            "{:?}",
+            world.inconclusive_searches
+        );
     }
 }
 
--- a/crates/petrellatch-core/tests/pass_through/codec.rs
+++ b/crates/petrellatch-core/tests/pass_through/codec.rs
@@ -70,13 +70,7 @@
 }
 
 pub fn encode(view: &PacketView) -> Vec<u8> {
-    let flags = [
-        view.syn,
-        view.ack,
-        view.fin,
-        view.rst,
-        view.returned,
-    ];
+    let flags = [view.syn, view.ack, view.fin, view.rst, view.returned];
     let bits = flags
         .iter()
         .enumerate()
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -151,7 +151,11 @@
         assert_eq!(world.resets(), 0, "in round {round}");
     }
     let budget = 2_000 + 2_000 * 210 / 1_000;
-    assert!(world.flow_queries <= budget, "{} questions", world.flow_queries);
+    assert!(
+        world.flow_queries <= budget,
+        "{} questions",
+        world.flow_queries
+    );
     let received: usize = world.backends.values().map(|it| it.received.len()).sum();
     assert!(
         received <= 300,
--- a/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
@@ -1,6 +1,8 @@
 //! Flows of zones that are out of service.
 
-use petrellatch_proto::pass_through::{VersionConfirmed, GroupStatus, PassThroughBody, ZoneStatus, ZoneStatuses};
+use petrellatch_proto::pass_through::{
+    GroupStatus, PassThroughBody, VersionConfirmed, ZoneStatus, ZoneStatuses,
+};
 
 use super::world::{MILLI, REPLICA, World, agent_address};
 
--- a/crates/petrellatch-core/tests/pass_through/expected_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/expected_agents.rs
@@ -88,7 +88,10 @@
             site.run(100 * MILLI);
         }
         assert_eq!(site.resets, 0, "after {outage:?}");
-        assert!(site.packets_to_backends.contains(&agent_address(young)), "it is asked");
+        assert!(
+            site.packets_to_backends.contains(&agent_address(young)),
+            "it is asked"
+        );
     }
 }
 
@@ -105,7 +108,10 @@
     site.run(SECOND);
     site.start_replicas();
     return_agents(&mut site, AGENTS);
-    assert_eq!(site.time_until_complete(1, ALL_REPORTED - 400 * MILLI), None);
+    assert_eq!(
+        site.time_until_complete(1, ALL_REPORTED - 400 * MILLI),
+        None
+    );
     site.start_agent(young, 100);
     assert!(site.time_until_complete(3, 600 * MILLI).is_some());
 }
@@ -117,7 +123,10 @@
     site.run(SECOND);
     site.start_replica(REPLICAS[0]);
     return_agents(&mut site, AGENTS);
-    assert_eq!(site.time_until_complete(1, ALL_REPORTED - 400 * MILLI), None);
+    assert_eq!(
+        site.time_until_complete(1, ALL_REPORTED - 400 * MILLI),
+        None
+    );
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/pass_through/final_reports.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -5,14 +5,16 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    KnownReplicas, FlowRecordSettings, PassThroughAgent, PassThroughAgentSettings, PassThroughOutput,
-    Registration,
+    FlowRecordSettings, KnownReplicas, PassThroughAgent, PassThroughAgentSettings,
+    PassThroughOutput, Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
-use petrellatch_proto::pass_through::{AgentState, GroupStatus, PassThroughBody, Report, pack_address};
+use petrellatch_proto::pass_through::{
+    AgentState, GroupStatus, PassThroughBody, Report, pack_address,
+};
 
 use super::codec::TestCodec;
-use super::world::{WARM_UP_BOUNDS, MILLI, REPLICA, SERVICE, agent_address};
+use super::world::{MILLI, REPLICA, SERVICE, WARM_UP_BOUNDS, agent_address};
 
 const STOP_LIMIT: Duration = Duration::from_secs(2);
 const AWAITS_BACKEND: Duration = Duration::from_millis(1_300);
@@ -118,7 +120,8 @@
 
     fn last_words(&self) -> Vec<u64> {
         let last = self.reports.iter();
-        let last = last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
+        let last =
+            last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
         last.map(|report| report.sequence).collect()
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -9,20 +9,20 @@
 use lz4_flex::compress_prepend_size;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    FlowRecordSettings, KnownReplicas, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
     Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    ForwardReason, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart, DirectoryChange,
-    DirectoryEntry, GroupStatus, PassThroughBody, PassThroughMessage, RouteRecord, RouteShare,
-    pack_address,
+    ConfigurationChange, ConfigurationPart, DirectoryChange, DirectoryEntry, DirectoryPart,
+    ForwardReason, GroupStatus, PassThroughBody, PassThroughMessage, RouteRecord, RouteShare,
+    VersionConfirmed, pack_address,
 };
 use prost::Message;
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{WARM_UP_BOUNDS, REPLICA, SERVICE};
+use super::world::{REPLICA, SERVICE, WARM_UP_BOUNDS};
 
 /// A link of 3.7 Mbit/s, in bytes a second.
 pub const LINK_BYTES_PER_SECOND: u64 = 462_500;
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -52,7 +52,12 @@
     for number in 1..=3 {
         assert_eq!(world.kept_at(replica(number)), [1, 3, 4]);
     }
-    assert!(world.changes.iter().all(|(_, _, change)| change.base_revision > 0));
+    assert!(
+        world
+            .changes
+            .iter()
+            .all(|(_, _, change)| change.base_revision > 0)
+    );
     let put = world
         .changes
         .iter()
@@ -144,7 +149,10 @@
         world.start_agent();
         world.run(3 * SECOND);
         assert_eq!(world.to_lose, 0, "they did get lost");
-        assert_eq!(world.agent.recovery_outcome(), Some(RecoveryOutcome::Recalled));
+        assert_eq!(
+            world.agent.recovery_outcome(),
+            Some(RecoveryOutcome::Recalled)
+        );
     }
 }
 
@@ -255,7 +263,10 @@
         .agent
         .handle_message(now, replica(2), PassThroughBody::GroupStatus(group));
     world.run(SECOND);
-    assert_eq!(world.agent.recovery_outcome(), Some(RecoveryOutcome::Recalled));
+    assert_eq!(
+        world.agent.recovery_outcome(),
+        Some(RecoveryOutcome::Recalled)
+    );
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
@@ -7,20 +7,20 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, KnownReplicas,
-    FlowRecordSettings, FlowRecordWrite, PacketView, PassThroughAgent, PassThroughAgentSettings,
+    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, FlowRecordSettings,
+    FlowRecordWrite, KnownReplicas, PacketView, PassThroughAgent, PassThroughAgentSettings,
     PassThroughOutput, Registration, service_digest,
 };
 use petrellatch_core::{Event, EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    ForwardedPacket, ForwardReason, FlowRecordChange, FlowRecordResponse, PassThroughBody, PassThroughMessage,
-    FlowRecordRequest, pack_address,
+    FlowRecordChange, FlowRecordRequest, FlowRecordResponse, ForwardReason, ForwardedPacket,
+    PassThroughBody, PassThroughMessage, pack_address,
 };
 use prost::Message;
 
 use super::codec::{TestCodec, empty, encode};
 use super::replica::start_replica_with;
-use super::world::{BALANCER, WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{BALANCER, MILLI, ROUTE, SERVICE, WARM_UP_BOUNDS, caller};
 
 pub const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 /// First sequence number of the back end in all flows.
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -13,7 +13,7 @@
     Configuration, ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput,
     ConfigurationRequest, ConfigurationResponse, node_id_of_address,
 };
-use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, ServiceRecord, RouteShare};
+use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, RouteShare, ServiceRecord};
 
 /// Time that a message takes.
 const DELAY: Duration = Duration::from_millis(1);
--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -7,7 +7,7 @@
 use petrellatch_core::pass_through::PassThroughOutput;
 use petrellatch_core::{EventKind, pass_through::PacketView};
 use petrellatch_proto::pass_through::{
-    Accepted, ForwardReason, DeclineReason, Declined, LoadMessage, PassThroughBody, FlowQueued,
+    Accepted, DeclineReason, Declined, FlowQueued, ForwardReason, LoadMessage, PassThroughBody,
 };
 
 use super::codec::{TestCodec, empty, encode};
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -83,7 +83,11 @@
         backend.received.clear();
     }
     world.request(1, agent);
-    assert_eq!(world.data_packets_at(agent), 1, "the copy of the request arrives");
+    assert_eq!(
+        world.data_packets_at(agent),
+        1,
+        "the copy of the request arrives"
+    );
     assert_eq!(strays(&world, agent), 0);
 }
 
@@ -99,7 +103,10 @@
     assert_eq!(world.resets(), 1, "its caller can open another one");
     let reset = world.callers.last().expect("the reset");
     let expected = first_sequence(agent).wrapping_add(1);
-    assert_eq!(reset.sequence_number, expected, "where its caller expects it");
+    assert_eq!(
+        reset.sequence_number, expected,
+        "where its caller expects it"
+    );
     world.run(Duration::from_secs(3));
     assert_eq!(world.resets(), 1);
     let tried: usize = world.backends.values().map(|it| it.received.len()).sum();
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -39,7 +39,10 @@
 
 fn assert_is_served(world: &World, agent: SocketAddrV4, subject: &str) {
     assert_eq!(world.resets(), 0, "a living flow was reset: {subject}");
-    assert!(world.data_packets_at(agent) > 1, "it is not served: {subject}");
+    assert!(
+        world.data_packets_at(agent) > 1,
+        "it is not served: {subject}"
+    );
 }
 
 #[test]
@@ -57,7 +60,10 @@
         assert_is_served(&world, agent, &format!("moved back, {agents} agents"));
         world.request(2, other);
         world.run(200 * MILLI);
-        assert!(world.data_packets_at(other) > 1, "a flow of the time between");
+        assert!(
+            world.data_packets_at(other) > 1,
+            "a flow of the time between"
+        );
         assert_eq!(world.resets(), 0);
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/news.rs
+++ b/crates/petrellatch-core/tests/pass_through/news.rs
@@ -9,8 +9,8 @@
     KnownReplicas, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
 use petrellatch_proto::pass_through::{
-    ConfigurationChange, ConfigurationPart, VersionConfirmed, GroupStatus, PassThroughBody, RouteRecord,
-    RouteShare, pack_address,
+    ConfigurationChange, ConfigurationPart, GroupStatus, PassThroughBody, RouteRecord, RouteShare,
+    VersionConfirmed, pack_address,
 };
 use prost::Message;
 
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flow_replies.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flow_replies.rs
@@ -56,7 +56,11 @@
     let reset = world.callers.iter().find(|view| view.rst);
     let acknowledged = first_sequence(agent).wrapping_add(1);
     assert_eq!(reset.map(|view| view.sequence_number), Some(acknowledged));
-    assert_eq!(world.data_packets_at(agent), 1, "the new life gets nothing of it");
+    assert_eq!(
+        world.data_packets_at(agent),
+        1,
+        "the new life gets nothing of it"
+    );
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
@@ -64,7 +64,11 @@
     lives.restart_backend();
     lives.request(5);
     lives.run(SECOND);
-    let told = lives.returned_packets.iter().filter(|it| it.was_open).count();
+    let told = lives
+        .returned_packets
+        .iter()
+        .filter(|it| it.was_open)
+        .count();
     assert_eq!(told, 1);
     let others: Vec<u16> = (1..=10).filter(|port| *port != 5).collect();
     assert_eq!(lives.reset_ports(), others);
@@ -86,7 +90,13 @@
     lives.run(3 * SECOND);
     assert_eq!(lives.reset_ports(), []);
     assert!(lives.has_event(EventKind::LifeUndecided));
-    let most = (10..18).map(|port| lives.dataless_packets.iter().filter(|it| **it == port).count());
+    let most = (10..18).map(|port| {
+        lives
+            .dataless_packets
+            .iter()
+            .filter(|it| **it == port)
+            .count()
+    });
     assert!(most.max() <= Some(4), "two in each of two proofs");
 }
 
@@ -142,7 +152,12 @@
 fn one_flow_that_ended_unseen_says_nothing_of_the_others() {
     let mut lives = with_flows(6);
     for port in [1, 6] {
-        lives.backend.as_mut().expect("one runs").flows.remove(&port);
+        lives
+            .backend
+            .as_mut()
+            .expect("one runs")
+            .flows
+            .remove(&port);
         lives.request(port);
         lives.run(5 * SECOND);
     }
@@ -331,7 +346,12 @@
     open(&mut lives, 1, 8);
     let record = lives.record(&lives.incarnation());
     for port in 1..=3 {
-        lives.backend.as_mut().expect("one runs").flows.remove(&port);
+        lives
+            .backend
+            .as_mut()
+            .expect("one runs")
+            .flows
+            .remove(&port);
     }
     restart_with_three_witnesses(&mut lives, record);
     lives.register();
@@ -349,7 +369,14 @@
     lives.deliver_speculatively(4, 50);
     lives.run(SECOND);
     assert_eq!(lives.agent.counters().lives_over, 1);
-    assert_eq!(lives.returned_packets.iter().map(caller_port).collect::<Vec<u16>>(), [4]);
+    assert_eq!(
+        lives
+            .returned_packets
+            .iter()
+            .map(caller_port)
+            .collect::<Vec<u16>>(),
+        [4]
+    );
     assert!(lives.returned_packets[0].was_open && lives.returned_packets[0].carried_data);
     assert_eq!(lives.reset_ports(), [1, 2, 3, 5, 6, 7, 8]);
 }
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
@@ -27,7 +27,8 @@
 impl Run {
     fn new(seed: u64) -> Run {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut lives = RestartWorld::unregistered(random.random_bool(0.7), random.random_bool(0.3));
+        let mut lives =
+            RestartWorld::unregistered(random.random_bool(0.7), random.random_bool(0.3));
         lives.register();
         Run {
             lives,
@@ -130,7 +131,12 @@
             self.lives.register();
             self.lives.run(Duration::from_secs(3));
         }
-        let told: BTreeSet<u16> = self.lives.returned_packets.iter().map(super::restart_world::caller_port).collect();
+        let told: BTreeSet<u16> = self
+            .lives
+            .returned_packets
+            .iter()
+            .map(super::restart_world::caller_port)
+            .collect();
         for port in self.known.iter().filter(|port| !told.contains(port)) {
             let flow = self.lives.callers.get(port);
             assert!(
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -7,7 +7,7 @@
 
 use petrellatch_core::pass_through::Registration;
 use petrellatch_proto::pass_through::{
-    VersionConfirmed, GroupStatus, PassThroughBody, PlacementPolicy, PolicySet, pack_address,
+    GroupStatus, PassThroughBody, PlacementPolicy, PolicySet, VersionConfirmed, pack_address,
 };
 
 use super::world::{FIRST_OWN_PORT, MILLI, REPLICA, ROUTE, SERVICE, World, agent_address};
@@ -354,7 +354,10 @@
     assert_eq!(world.without_eligible.len(), 1);
     let before = world.data_packets_at(owner);
     world.request(1, owner);
-    assert!(world.data_packets_at(owner) > before, "an open flow was touched");
+    assert!(
+        world.data_packets_at(owner) > before,
+        "an open flow was touched"
+    );
     tell(&mut world, 2, &[policy("newer", "true", "1.0")]);
     open_flows(&mut world, 3..6);
 }
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -7,8 +7,8 @@
     ConfigurationRequest, ConfigurationResponse, MAX_PLACEMENT_POLICIES, PolicyRefusal,
 };
 use petrellatch_proto::pass_through::{
-    AgentState, BackendDescription, Subscribe, LoadMessage, PassThroughBody, PlacementPolicy, Report,
-    pack_address,
+    AgentState, BackendDescription, LoadMessage, PassThroughBody, PlacementPolicy, Report,
+    Subscribe, pack_address,
 };
 use proptest::prelude::*;
 
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -7,10 +7,10 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    FlowRecordSettings, KnownReplicas, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughOutput, Registration, service_digest,
 };
-use petrellatch_proto::pass_through::{ForwardedPacket, ForwardReason, PassThroughBody};
+use petrellatch_proto::pass_through::{ForwardReason, ForwardedPacket, PassThroughBody};
 
 use super::codec::{TestCodec, empty, encode};
 use super::world::WARM_UP_BOUNDS;
@@ -38,7 +38,9 @@
     pub fn new(work: Duration) -> LoadedAgent {
         let mut desk = LoadedAgent::without_responses();
         for _ in 0..30 {
-            let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
+            let flow = desk
+                .request(0, ForwardReason::Open)
+                .expect("slots are free");
             desk.now = desk.now + work;
             desk.respond(flow);
         }
@@ -88,7 +90,11 @@
     }
 
     /// Offers a flow with a request; returns it if it was taken.
-    pub fn request(&mut self, objective_millis: u32, reason: ForwardReason) -> Option<SocketAddrV4> {
+    pub fn request(
+        &mut self,
+        objective_millis: u32,
+        reason: ForwardReason,
+    ) -> Option<SocketAddrV4> {
         self.next_port += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), self.next_port);
         let opening = PacketView {
@@ -219,7 +225,9 @@
 fn a_back_end_that_turns_slow_gets_a_shorter_queue() {
     let mut desk = LoadedAgent::new(Duration::from_millis(40));
     for _ in 0..60 {
-        let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
+        let flow = desk
+            .request(0, ForwardReason::Open)
+            .expect("slots are free");
         desk.now = desk.now + Duration::from_millis(200);
         desk.respond(flow);
     }
@@ -268,7 +276,9 @@
 fn the_end_of_an_answer_that_overtakes_it_tells_the_time_of_work() {
     let mut desk = LoadedAgent::new(Duration::from_millis(10));
     for _ in 0..60 {
-        let flow = desk.request(0, ForwardReason::Open).expect("slots are free");
+        let flow = desk
+            .request(0, ForwardReason::Open)
+            .expect("slots are free");
         desk.now = desk.now + Duration::from_millis(100);
         desk.end(flow);
         desk.respond(flow);
--- a/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/remembered_daemons.rs
@@ -7,7 +7,7 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::pass_through::{ConfigurationNode, ConfigurationOutput};
 use petrellatch_proto::pass_through::{
-    AgentState, Subscribe, LoadMessage, PassThroughBody, Report, pack_address,
+    AgentState, LoadMessage, PassThroughBody, Report, Subscribe, pack_address,
 };
 
 use super::replica::start_replica;
--- a/crates/petrellatch-core/tests/pass_through/replica.rs
+++ b/crates/petrellatch-core/tests/pass_through/replica.rs
@@ -5,7 +5,9 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::consensus::{Membership, PersistentState, ReplicaId, ReplicaStart};
 use petrellatch_core::identity::Incarnation;
-use petrellatch_core::pass_through::{ConfigurationNode, ConfigurationNodeSettings, node_id_of_address};
+use petrellatch_core::pass_through::{
+    ConfigurationNode, ConfigurationNodeSettings, node_id_of_address,
+};
 
 /// Starts the replica at `address` of a group that the replica at `founder`
 /// founded alone.
--- a/crates/petrellatch-core/tests/pass_through/restart_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/restart_world.rs
@@ -6,17 +6,17 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    KnownReplicas, FlowId, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    FlowId, FlowRecordSettings, KnownReplicas, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughOutput, Registration, backend_digest, service_digest,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    ACKNOWLEDGED_STEP_BYTES, ForwardedPacket, ForwardReason, FlowColumns, FlowRecordResponse, ReturnedPacket, PassThroughBody,
-    FlowQuery, QueriedFlow, pack_address,
+    ACKNOWLEDGED_STEP_BYTES, FlowColumns, FlowQuery, FlowRecordResponse, ForwardReason,
+    ForwardedPacket, PassThroughBody, QueriedFlow, ReturnedPacket, pack_address,
 };
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{MILLI, ROUTE, SERVICE, WARM_UP_BOUNDS, caller};
 
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const REPLICA: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
@@ -159,7 +159,9 @@
 
     /// The back end calls.
     pub fn register(&mut self) {
-        let Some(life) = &mut self.backend else { return };
+        let Some(life) = &mut self.backend else {
+            return;
+        };
         life.registrations += 1;
         let life = life.clone();
         self.register_incarnation(&life);
@@ -435,7 +437,9 @@
         if is_bare && !view.fin {
             self.dataless_packets.push(port);
         }
-        let Some(life) = &mut self.backend else { return };
+        let Some(life) = &mut self.backend else {
+            return;
+        };
         if view.is_syn() {
             self.next_sequence = self.next_sequence.wrapping_add(SEQUENCE_STEP);
             life.flows.insert(port, self.next_sequence);
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -5,12 +5,13 @@
 
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationOutput, KnownReplicas, FlowRecordSettings, PacketView,
+    ConfigurationNode, ConfigurationOutput, FlowRecordSettings, KnownReplicas, PacketView,
     PassThroughAgent, PassThroughAgentSettings, PassThroughOutput, Registration,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    AgentState, ForwardedPacket, ForwardReason, DeclineReason, GroupStatus, PassThroughBody, pack_address,
+    AgentState, DeclineReason, ForwardReason, ForwardedPacket, GroupStatus, PassThroughBody,
+    pack_address,
 };
 
 use super::codec::{TestCodec, empty, encode};
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -7,10 +7,12 @@
 use petrellatch_core::Timestamp;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationOutput, KnownReplicas, FlowRecordSettings, PassThroughAgent,
+    ConfigurationNode, ConfigurationOutput, FlowRecordSettings, KnownReplicas, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
 };
-use petrellatch_proto::pass_through::{VersionConfirmed, Subscribe, GroupStatus, PassThroughBody, pack_address};
+use petrellatch_proto::pass_through::{
+    GroupStatus, PassThroughBody, Subscribe, VersionConfirmed, pack_address,
+};
 
 use super::codec::TestCodec;
 use super::replica::start_replica;
--- a/crates/petrellatch-core/tests/pass_through/site.rs
+++ b/crates/petrellatch-core/tests/pass_through/site.rs
@@ -10,18 +10,19 @@
 use petrellatch_core::consensus::{Membership, PersistentState, ReplicaId, ReplicaStart};
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, KnownReplicas,
-    FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent, PassThroughAgentSettings,
-    PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput, Registration, node_id_of_address,
+    ConfigurationNode, ConfigurationNodeSettings, ConfigurationOutput, FlowRecordSettings,
+    KnownReplicas, PacketCodec, PacketView, PassThroughAgent, PassThroughAgentSettings,
+    PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput, Registration,
+    node_id_of_address,
 };
 use petrellatch_proto::pass_through::{
-    ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart, DirectoryChange, Subscribe,
-    PassThroughBody, RouteRecord, RouteShare, pack_address,
+    ConfigurationChange, ConfigurationPart, DirectoryChange, DirectoryPart, PassThroughBody,
+    RouteRecord, RouteShare, Subscribe, VersionConfirmed, pack_address,
 };
 use prost::Message;
 
 use super::codec::{TestCodec, empty, encode};
-use super::world::{BALANCER, WARM_UP_BOUNDS, MILLI, ROUTE, SERVICE, caller};
+use super::world::{BALANCER, MILLI, ROUTE, SERVICE, WARM_UP_BOUNDS, caller};
 
 const STEP: Duration = Duration::from_millis(5);
 /// Somebody who only asks whether a directory is whole.
@@ -199,7 +200,11 @@
             ..VersionConfirmed::default()
         };
         balancer.handle_message(now, REPLICAS[0], PassThroughBody::Configuration(part));
-        balancer.handle_message(now, REPLICAS[0], PassThroughBody::VersionConfirmed(confirmed));
+        balancer.handle_message(
+            now,
+            REPLICAS[0],
+            PassThroughBody::VersionConfirmed(confirmed),
+        );
         self.balancer = Some(balancer);
     }
 
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{
-    ForwardReason, DeclineReason, Declined, PassThroughBody, pack_address,
+    DeclineReason, Declined, ForwardReason, PassThroughBody, pack_address,
 };
 
 use super::queueing::{LoadedAgent, SLOTS};
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -7,15 +7,15 @@
 use lz4_flex::compress_prepend_size;
 use petrellatch_core::identity::Incarnation;
 use petrellatch_core::pass_through::{
-    WarmUpBounds, KnownReplicas, FlowRecordSettings, PacketCodec, PacketView, PassThroughAgent,
+    FlowRecordSettings, KnownReplicas, PacketCodec, PacketView, PassThroughAgent,
     PassThroughAgentSettings, PassThroughBalancer, PassThroughBalancerSettings, PassThroughOutput,
-    Registration, service_digest,
+    Registration, WarmUpBounds, service_digest,
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_proto::pass_through::{
-    ForwardedPacket, ForwardReason, ConfigurationChange, ConfigurationPart, VersionConfirmed, DirectoryPart,
-    DirectoryChange, DirectoryEntry, GroupStatus, PassThroughBody, PassThroughMessage, Report,
-    RouteRecord, ServiceRecord, RouteShare, pack_address,
+    ConfigurationChange, ConfigurationPart, DirectoryChange, DirectoryEntry, DirectoryPart,
+    ForwardReason, ForwardedPacket, GroupStatus, PassThroughBody, PassThroughMessage, Report,
+    RouteRecord, RouteShare, ServiceRecord, VersionConfirmed, pack_address,
 };
 use prost::Message;
 
@@ -617,9 +617,11 @@
 
     /// The agent whose back end answered the caller's opening packet.
     pub fn accepted_by(&self, port: u16) -> Option<SocketAddrV4> {
-        let answer = self.callers.iter().rev().find(|view| {
-            view.destination == caller(port) && view.syn && view.ack
-        })?;
+        let answer = self
+            .callers
+            .iter()
+            .rev()
+            .find(|view| view.destination == caller(port) && view.syn && view.ack)?;
         let agents = self.agents.keys();
         agents
             .copied()
--- a/crates/petrellatch-proto/src/pass_through/mod.rs
+++ b/crates/petrellatch-proto/src/pass_through/mod.rs
@@ -13,17 +13,21 @@
 mod zones;
 
 pub use configuration::{
-    ConfigurationChange, ConfigurationPart, LogCommand, RouteRecord, ServiceRecord, RouteShare,
+    ConfigurationChange, ConfigurationPart, LogCommand, RouteRecord, RouteShare, ServiceRecord,
 };
-pub use directory::{AgentState, DirectoryPart, DirectoryChange, DirectoryEntry, Report};
+pub use directory::{AgentState, DirectoryChange, DirectoryEntry, DirectoryPart, Report};
 pub use flow_record::{
-    ACKNOWLEDGED_STEP_BYTES, FlowColumns, FlowRecordChange, FlowRecordAck, FlowRecordResponse, FlowRecordRequest,
+    ACKNOWLEDGED_STEP_BYTES, FlowColumns, FlowRecordAck, FlowRecordChange, FlowRecordRequest,
+    FlowRecordResponse,
+};
+pub use group::{GroupStatus, ReplicaZone, SavedDaemons, Subscribe, VersionConfirmed};
+pub use new_flow::{
+    Accepted, DeclineReason, Declined, FlowQueued, ForwardReason, ForwardedPacket, LoadMessage,
 };
-pub use group::{VersionConfirmed, Subscribe, GroupStatus, SavedDaemons, ReplicaZone};
-pub use new_flow::{Accepted, ForwardedPacket, ForwardReason, DeclineReason, Declined, LoadMessage, FlowQueued};
 pub use policies::{BackendDescription, PlacementPolicy, PolicyChange, PolicySet};
 pub use search::{
-    AggregatedReplies, AggregatedFlowReply, OwnedFlow, FlowsOwned, FlowsNotOwned, ReturnedPacket, FlowQuery, QueriedFlow,
+    AggregatedFlowReply, AggregatedReplies, FlowQuery, FlowsNotOwned, FlowsOwned, OwnedFlow,
+    QueriedFlow, ReturnedPacket,
 };
 pub use zones::{EvacuationsAck, ZoneCommand, ZoneStatus, ZoneStatuses};
 
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -149,7 +149,10 @@
         Column::BlockedByLate,
         "agents that should have answered, or most agents, did not",
     ),
-    (Column::BlockedByUncertain, "agents or back ends could not know"),
+    (
+        Column::BlockedByUncertain,
+        "agents or back ends could not know",
+    ),
     (
         Column::BlockedByIncompleteDirectory,
         "the balancer's list of agents was not whole",
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -14,11 +14,11 @@
 use crate::http::EventServer;
 use crate::runtime::datagram_socket::{Batch, DatagramSocket};
 
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::event_loop::{
     EventLoop, FIRST_CONNECTION, FIRST_SECOND_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS,
     SECOND_HTTP, serve_requests,
 };
-use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::agent_metrics;
 use super::settings::{AgentRoleSettings, PassThroughSettings};
@@ -57,7 +57,11 @@
     let open_http = |address, token, first| {
         EventServer::open(address, registry, token, first, MAX_CONNECTIONS, BODY_BYTES)
     };
-    let mut http = vec![open_http(addresses.registration_address, HTTP, FIRST_CONNECTION)?];
+    let mut http = vec![open_http(
+        addresses.registration_address,
+        HTTP,
+        FIRST_CONNECTION,
+    )?];
     if let Some(readiness) = addresses.readiness_address {
         http.push(open_http(readiness, SECOND_HTTP, FIRST_SECOND_CONNECTION)?);
     }
@@ -138,9 +142,10 @@
             agent.handle_deregistration(now, &id);
             ApiResponse::Registered
         }
-        ApiRequest::Replace(_) | ApiRequest::Read | ApiRequest::SetZoneEvacuated { .. } | ApiRequest::Policies(_) => {
-            ApiResponse::NotServed
-        }
+        ApiRequest::Replace(_)
+        | ApiRequest::Read
+        | ApiRequest::SetZoneEvacuated { .. }
+        | ApiRequest::Policies(_) => ApiResponse::NotServed,
     }
 }
 
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -13,10 +13,10 @@
 use crate::http::EventServer;
 use crate::runtime::datagram_socket::{Batch, DatagramSocket};
 
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::event_loop::{
     EventLoop, FIRST_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS, serve_requests,
 };
-use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::balancer_metrics;
 use super::settings::{BalancerRoleSettings, PassThroughSettings};
@@ -43,7 +43,8 @@
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
     let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
-    let mut packets = DatagramSocket::open(addresses.packet_address, "packets", PACKET_BUFFER_BYTES)?;
+    let mut packets =
+        DatagramSocket::open(addresses.packet_address, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let mut http = EventServer::open(
         addresses.readiness_address,
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -11,8 +11,8 @@
 use crate::runtime::clock::ProcessClock;
 use crate::runtime::process::{open_poll, waited};
 
-use super::bounded_log::BoundedLog;
 use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
+use super::bounded_log::BoundedLog;
 use super::policy_api;
 use super::settings::PassThroughSettings;
 use super::settings_watcher::SettingsWatcher;
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -283,7 +283,11 @@
     let help = "Mean time that the back end works on a request.";
     let work = agent.processing_micros(now);
     set(&gauge(&registry, WORK_MICROSECONDS, help), work);
-    tell_recorded(&registry, agent.flow_record_stats(), agent.recovery_outcome());
+    tell_recorded(
+        &registry,
+        agent.flow_record_stats(),
+        agent.recovery_outcome(),
+    );
     let latencies = agent.latencies();
     let help = "Admission of a flow to the back end's answer.";
     let answer = histogram(FIRST_ANSWER_SECONDS, help, &latencies.first_response);
@@ -329,7 +333,10 @@
     set(&gauge(registry, UNRECORDED_FLOWS, help), beyond);
     let help = "Keepers of the record that lack the newest one, by reason.";
     let keepers = gauges(registry, RECORD_KEEPERS, help, "state");
-    for (state, count) in [("behind", figures.unacknowledged), ("full", figures.full_replicas)] {
+    for (state, count) in [
+        ("behind", figures.unacknowledged),
+        ("full", figures.full_replicas),
+    ] {
         set(&keepers.with_label_values(&[state]), count);
     }
     let help = "Recalls of the flows of a former life, by their end.";
--- a/crates/petrellatch/src/runtime/pass_through/mod.rs
+++ b/crates/petrellatch/src/runtime/pass_through/mod.rs
@@ -7,11 +7,11 @@
 //! translates.
 
 mod agent_loop;
+mod api_translator;
 mod balancer_loop;
 mod bounded_log;
 mod event_loop;
 mod flow_record_writer;
-mod api_translator;
 mod message_socket;
 mod metrics;
 mod policy_api;
@@ -28,8 +28,8 @@
 pub use self::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 pub use self::metrics::METRIC_NAMES;
 pub use self::settings::{
-    AgentRoleSettings, BalancerRoleSettings, PassThroughRole, PassThroughSettings, ReplicaRoleSettings,
-    flow_record_bounds,
+    AgentRoleSettings, BalancerRoleSettings, PassThroughRole, PassThroughSettings,
+    ReplicaRoleSettings, flow_record_bounds,
 };
 pub use self::settings_watcher::{SettingsReader, SettingsWatcher};
 
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -22,11 +22,11 @@
 use crate::http::{ConnectionId, EventServer, HttpRequest, ReceivedRequest};
 use crate::runtime::datagram_socket::Batch;
 
+use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::event_loop::{
     EventLoop, FIRST_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, WAKE, serve_requests,
 };
 use super::flow_record_writer::{FlowRecordWriter, flow_record_path};
-use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::message_socket::MessageSocket;
 use super::metrics::replica_metrics;
 use super::policy_api;
@@ -142,7 +142,9 @@
             let metrics = || replica_metrics(&node.borrow(), now);
             let handle = |received: &ReceivedRequest, call| {
                 let request = match call {
-                    ApiRequest::Replace(configuration) => ConfigurationRequest::Replace(configuration),
+                    ApiRequest::Replace(configuration) => {
+                        ConfigurationRequest::Replace(configuration)
+                    }
                     ApiRequest::Read => ConfigurationRequest::Read,
                     ApiRequest::SetZoneEvacuated {
                         zone,
@@ -242,7 +244,9 @@
         ConfigurationResponse::Accepted { version } => ApiResponse::Accepted { version },
         ConfigurationResponse::Read(configuration) => ApiResponse::Configuration(configuration),
         ConfigurationResponse::ZoneCommandApplied => ApiResponse::ZoneCommandApplied,
-        ConfigurationResponse::ZoneCommandRefused(refusal) => ApiResponse::ZoneCommandRefused(refusal),
+        ConfigurationResponse::ZoneCommandRefused(refusal) => {
+            ApiResponse::ZoneCommandRefused(refusal)
+        }
         ConfigurationResponse::NotLeader { leader } => ApiResponse::NotLeader {
             operator_address: SocketAddrV4::new(*leader.ip(), operator_port),
         },
--- a/crates/petrellatch/src/runtime/pass_through/settings.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use petrellatch_core::pass_through::{WarmUpBounds, FlowRecordSettings};
+use petrellatch_core::pass_through::{FlowRecordSettings, WarmUpBounds};
 
 /// What the settings of the record of open flows may be.
 pub mod flow_record_bounds {
