--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -16,8 +16,8 @@
 
 use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::event_loop::{
-    EventLoop, FIRST_CONNECTION, FIRST_SECOND_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS,
-    SECOND_HTTP, serve_requests,
+    EventLoop, FIRST_CONNECTION, HTTP, MAX_CONNECTIONS, MESSAGES, PACKETS, SECOND_HTTP,
+    SECOND_HTTP_FIRST_CONNECTION, serve_requests,
 };
 use super::message_socket::MessageSocket;
 use super::metrics::agent_metrics;
@@ -35,49 +35,55 @@
 const QUEUE_FACTOR: u32 = 2;
 /// How long a stopping agent waits for its flows, at most half of the stop
 /// limit.
-const STOP_WAIT: Duration = Duration::from_millis(2_500);
+const STOP_DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Receive buffer of the system for packets, in bytes.
 const PACKET_BUFFER_BYTES: usize = 1024 * 1024;
 /// Largest body of a request.
 const BODY_BYTES: usize = 16 * 1024;
 
-pub(super) fn run<C: PacketCodec, I: ApiTranslator>(
+pub(super) fn run<C: PacketCodec, T: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &AgentRoleSettings,
+    role: &AgentRoleSettings,
     codec: C,
-    interface: I,
+    translator: T,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
     let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
-    let from_backend = addresses.backend_packet_address;
-    let mut packets = DatagramSocket::open(from_backend, "packets", PACKET_BUFFER_BYTES)?;
+    let packet_address = role.backend_packet_address;
+    let mut packets = DatagramSocket::open(packet_address, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let open_http = |address, token, first| {
         EventServer::open(address, registry, token, first, MAX_CONNECTIONS, BODY_BYTES)
     };
     let mut http = vec![open_http(
-        addresses.registration_address,
+        role.registration_address,
         HTTP,
         FIRST_CONNECTION,
     )?];
-    if let Some(readiness) = addresses.readiness_address {
-        http.push(open_http(readiness, SECOND_HTTP, FIRST_SECOND_CONNECTION)?);
+    if let Some(readiness) = role.readiness_address {
+        http.push(open_http(
+            readiness,
+            SECOND_HTTP,
+            SECOND_HTTP_FIRST_CONNECTION,
+        )?);
     }
     let now = event_loop.clock.now();
     let mut agent = PassThroughAgent::new(
         now,
-        agent_settings(&settings, addresses),
+        agent_settings(&settings, role),
         codec,
         Incarnation(rand::random()),
         KnownReplicas::new(settings.seeds.clone()),
     );
-    let subject = format!("agent first_start={}", addresses.first_start);
-    event_loop.log.note(now, EventKind::ProcessStarted, subject);
-    let mut more = false;
+    let subject = format!("agent first_start={}", role.first_start);
+    event_loop
+        .log
+        .write_always(now, EventKind::ProcessStarted, subject);
+    let mut has_backlog = false;
     while !agent.is_stopped() {
-        let wakeup = event_loop.wait(agent.poll_timeout(), more)?;
+        let wakeup = event_loop.wait(agent.poll_timeout(), has_backlog)?;
         let now = event_loop.clock.now();
         if let Some(settings) = wakeup.settings {
             agent.known_replicas_mut().set_seeds(settings.seeds);
@@ -87,8 +93,9 @@
                 let received = http.handle_event(now, event_loop.poll.registry(), token);
                 let agent = RefCell::new(&mut agent);
                 let metrics = || agent_metrics(&agent.borrow(), now);
-                let handle = |_: &_, call| Some(answer(now, &mut agent.borrow_mut(), call));
-                for refusal in serve_requests(now, http, &interface, received, metrics, handle) {
+                let handle =
+                    |_: &_, request| Some(handle_request(now, &mut agent.borrow_mut(), request));
+                for refusal in serve_requests(now, http, &translator, received, metrics, handle) {
                     let event = Event::new(EventKind::RegistrationRefused, refusal);
                     event_loop.log.write(now, &event);
                 }
@@ -100,8 +107,8 @@
         let from_messages = messages.receive(|from, body| agent.handle_message(now, from, body));
         let from_packets =
             packets.receive_batch(|_, packet| agent.handle_backend_packet(now, packet));
-        more = from_messages == Batch::Full || from_packets == Batch::Full;
-        if wakeup.expire {
+        has_backlog = from_messages == Batch::Full || from_packets == Batch::Full;
+        if wakeup.expire_connections {
             http.iter_mut().for_each(|http| http.expire(now));
         }
         if agent.poll_timeout() <= now {
@@ -111,26 +118,28 @@
             match output {
                 PassThroughOutput::Send { to, body } => messages.send(to, body),
                 PassThroughOutput::ToBackend(packet) => {
-                    packets.send(addresses.backend_address, &packet);
+                    packets.send(role.backend_address, &packet);
                 }
                 PassThroughOutput::ToCaller { address, packet } => {
-                    packets.send(SocketAddrV4::new(address, addresses.caller_port), &packet);
+                    packets.send(SocketAddrV4::new(address, role.caller_port), &packet);
                 }
                 PassThroughOutput::Event(event) => event_loop.log.write(now, &event),
             }
         }
     }
     let now = event_loop.clock.now();
-    event_loop.log.note(now, EventKind::ProcessStopped, "agent");
+    event_loop
+        .log
+        .write_always(now, EventKind::ProcessStopped, "agent");
     Ok(())
 }
 
-fn answer<C: PacketCodec>(
+fn handle_request<C: PacketCodec>(
     now: Timestamp,
     agent: &mut PassThroughAgent<C>,
-    call: ApiRequest,
+    request: ApiRequest,
 ) -> ApiResponse {
-    match call {
+    match request {
         ApiRequest::Readiness => ApiResponse::Readiness {
             ready: agent.is_ready(),
         },
@@ -151,20 +160,20 @@
 
 fn agent_settings(
     settings: &PassThroughSettings,
-    addresses: &AgentRoleSettings,
+    role: &AgentRoleSettings,
 ) -> PassThroughAgentSettings {
     PassThroughAgentSettings {
         address: settings.message_address,
         zone: settings.zone.clone(),
-        service: addresses.service.clone(),
-        first_start: addresses.first_start,
+        service: role.service.clone(),
+        first_start: role.first_start,
         report_interval: REPORT_INTERVAL,
-        silence_limit: addresses.registration_interval * MISSED_REGISTRATIONS,
-        provisional_timeout: addresses.registration_interval * PROVISIONAL_REGISTRATIONS,
+        silence_limit: role.registration_interval * MISSED_REGISTRATIONS,
+        provisional_timeout: role.registration_interval * PROVISIONAL_REGISTRATIONS,
         flow_lifetime: settings.flow_ttl,
         queue_factor: QUEUE_FACTOR,
-        stop_timeout: STOP_WAIT.min(settings.stop_timeout / 2),
-        warm_up_bounds: addresses.warm_up_bounds,
-        flow_record: addresses.flow_record,
+        stop_timeout: STOP_DRAIN_TIMEOUT.min(settings.stop_timeout / 2),
+        warm_up_bounds: role.warm_up_bounds,
+        flow_record: role.flow_record,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/api_translator.rs
+++ b/crates/petrellatch/src/runtime/pass_through/api_translator.rs
@@ -77,5 +77,5 @@
     fn translate_request(&self, request: &HttpRequest) -> Result<ApiRequest, HttpResponse>;
 
     /// Translates an answer.
-    fn translate_response(&self, request: &HttpRequest, answer: &ApiResponse) -> HttpResponse;
+    fn translate_response(&self, request: &HttpRequest, response: &ApiResponse) -> HttpResponse;
 }
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -23,7 +23,7 @@
 use super::settings_watcher::SettingsWatcher;
 
 /// Between two questions for news.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(1_000);
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(1_000);
 /// How long a stopping balancer goes on, at most half of the stop limit: until
 /// routers that ask twice a second have missed it twice. Longer stops overlap
 /// where balancers are stopped in turn.
@@ -33,21 +33,20 @@
 /// Largest body of a request.
 const BODY_BYTES: usize = 4 * 1024;
 
-pub(super) fn run<C: PacketCodec, I: ApiTranslator>(
+pub(super) fn run<C: PacketCodec, T: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &BalancerRoleSettings,
+    role: &BalancerRoleSettings,
     codec: C,
-    interface: I,
+    translator: T,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
     let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
-    let mut packets =
-        DatagramSocket::open(addresses.packet_address, "packets", PACKET_BUFFER_BYTES)?;
+    let mut packets = DatagramSocket::open(role.packet_address, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let mut http = EventServer::open(
-        addresses.readiness_address,
+        role.readiness_address,
         registry,
         HTTP,
         FIRST_CONNECTION,
@@ -57,17 +56,17 @@
     let now = event_loop.clock.now();
     let mut balancer = PassThroughBalancer::new(
         now,
-        balancer_settings(&settings, addresses),
+        balancer_settings(&settings, role),
         codec,
         Incarnation(rand::random()),
         KnownReplicas::new(settings.seeds.clone()),
     );
     event_loop
         .log
-        .note(now, EventKind::ProcessStarted, "balancer");
-    let mut more = false;
+        .write_always(now, EventKind::ProcessStarted, "balancer");
+    let mut has_backlog = false;
     while !balancer.is_stopped() {
-        let wakeup = event_loop.wait(balancer.poll_timeout(), more)?;
+        let wakeup = event_loop.wait(balancer.poll_timeout(), has_backlog)?;
         let now = event_loop.clock.now();
         if wakeup.begin_stop {
             balancer.begin_stop(now);
@@ -77,15 +76,20 @@
         }
         let from_messages = messages.receive(|from, body| balancer.handle_message(now, from, body));
         let from_packets = packets.receive_batch(|_, packet| balancer.handle_packet(now, packet));
-        more = from_messages == Batch::Full || from_packets == Batch::Full;
+        has_backlog = from_messages == Batch::Full || from_packets == Batch::Full;
         for token in wakeup.tokens {
             let received = http.handle_event(now, event_loop.poll.registry(), token);
             let metrics = || balancer_metrics(&balancer);
-            serve_requests(now, &mut http, &interface, received, metrics, |_, call| {
-                Some(answer(now, &balancer, &call))
-            });
+            serve_requests(
+                now,
+                &mut http,
+                &translator,
+                received,
+                metrics,
+                |_, request| Some(handle_request(now, &balancer, &request)),
+            );
         }
-        if wakeup.expire {
+        if wakeup.expire_connections {
             http.expire(now);
         }
         if balancer.poll_timeout() <= now {
@@ -95,7 +99,7 @@
             match output {
                 PassThroughOutput::Send { to, body } => messages.send(to, body),
                 PassThroughOutput::ToCaller { address, packet } => {
-                    let port = addresses.packet_address.port();
+                    let port = role.packet_address.port();
                     packets.send(SocketAddrV4::new(address, port), &packet);
                 }
                 PassThroughOutput::Event(event) => event_loop.log.write(now, &event),
@@ -114,16 +118,16 @@
     let now = event_loop.clock.now();
     event_loop
         .log
-        .note(now, EventKind::ProcessStopped, counters);
+        .write_always(now, EventKind::ProcessStopped, counters);
     Ok(())
 }
 
-fn answer<C: PacketCodec>(
+fn handle_request<C: PacketCodec>(
     now: Timestamp,
     balancer: &PassThroughBalancer<C>,
-    call: &ApiRequest,
+    request: &ApiRequest,
 ) -> ApiResponse {
-    match call {
+    match request {
         ApiRequest::Readiness => ApiResponse::Readiness {
             ready: balancer.is_ready(now),
         },
@@ -133,13 +137,13 @@
 
 fn balancer_settings(
     settings: &PassThroughSettings,
-    addresses: &BalancerRoleSettings,
+    role: &BalancerRoleSettings,
 ) -> PassThroughBalancerSettings {
     PassThroughBalancerSettings {
         zone: settings.zone.clone(),
-        subscribe_interval: FOLLOW_INTERVAL,
+        subscribe_interval: SUBSCRIBE_INTERVAL,
         flow_lifetime: settings.flow_ttl,
         stop_delay: STOP_DELAY.min(settings.stop_timeout / 2),
-        link_bytes_per_second: addresses.link_bytes_per_second,
+        link_bytes_per_second: role.link_bytes_per_second,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -12,8 +12,8 @@
 use crate::runtime::process::{open_poll, waited};
 
 use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
-use super::bounded_log::BoundedLog;
 use super::policy_api;
+use super::rate_limited_log::RateLimitedLog;
 use super::settings::PassThroughSettings;
 use super::settings_watcher::SettingsWatcher;
 use super::signals::Signals;
@@ -25,14 +25,14 @@
 pub(super) const SECOND_HTTP: Token = Token(3);
 pub(super) const WAKE: Token = Token(4);
 pub(super) const FIRST_CONNECTION: usize = 1 << 8;
-pub(super) const FIRST_SECOND_CONNECTION: usize = 1 << 40;
+pub(super) const SECOND_HTTP_FIRST_CONNECTION: usize = 1 << 40;
 
 /// Where every process tells its metrics.
 const METRICS_PATH: &str = "/metrics";
 /// The longest wait; a signal to another thread is noticed by then.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 /// Most events taken in one go.
-const EVENTS: usize = 64;
+const EVENT_CAPACITY: usize = 64;
 /// Connections of one HTTP address.
 pub(super) const MAX_CONNECTIONS: usize = 128;
 /// Between two looks at idle connections.
@@ -42,7 +42,7 @@
 pub(super) struct EventLoop {
     pub(super) clock: ProcessClock,
     pub(super) poll: Poll,
-    pub(super) log: BoundedLog,
+    pub(super) log: RateLimitedLog,
     events: Events,
     signals: Signals,
     watcher: SettingsWatcher,
@@ -61,7 +61,7 @@
     /// Settings that were read again.
     pub(super) settings: Option<PassThroughSettings>,
     /// Idle connections are to be closed.
-    pub(super) expire: bool,
+    pub(super) expire_connections: bool,
 }
 
 impl EventLoop {
@@ -69,8 +69,8 @@
         Ok(EventLoop {
             clock: ProcessClock::start(),
             poll: open_poll()?,
-            log: BoundedLog::new(name),
-            events: Events::with_capacity(EVENTS),
+            log: RateLimitedLog::new(name),
+            events: Events::with_capacity(EVENT_CAPACITY),
             signals: Signals::register()?,
             watcher,
             stopping: false,
@@ -80,28 +80,32 @@
     }
 
     /// Waits until something happens, or until `deadline`.
-    pub(super) fn wait(&mut self, deadline: Timestamp, more: bool) -> Result<Wakeup, ProgramError> {
-        let wait = match more || (self.signals.stop_wanted() && !self.stopping) {
+    pub(super) fn wait(
+        &mut self,
+        deadline: Timestamp,
+        has_backlog: bool,
+    ) -> Result<Wakeup, ProgramError> {
+        let wait = match has_backlog || (self.signals.stop_requested() && !self.stopping) {
             true => Duration::ZERO,
             false => self.clock.until(Some(deadline), MAX_WAIT),
         };
         waited(self.poll.poll(&mut self.events, Some(wait)))?;
         let now = self.clock.now();
-        let begin_stop = self.signals.stop_wanted() && !self.stopping;
+        let begin_stop = self.signals.stop_requested() && !self.stopping;
         if begin_stop {
             self.stopping = true;
             self.log
-                .note(now, EventKind::ProcessStopping, "asked to stop");
+                .write_always(now, EventKind::ProcessStopping, "asked to stop");
         }
-        let expire = now >= self.expire_at;
-        if expire {
+        let expire_connections = now >= self.expire_at;
+        if expire_connections {
             self.expire_at = now + EXPIRE_INTERVAL;
         }
         Ok(Wakeup {
             tokens: self.events.iter().map(ReadyEvent::token).collect(),
             begin_stop,
             settings: self.reload(now),
-            expire,
+            expire_connections,
         })
     }
 
@@ -115,20 +119,22 @@
             true => EventKind::BecameReady,
             false => EventKind::BecameUnready,
         };
-        self.log.note(self.clock.now(), kind, subject());
+        self.log.write_always(self.clock.now(), kind, subject());
     }
 
     fn reload(&mut self, now: Timestamp) -> Option<PassThroughSettings> {
-        let asked = self.signals.take_reload();
-        match self.watcher.poll(now, asked)? {
+        let force = self.signals.take_reload_request();
+        match self.watcher.poll(now, force)? {
             Ok(settings) => {
                 let seeds = settings.seeds.len();
                 let subject = format!("{seeds} seeds");
-                self.log.note(now, EventKind::SettingsReloaded, subject);
+                self.log
+                    .write_always(now, EventKind::SettingsReloaded, subject);
                 Some(settings)
             }
             Err(message) => {
-                self.log.note(now, EventKind::SettingsIgnored, message);
+                self.log
+                    .write_always(now, EventKind::SettingsIgnored, message);
                 None
             }
         }
@@ -138,10 +144,10 @@
 /// Answers the requests of one event. `handle` answers a call at once, or
 /// returns `None` if it will be answered later. Returns what was refused as it
 /// can't be understood, in a few words each.
-pub(super) fn serve_requests<I: ApiTranslator>(
+pub(super) fn serve_requests<T: ApiTranslator>(
     now: Timestamp,
     server: &mut EventServer,
-    interface: &I,
+    translator: &T,
     received: Vec<ReceivedRequest>,
     metrics: impl Fn() -> HttpResponse,
     mut handle: impl FnMut(&ReceivedRequest, ApiRequest) -> Option<ApiResponse>,
@@ -149,22 +155,22 @@
     let mut refusals = Vec::new();
     let mut queue = received;
     while let Some(received) = queue.pop() {
-        let call = match received.request.path.as_str() {
+        let request = match received.request.path.as_str() {
             METRICS_PATH => Err(metrics()),
-            _ => match policy_api::read(&received.request) {
-                Some(read) => read.map(ApiRequest::Policies),
-                None => interface.translate_request(&received.request),
+            _ => match policy_api::parse_request(&received.request) {
+                Some(parsed) => parsed.map(ApiRequest::Policies),
+                None => translator.translate_request(&received.request),
             },
         };
-        let response: Option<HttpResponse> = match call {
-            Err(answer) if answer.status == 200 => Some(answer),
+        let response: Option<HttpResponse> = match request {
+            Err(metrics) if metrics.status == 200 => Some(metrics),
             Err(refusal) => {
                 refusals.push(describe_refusal(&received.request, &refusal));
                 Some(refusal)
             }
-            Ok(call) => {
-                let answer = handle(&received, call);
-                answer.map(|answer| interface.translate_response(&received.request, &answer))
+            Ok(request) => {
+                let response = handle(&received, request);
+                response.map(|response| translator.translate_response(&received.request, &response))
             }
         };
         if let Some(response) = response {
--- a/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
+++ b/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
@@ -8,22 +8,22 @@
 use super::*;
 
 /// By then the thread has written, or never will.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Bench {
+struct WriterHarness {
     poll: Poll,
     writer: FlowRecordWriter,
 }
 
-fn start(path: &std::path::Path) -> Bench {
+fn start(path: &std::path::Path) -> WriterHarness {
     let poll = Poll::new().expect("a poll");
     let waker = Waker::new(poll.registry(), Token(0)).expect("a waker");
     let file = RecordFile::open(path).file;
     let writer = FlowRecordWriter::start(file, Arc::new(waker)).expect("it starts");
-    Bench { poll, writer }
+    WriterHarness { poll, writer }
 }
 
-impl Bench {
+impl WriterHarness {
     /// Writes, and waits until the thread wakes the event loop.
     fn write(&mut self, request: FlowRecordWrite) -> Result<(), StorageError> {
         self.writer.write(request);
@@ -32,7 +32,7 @@
             if let Some(result) = self.writer.poll() {
                 return result;
             }
-            let polled = self.poll.poll(&mut events, Some(PATIENCE));
+            let polled = self.poll.poll(&mut events, Some(WRITE_TIMEOUT));
             polled.expect("it polls");
             assert!(!events.is_empty(), "nobody woke the event loop");
         }
@@ -40,33 +40,33 @@
 }
 
 #[test]
-fn what_is_written_is_found_by_the_next_life() {
+fn written_records_are_loaded_after_a_restart() {
     let scratch = tempfile::tempdir().expect("a scratch folder");
     let path = flow_record_path(scratch.path());
-    let mut bench = start(&path);
+    let mut harness = start(&path);
     let append = |number| FlowRecordWrite::Append(vec![vec![number]]);
-    bench.write(append(1)).expect("it appends");
-    bench.write(append(2)).expect("it appends");
+    harness.write(append(1)).expect("it appends");
+    harness.write(append(2)).expect("it appends");
     assert_eq!(RecordFile::open(&path).records, [[1], [2]]);
     let replace = FlowRecordWrite::Replace(vec![vec![3]]);
-    bench.write(replace).expect("it replaces");
+    harness.write(replace).expect("it replaces");
     assert_eq!(RecordFile::open(&path).records, [[3]]);
 }
 
 #[test]
-fn a_folder_that_is_gone_is_told_and_written_again_once_it_is_back() {
+fn a_missing_folder_is_an_error_and_a_replacement_succeeds_once_it_exists_again() {
     let scratch = tempfile::tempdir().expect("a scratch folder");
     let folder = scratch.path().join("data");
     fs::create_dir(&folder).expect("it is new");
     let path = flow_record_path(&folder);
-    let mut bench = start(&path);
+    let mut harness = start(&path);
     fs::remove_dir_all(&folder).expect("it is there");
     let append = || FlowRecordWrite::Append(vec![vec![1]]);
     let replace = || FlowRecordWrite::Replace(vec![vec![1]]);
-    assert!(bench.write(append()).is_err());
-    assert!(bench.write(append()).is_err(), "it stays unusable");
-    assert!(bench.write(replace()).is_err());
+    assert!(harness.write(append()).is_err());
+    assert!(harness.write(append()).is_err(), "it stays unusable");
+    assert!(harness.write(replace()).is_err());
     fs::create_dir(&folder).expect("it is gone");
-    bench.write(replace()).expect("it replaces");
+    harness.write(replace()).expect("it replaces");
     assert_eq!(RecordFile::open(&path).records, [[1]]);
 }
--- a/crates/petrellatch/src/runtime/pass_through/message_socket.rs
+++ b/crates/petrellatch/src/runtime/pass_through/message_socket.rs
@@ -13,7 +13,7 @@
 use crate::runtime::datagram_socket::{Batch, DatagramSocket};
 
 /// In front of every datagram.
-const MARK: [u8; 4] = *b"PLP1";
+const MAGIC: [u8; 4] = *b"PLP1";
 /// Receive buffer of the system, in bytes.
 const SYSTEM_BUFFER_BYTES: usize = 256 * 1024;
 
@@ -48,7 +48,7 @@
         let malformed = &mut self.malformed;
         self.socket.receive_batch(|from, datagram| {
             let message = datagram
-                .strip_prefix(&MARK)
+                .strip_prefix(&MAGIC)
                 .and_then(|bytes| PassThroughMessage::decode(bytes).ok());
             match message.and_then(|message| message.body) {
                 Some(body) => handle(from, body),
@@ -59,7 +59,7 @@
 
     pub(super) fn send(&mut self, to: SocketAddrV4, body: PassThroughBody) {
         self.buffer.clear();
-        self.buffer.extend_from_slice(&MARK);
+        self.buffer.extend_from_slice(&MAGIC);
         let message = PassThroughMessage { body: Some(body) };
         if message.encode(&mut self.buffer).is_ok() {
             self.socket.send(to, &self.buffer);
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -190,12 +190,12 @@
     let help = "Times that new flows of a service are refused for a while.";
     raise(&counter(&registry, PAUSES_TOTAL, help), counted.pauses);
     let help = "Questions beyond the first of a flow, by whether the link bore them.";
-    let questions = counters(&registry, FURTHER_QUESTIONS_TOTAL, help, "outcome");
+    let offers = counters(&registry, FURTHER_QUESTIONS_TOTAL, help, "outcome");
     for (outcome, total) in [
         ("asked", counted.further_asked),
         ("unpaid", counted.further_unpaid),
     ] {
-        raise(&questions.with_label_values(&[outcome]), total);
+        raise(&offers.with_label_values(&[outcome]), total);
     }
     let link = balancer.link_counters();
     let help = "Bytes sent over the link, with the heads of IP and UDP.";
@@ -217,8 +217,8 @@
     set(&gauge(&registry, AGENTS, "Agents that are known."), agents);
     let version = gauge(&registry, VERSION, "Version in force.");
     set(&version, balancer.version());
-    tell_evacuated(&registry, balancer.evacuations().evacuated_zones().count());
-    tell_policies(&registry, balancer);
+    add_evacuated_zones(&registry, balancer.evacuations().evacuated_zones().count());
+    add_policy_metrics(&registry, balancer);
     let latencies = balancer.latencies();
     let placement = histogram(
         PLACEMENT_SECONDS,
@@ -263,37 +263,40 @@
     let help = "New flows that were declined, by reason.";
     let declined = counters(&registry, DECLINED_TOTAL, help, "reason");
     for (reason, total) in &counted.declined {
-        raise(&declined.with_label_values(&[reason_name(*reason)]), *total);
+        raise(
+            &declined.with_label_values(&[decline_reason_label(*reason)]),
+            *total,
+        );
     }
     let help = "New flows that were declined for lack of room, by priority.";
     let full = counters(&registry, FULL_TOTAL, help, "priority");
     for (priority, total) in &counted.declined_full {
         raise(&full.with_label_values(&[&priority.to_string()]), *total);
     }
-    tell_former_flows(&registry, agent);
-    tell_evacuated(&registry, usize::from(agent.is_evacuated()));
-    let (busy, _) = agent.load();
+    add_previous_incarnation_metrics(&registry, agent);
+    add_evacuated_zones(&registry, usize::from(agent.is_evacuated()));
+    let (in_flight, _) = agent.load();
     let help = "Requests that wait for their answers.";
-    set(&gauge(&registry, BUSY, help), busy);
+    set(&gauge(&registry, BUSY, help), in_flight);
     let (open_flows, demand) = agent.demand(now);
     let help = "Flows that are open at the back end.";
     set(&gauge(&registry, OPEN_FLOWS, help), open_flows);
     let help = "Slots that the open flows kept busy in the last seconds.";
     set(&gauge(&registry, DEMAND_MILLISLOTS, help), demand);
     let help = "Mean time that the back end works on a request.";
-    let work = agent.processing_micros(now);
-    set(&gauge(&registry, WORK_MICROSECONDS, help), work);
-    tell_recorded(
+    let processing = agent.processing_micros(now);
+    set(&gauge(&registry, WORK_MICROSECONDS, help), processing);
+    add_flow_recorder_metrics(
         &registry,
         agent.flow_record_stats(),
         agent.recovery_outcome(),
     );
     let latencies = agent.latencies();
     let help = "Admission of a flow to the back end's answer.";
-    let answer = histogram(FIRST_ANSWER_SECONDS, help, &latencies.first_response);
+    let response = histogram(FIRST_ANSWER_SECONDS, help, &latencies.first_response);
     let help = "Between two calls of the back end.";
     let gap = histogram(REGISTRATION_GAP_SECONDS, help, &latencies.registration_gap);
-    encode(&registry, [answer, gap])
+    encode(&registry, [response, gap])
 }
 
 pub(super) fn replica_metrics(node: &ConfigurationNode, now: Timestamp) -> HttpResponse {
@@ -306,13 +309,13 @@
     set(&gauge(&registry, TERM, "Current term."), replica.term());
     let voters = gauge(&registry, VOTERS, "Voters of the group.");
     set(&voters, replica.membership().voters().count());
-    tell_evacuated(&registry, node.evacuations().evacuated_zones().count());
+    add_evacuated_zones(&registry, node.evacuations().evacuated_zones().count());
     let index = gauge(&registry, POLICIES_INDEX, POLICIES_INDEX_HELP);
     set(&index, node.policies().index());
     let help = "Agents that have not said that they know the latest order about their zone.";
     set(&gauge(&registry, AGENTS_BEHIND, help), node.agents_behind());
-    tell_kept(&registry, node, now);
-    tell_elections_lost(&registry, node);
+    add_flow_record_store_metrics(&registry, node, now);
+    add_lost_elections(&registry, node);
     let latencies = node.latencies();
     let help = "Request of a replacement until it was accepted.";
     let acceptance = histogram(ACCEPTANCE_SECONDS, help, &latencies.acceptance);
@@ -325,71 +328,78 @@
 }
 
 /// What an agent has recorded of its open flows.
-fn tell_recorded(registry: &Registry, figures: FlowRecorderStats, recall: Option<RecoveryOutcome>) {
+fn add_flow_recorder_metrics(
+    registry: &Registry,
+    stats: FlowRecorderStats,
+    recovery: Option<RecoveryOutcome>,
+) {
     let help = "Open flows that replicas are told of.";
-    set(&gauge(registry, RECORDED_FLOWS, help), figures.recorded);
+    set(&gauge(registry, RECORDED_FLOWS, help), stats.recorded);
     let help = "Open flows beyond the most that are recorded.";
-    let beyond = figures.over_limit;
-    set(&gauge(registry, UNRECORDED_FLOWS, help), beyond);
+    let over_limit = stats.over_limit;
+    set(&gauge(registry, UNRECORDED_FLOWS, help), over_limit);
     let help = "Keepers of the record that lack the newest one, by reason.";
-    let keepers = gauges(registry, RECORD_KEEPERS, help, "state");
+    let replicas = gauges(registry, RECORD_KEEPERS, help, "state");
     for (state, count) in [
-        ("behind", figures.unacknowledged),
-        ("full", figures.full_replicas),
+        ("behind", stats.unacknowledged),
+        ("full", stats.full_replicas),
     ] {
-        set(&keepers.with_label_values(&[state]), count);
+        set(&replicas.with_label_values(&[state]), count);
     }
     let help = "Recalls of the flows of a former life, by their end.";
-    let recalls = counters(registry, RECALLS_TOTAL, help, "outcome");
+    let recoveries = counters(registry, RECALLS_TOTAL, help, "outcome");
     for (name, outcome) in [
         ("recalled", RecoveryOutcome::Recalled),
         ("no_record", RecoveryOutcome::NoRecord),
         ("unanswered", RecoveryOutcome::Unanswered),
     ] {
-        let total = u64::from(recall == Some(outcome));
-        raise(&recalls.with_label_values(&[name]), total);
+        let total = u64::from(recovery == Some(outcome));
+        raise(&recoveries.with_label_values(&[name]), total);
     }
 }
 
 /// What a replica keeps of agents' records.
-fn tell_kept(registry: &Registry, node: &ConfigurationNode, now: Timestamp) {
-    let kept = node.flow_record_stats(now);
+fn add_flow_record_store_metrics(registry: &Registry, node: &ConfigurationNode, now: Timestamp) {
+    let stats = node.flow_record_stats(now);
     let help = "Agents with a record of open flows here.";
-    set(&gauge(registry, RECORDS, help), kept.records);
+    set(&gauge(registry, RECORDS, help), stats.records);
     let help = "Open flows in these records.";
-    set(&gauge(registry, RECORDED_FLOWS, help), kept.flows);
+    set(&gauge(registry, RECORDED_FLOWS, help), stats.flows);
     let help = "What the records take in memory.";
-    set(&gauge(registry, RECORD_BYTES, help), kept.bytes);
+    set(&gauge(registry, RECORD_BYTES, help), stats.bytes);
     let help = "Changes of records that found no room.";
     let refused = counter(registry, RECORDS_REFUSED_TOTAL, help);
-    raise(&refused, kept.refused);
+    raise(&refused, stats.refused);
     let help = "Since the records were last written.";
-    let age = kept.write_age.as_millis() as u64;
+    let age = stats.write_age.as_millis() as u64;
     set(&gauge(registry, RECORD_WRITE_AGE_MILLISECONDS, help), age);
 }
 
 /// What became of flows of former lives.
-fn tell_former_flows<C: PacketCodec>(registry: &Registry, agent: &PassThroughAgent<C>) {
+fn add_previous_incarnation_metrics<C: PacketCodec>(
+    registry: &Registry,
+    agent: &PassThroughAgent<C>,
+) {
     let counted = agent.counters();
     let help = "Flows whose back end died and that were told as gone, by cause.";
-    let told = counters(registry, FLOWS_TOLD_TOTAL, help, "cause");
+    let notified = counters(registry, FLOWS_TOLD_TOTAL, help, "cause");
     for (cause, total) in [
         ("request", counted.told_at_once),
         ("question", counted.told_when_asked),
         ("pace", counted.told_at_pace),
     ] {
-        raise(&told.with_label_values(&[cause]), total);
+        raise(&notified.with_label_values(&[cause]), total);
     }
     let help = "Flows of a recorded former life of the agent that were taken over.";
     let taken_over = counter(registry, FLOWS_TAKEN_OVER_TOTAL, help);
     raise(&taken_over, counted.taken_over);
     let help = "Proofs that a life of the back end is over, by outcome.";
-    let proofs = counters(registry, PROOFS_TOTAL, help, "outcome");
+    let probes = counters(registry, PROOFS_TOTAL, help, "outcome");
     for (outcome, total) in [
         ("over", counted.lives_over),
         ("undecided", counted.lives_undecided),
     ] {
-        raise(&proofs.with_label_values(&[outcome]), total);
+        raise(&probes.with_label_values(&[outcome]), total);
     }
     let help = "Such proofs under way.";
     let pending = gauge(registry, PROOFS_PENDING, help);
@@ -397,7 +407,7 @@
 }
 
 /// What each placement policy did at a balancer.
-fn tell_policies<C: PacketCodec>(registry: &Registry, balancer: &PassThroughBalancer<C>) {
+fn add_policy_metrics<C: PacketCodec>(registry: &Registry, balancer: &PassThroughBalancer<C>) {
     let index = gauge(registry, POLICIES_INDEX, POLICIES_INDEX_HELP);
     set(&index, balancer.policies_index());
     let help = "New flows placed by a policy.";
@@ -406,21 +416,21 @@
     let evaluations = counters(registry, POLICY_EVALUATIONS_TOTAL, help, "policy");
     let help = "Back ends that a policy makes eligible, by its latest results.";
     let eligible = gauges(registry, POLICY_ELIGIBLE, help, "policy");
-    for figures in balancer.policy_stats() {
-        let label = [figures.name.as_str()];
-        raise(&flows.with_label_values(&label), figures.placed);
-        raise(&evaluations.with_label_values(&label), figures.evaluations);
-        set(&eligible.with_label_values(&label), figures.eligible);
+    for stats in balancer.policy_stats() {
+        let label = [stats.name.as_str()];
+        raise(&flows.with_label_values(&label), stats.placed);
+        raise(&evaluations.with_label_values(&label), stats.evaluations);
+        set(&eligible.with_label_values(&label), stats.eligible);
     }
 }
 
 /// Zones out of service: all of them, or for an agent its own one.
-fn tell_evacuated(registry: &Registry, zones: usize) {
+fn add_evacuated_zones(registry: &Registry, zones: usize) {
     let evacuated = gauge(registry, ZONES_EVACUATED, "Zones out of service.");
     set(&evacuated, zones);
 }
 
-fn tell_elections_lost(registry: &Registry, node: &ConfigurationNode) {
+fn add_lost_elections(registry: &Registry, node: &ConfigurationNode) {
     let help = "Elections that this replica stood for and lost, by reason.";
     let lost = counters(registry, ELECTIONS_LOST_TOTAL, help, "reason");
     for reason in ElectionLoss::ALL {
@@ -429,7 +439,7 @@
     }
 }
 
-fn reason_name(reason: DeclineReason) -> &'static str {
+fn decline_reason_label(reason: DeclineReason) -> &'static str {
     match reason {
         DeclineReason::Unspecified => "unspecified",
         DeclineReason::Full => "full",
@@ -452,12 +462,12 @@
         bucket.set_cumulative_count(latencies.count_up_to(limit));
         bucket
     });
-    let mut told = Histogram::default();
-    told.set_bucket(buckets.collect());
-    told.set_sample_count(latencies.count());
-    told.set_sample_sum(latencies.total().as_secs_f64());
+    let mut histogram = Histogram::default();
+    histogram.set_bucket(buckets.collect());
+    histogram.set_sample_count(latencies.count());
+    histogram.set_sample_sum(latencies.total().as_secs_f64());
     let mut metric = Metric::default();
-    metric.set_histogram(told);
+    metric.set_histogram(histogram);
     let mut family = MetricFamily::default();
     family.set_name(name.to_owned());
     family.set_help(help.to_owned());
--- a/crates/petrellatch/src/runtime/pass_through/mod.rs
+++ b/crates/petrellatch/src/runtime/pass_through/mod.rs
@@ -9,12 +9,12 @@
 mod agent_loop;
 mod api_translator;
 mod balancer_loop;
-mod bounded_log;
 mod event_loop;
 mod flow_record_writer;
 mod message_socket;
 mod metrics;
 mod policy_api;
+mod rate_limited_log;
 mod replica_loop;
 mod retrying_log_writer;
 mod settings;
@@ -41,14 +41,10 @@
     interface: I,
 ) -> Result<(), ProgramError> {
     match settings.role.clone() {
-        PassThroughRole::Balancer(addresses) => {
-            balancer_loop::run(watcher, settings, &addresses, codec, interface)
-        }
-        PassThroughRole::Agent(addresses) => {
-            agent_loop::run(watcher, settings, &addresses, codec, interface)
-        }
-        PassThroughRole::Replica(addresses) => {
-            replica_loop::run(watcher, settings, &addresses, interface)
+        PassThroughRole::Balancer(role) => {
+            balancer_loop::run(watcher, settings, &role, codec, interface)
         }
+        PassThroughRole::Agent(role) => agent_loop::run(watcher, settings, &role, codec, interface),
+        PassThroughRole::Replica(role) => replica_loop::run(watcher, settings, &role, interface),
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -17,23 +17,25 @@
 use crate::http::{HttpRequest, HttpResponse};
 
 /// Whether a request is about policies.
-pub(super) fn is_policy_call(request: &HttpRequest) -> bool {
-    read(request).is_some()
+pub(super) fn is_policy_request(request: &HttpRequest) -> bool {
+    parse_request(request).is_some()
 }
 
 /// Reads a request about policies; none if it is about something else.
-pub(super) fn read(request: &HttpRequest) -> Option<Result<ConfigurationRequest, HttpResponse>> {
-    let read = match Endpoint::find(&request.method, &request.path)? {
+pub(super) fn parse_request(
+    request: &HttpRequest,
+) -> Option<Result<ConfigurationRequest, HttpResponse>> {
+    let parsed = match Endpoint::find(&request.method, &request.path)? {
         Endpoint::Policies => Ok(ConfigurationRequest::ReadPolicies),
-        Endpoint::ChangePolicies => read_change(request),
-        Endpoint::CheckPolicy => read_check(request),
-        Endpoint::ExplainPolicy => read_explanation(request),
+        Endpoint::ChangePolicies => parse_change(request),
+        Endpoint::CheckPolicy => parse_check(request),
+        Endpoint::ExplainPolicy => parse_explanation(request),
         _ => return None,
     };
-    Some(read)
+    Some(parsed)
 }
 
-fn read_change(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
+fn parse_change(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
     let change: PolicyChangeRequest = request.json()?;
     let base_index = change.based_on;
     match (&change.put, change.remove) {
@@ -46,7 +48,7 @@
     }
 }
 
-fn read_check(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
+fn parse_check(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
     let check: PolicyCheckRequest = request.json()?;
     Ok(ConfigurationRequest::CheckPolicy(PlacementPolicy {
         eligible: check.eligible,
@@ -56,7 +58,7 @@
     }))
 }
 
-fn read_explanation(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
+fn parse_explanation(request: &HttpRequest) -> Result<ConfigurationRequest, HttpResponse> {
     let service = request.query_value("service");
     let service = service.ok_or_else(|| invalid("the query needs service=NAME"))?;
     Ok(ConfigurationRequest::ExplainPolicy {
@@ -65,7 +67,10 @@
 }
 
 /// Answers a request about policies. All replicas serve operators at `operator_port`.
-pub(super) fn answer(response: &ConfigurationResponse, operator_port: u16) -> HttpResponse {
+pub(super) fn to_http_response(
+    response: &ConfigurationResponse,
+    operator_port: u16,
+) -> HttpResponse {
     match response {
         ConfigurationResponse::PolicyChanged { index, changed } => {
             HttpResponse::document(&PolicyChangeAccepted {
@@ -73,16 +78,16 @@
                 changed: *changed,
             })
         }
-        ConfigurationResponse::PolicyRefused(refusal) => refused(refusal),
+        ConfigurationResponse::PolicyRefused(refusal) => refusal_response(refusal),
         ConfigurationResponse::PolicyValid => HttpResponse::document(&PolicyCheck { sound: true }),
         ConfigurationResponse::PolicyExplained(explained) => {
-            HttpResponse::document(&explanation(explained))
+            HttpResponse::document(&policy_explanation(explained))
         }
-        ConfigurationResponse::Policies(records) => HttpResponse::document(&list(records)),
+        ConfigurationResponse::Policies(records) => HttpResponse::document(&policy_list(records)),
         ConfigurationResponse::NotLeader { leader } => {
-            let operators = SocketAddrV4::new(*leader.ip(), operator_port);
+            let operator_address = SocketAddrV4::new(*leader.ip(), operator_port);
             let mut document = ErrorDocument::new(ErrorKind::NotLeader, "another replica leads");
-            document.error.leader = Some(operators.to_string());
+            document.error.leader = Some(operator_address.to_string());
             HttpResponse::refusal(&document)
         }
         _ => HttpResponse::error(
@@ -92,7 +97,7 @@
     }
 }
 
-fn refused(refusal: &PolicyRefusal) -> HttpResponse {
+fn refusal_response(refusal: &PolicyRefusal) -> HttpResponse {
     let kind = match refusal {
         PolicyRefusal::Conflict { .. } => ErrorKind::Conflict,
         PolicyRefusal::TooLarge => ErrorKind::TooLarge,
@@ -106,7 +111,7 @@
     HttpResponse::refusal(&document)
 }
 
-fn list(records: &PolicySet) -> PlacementPolicyList {
+fn policy_list(records: &PolicySet) -> PlacementPolicyList {
     let policies = records.policies.iter().map(PlacementPolicyDocument::from);
     PlacementPolicyList {
         index: records.index,
@@ -114,15 +119,15 @@
     }
 }
 
-fn explanation(explained: &ExplainedPolicy) -> PolicyExplanation {
+fn policy_explanation(explained: &ExplainedPolicy) -> PolicyExplanation {
     PolicyExplanation {
         service: explained.service.clone(),
         policy: explained.policy.clone(),
-        backends: explained.backends.iter().map(decision).collect(),
+        backends: explained.backends.iter().map(policy_decision).collect(),
     }
 }
 
-fn decision(backend: &ExplainedBackend) -> PolicyDecision {
+fn policy_decision(backend: &ExplainedBackend) -> PolicyDecision {
     let explained = &backend.explanation;
     let weight = match &explained.explanation {
         Explanation::Weighted { share, .. } => Some(*share),
--- a/crates/petrellatch/src/runtime/pass_through/bounded_log.rs
+++ b/crates/petrellatch/src/runtime/pass_through/rate_limited_log.rs
@@ -18,31 +18,31 @@
 const BURST_LINES: u64 = 120;
 
 /// Between two lines that say how many were left out.
-const LEFT_OUT_INTERVAL: Duration = Duration::from_secs(1);
+const SUPPRESSION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The log of one process.
-pub(super) struct BoundedLog {
+pub(super) struct RateLimitedLog {
     logger: Logger,
     budget: u64,
     refilled_at: Timestamp,
-    left_out: u64,
-    told_left_out_at: Timestamp,
+    suppressed: u64,
+    suppression_reported_at: Timestamp,
 }
 
-impl BoundedLog {
+impl RateLimitedLog {
     pub(super) fn new(name: &str) -> Self {
-        let drain = PipeDrain {
-            json: slog_json::Json::default(NeverBlocking),
+        let drain = StdoutDrain {
+            json: slog_json::Json::default(NonBlockingStdout),
         };
-        BoundedLog {
+        RateLimitedLog {
             logger: Logger::root(
                 std::sync::Mutex::new(drain).fuse(),
                 o!("node" => name.to_string()),
             ),
             budget: BURST_LINES,
             refilled_at: Timestamp::ZERO,
-            left_out: 0,
-            told_left_out_at: Timestamp::ZERO,
+            suppressed: 0,
+            suppression_reported_at: Timestamp::ZERO,
         }
     }
 
@@ -53,7 +53,7 @@
         let severity = event.kind.severity();
         let is_urgent = severity >= Severity::Warning;
         if self.budget == 0 && !is_urgent {
-            self.left_out += 1;
+            self.suppressed += 1;
             return;
         }
         self.budget = self.budget.saturating_sub(1);
@@ -62,7 +62,12 @@
 
     /// Writes an event of the process itself, which is rare: its start, its stop,
     /// its readiness. It is never left out.
-    pub(super) fn note(&mut self, now: Timestamp, kind: EventKind, subject: impl Into<String>) {
+    pub(super) fn write_always(
+        &mut self,
+        now: Timestamp,
+        kind: EventKind,
+        subject: impl Into<String>,
+    ) {
         self.refill(now);
         self.budget = self.budget.saturating_sub(1);
         log_event(&self.logger, &Event::new(kind, subject));
@@ -76,11 +81,12 @@
         }
         self.refilled_at = now;
         self.budget = (self.budget + lines).min(BURST_LINES);
-        let is_due = now.saturating_since(self.told_left_out_at) >= LEFT_OUT_INTERVAL;
-        if self.left_out > 0 && is_due {
-            self.told_left_out_at = now;
-            let subject = format!("{} entries", self.left_out);
-            self.left_out = 0;
+        let is_due =
+            now.saturating_since(self.suppression_reported_at) >= SUPPRESSION_REPORT_INTERVAL;
+        if self.suppressed > 0 && is_due {
+            self.suppression_reported_at = now;
+            let subject = format!("{} entries", self.suppressed);
+            self.suppressed = 0;
             log_event(
                 &self.logger,
                 &Event::new(EventKind::EntriesLeftOut, subject),
@@ -90,11 +96,11 @@
 }
 
 /// Writes records as JSON; a record that finds no room is dropped.
-struct PipeDrain {
-    json: slog_json::Json<NeverBlocking>,
+struct StdoutDrain {
+    json: slog_json::Json<NonBlockingStdout>,
 }
 
-impl Drain for PipeDrain {
+impl Drain for StdoutDrain {
     type Ok = ();
     type Err = slog::Never;
 
@@ -107,13 +113,13 @@
 }
 
 /// Gathers one line and writes it if standard output takes it at once.
-struct NeverBlocking;
+struct NonBlockingStdout;
 
 thread_local! {
     static LINE: RefCell<Vec<u8>> = const { RefCell::new(Vec::new()) };
 }
 
-impl io::Write for NeverBlocking {
+impl io::Write for NonBlockingStdout {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         LINE.with_borrow_mut(|line| {
             line.extend_from_slice(bytes);
@@ -134,8 +140,8 @@
 fn write_if_ready(line: &[u8]) {
     let stdout = rustix::stdio::stdout();
     let mut descriptors = [PollFd::new(&stdout, PollFlags::OUT)];
-    let at_once = Timespec::default();
-    if matches!(poll(&mut descriptors, Some(&at_once)), Ok(1)) {
+    let no_wait = Timespec::default();
+    if matches!(poll(&mut descriptors, Some(&no_wait)), Ok(1)) {
         let _ = rustix::io::write(stdout, line);
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -41,36 +41,36 @@
 /// The file of the data folder with the daemons of the former life.
 const DAEMONS_FILE: &str = "daemons";
 /// The cluster that a folder belongs to, where no key tells them apart.
-const CLUSTER: u64 = 1;
+const CLUSTER_ID: u64 = 1;
 
 /// Time without a leader after which one is elected: it must be longer than
 /// some round trips and a sync, and is part of every recovery.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(200);
 /// The same where messages travel between regions, or where one large request
 /// holds up a small processor for long.
-const PATIENT_ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
+const LONG_ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
 /// A smaller part of a processor is a small one.
-const SMALL_PROCESSOR_SHARE: f64 = 0.1;
+const LOW_CPU_QUOTA: f64 = 0.1;
 /// Heartbeats in one election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 4;
 
 /// A request that waits for the group.
-struct Waiting {
+struct PendingRequest {
     connection: ConnectionId,
     request: HttpRequest,
 }
 
-pub(super) fn run<I: ApiTranslator>(
+pub(super) fn run<T: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &ReplicaRoleSettings,
-    interface: I,
+    role: &ReplicaRoleSettings,
+    translator: T,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
     let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
     let mut http = EventServer::open(
-        addresses.operator_address,
+        role.operator_address,
         registry,
         HTTP,
         FIRST_CONNECTION,
@@ -81,32 +81,32 @@
         action: "watch for writes",
         source,
     })?;
-    let opened = open_folder(&mut event_loop, &settings, addresses);
+    let opened = open_folder(&mut event_loop, &settings, role);
     let start = replica_start(&settings, &opened);
-    let daemons = SnapshotFile::new(addresses.data_folder.join(DAEMONS_FILE));
-    let remembered = daemons.read();
-    let records = RecordFile::open(flow_record_path(&addresses.data_folder));
+    let daemons = SnapshotFile::new(role.data_folder.join(DAEMONS_FILE));
+    let saved_daemons = daemons.read();
+    let records = RecordFile::open(flow_record_path(&role.data_folder));
     let waker = Arc::new(waker);
     let writer = RetryingLogWriter::start(
-        addresses.data_folder.clone(),
+        role.data_folder.clone(),
         opened.store,
         daemons,
         Arc::clone(&waker),
     )?;
     let now = event_loop.clock.now();
-    let mut node = ConfigurationNode::new(now, node_settings(&settings, addresses), start);
-    recall_daemons(&mut event_loop, &mut node, remembered);
-    let record_file = recall_flow_records(&mut event_loop, &mut node, records);
+    let mut node = ConfigurationNode::new(now, node_settings(&settings, role), start);
+    load_daemons(&mut event_loop, &mut node, saved_daemons);
+    let record_file = load_flow_records(&mut event_loop, &mut node, records);
     let record_writer = FlowRecordWriter::start(record_file, waker)?;
     event_loop
         .log
-        .note(now, EventKind::ProcessStarted, "replica");
-    let mut waiting: BTreeMap<u64, Waiting> = BTreeMap::new();
+        .write_always(now, EventKind::ProcessStarted, "replica");
+    let mut pending: BTreeMap<u64, PendingRequest> = BTreeMap::new();
     let mut next_token = 0;
-    let mut more = false;
-    let mut ahead: Vec<ReceivedRequest> = Vec::new();
+    let mut has_backlog = false;
+    let mut pipelined: Vec<ReceivedRequest> = Vec::new();
     while !node.is_stopped() {
-        let wakeup = event_loop.wait(node.poll_timeout(), more || !ahead.is_empty())?;
+        let wakeup = event_loop.wait(node.poll_timeout(), has_backlog || !pipelined.is_empty())?;
         let now = event_loop.clock.now();
         if wakeup.begin_stop {
             node.begin_stop(now);
@@ -119,12 +119,14 @@
                 WriteOutcome::Done(ticket) => node.handle_persisted(now, ticket),
                 WriteOutcome::Failed(error) => {
                     let message = error.to_string();
-                    event_loop.log.note(now, EventKind::WriteFailed, message);
+                    event_loop
+                        .log
+                        .write_always(now, EventKind::WriteFailed, message);
                 }
                 WriteOutcome::DaemonsNotSaved(error) => {
                     let message = error.to_string();
                     let kind = EventKind::DaemonMemoryFailed;
-                    event_loop.log.note(now, kind, message);
+                    event_loop.log.write_always(now, kind, message);
                 }
             }
         }
@@ -132,16 +134,17 @@
             let result = result.map_err(|error| error.to_string());
             node.handle_flow_records_written(now, result);
         }
-        more = messages.receive(|from, body| node.handle_message(now, from, body)) == Batch::Full;
-        let mut requests = std::mem::take(&mut ahead);
+        has_backlog =
+            messages.receive(|from, body| node.handle_message(now, from, body)) == Batch::Full;
+        let mut requests = std::mem::take(&mut pipelined);
         for token in wakeup.tokens {
             requests.extend(http.handle_event(now, event_loop.poll.registry(), token));
         }
         if !requests.is_empty() {
             let node = RefCell::new(&mut node);
             let metrics = || replica_metrics(&node.borrow(), now);
-            let handle = |received: &ReceivedRequest, call| {
-                let request = match call {
+            let handle = |received: &ReceivedRequest, request| {
+                let request = match request {
                     ApiRequest::Replace(configuration) => {
                         ConfigurationRequest::Replace(configuration)
                     }
@@ -163,16 +166,16 @@
                     }
                 };
                 next_token += 1;
-                waiting.insert(next_token, wait_for(received));
+                pending.insert(next_token, pending_request(received));
                 node.borrow_mut().handle_request(now, next_token, request);
                 None
             };
-            for refusal in serve_requests(now, &mut http, &interface, requests, metrics, handle) {
+            for refusal in serve_requests(now, &mut http, &translator, requests, metrics, handle) {
                 let kind = EventKind::ReplacementRefused;
-                event_loop.log.note(now, kind, refusal);
+                event_loop.log.write_always(now, kind, refusal);
             }
         }
-        if wakeup.expire {
+        if wakeup.expire_connections {
             http.expire(now);
         }
         if node.poll_timeout() <= now {
@@ -185,16 +188,16 @@
                 ConfigurationOutput::SaveDaemons(bytes) => writer.save_daemons(bytes),
                 ConfigurationOutput::WriteFlowRecords(write) => record_writer.write(write),
                 ConfigurationOutput::Respond { token, response } => {
-                    if let Some(waiting) = waiting.remove(&token) {
-                        let port = addresses.operator_address.port();
-                        let response = match policy_api::is_policy_call(&waiting.request) {
-                            true => policy_api::answer(&response, port),
+                    if let Some(pending) = pending.remove(&token) {
+                        let port = role.operator_address.port();
+                        let response = match policy_api::is_policy_request(&pending.request) {
+                            true => policy_api::to_http_response(&response, port),
                             false => {
-                                let answer = call_answer(response, port);
-                                interface.translate_response(&waiting.request, &answer)
+                                let response = to_api_response(response, port);
+                                translator.translate_response(&pending.request, &response)
                             }
                         };
-                        ahead.extend(http.respond(now, waiting.connection, &response));
+                        pipelined.extend(http.respond(now, pending.connection, &response));
                     }
                 }
                 ConfigurationOutput::Event(event) => event_loop.log.write(now, &event),
@@ -204,7 +207,7 @@
     let now = event_loop.clock.now();
     event_loop
         .log
-        .note(now, EventKind::ProcessStopped, "replica");
+        .write_always(now, EventKind::ProcessStopped, "replica");
     Ok(())
 }
 
@@ -215,14 +218,14 @@
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-fn wait_for(received: &ReceivedRequest) -> Waiting {
+fn pending_request(received: &ReceivedRequest) -> PendingRequest {
     let HttpRequest {
         method,
         path,
         query,
         ..
     } = received.request.clone();
-    Waiting {
+    PendingRequest {
         connection: received.connection,
         request: HttpRequest {
             method,
@@ -239,7 +242,7 @@
     }
 }
 
-fn call_answer(response: ConfigurationResponse, operator_port: u16) -> ApiResponse {
+fn to_api_response(response: ConfigurationResponse, operator_port: u16) -> ApiResponse {
     match response {
         ConfigurationResponse::Accepted { version } => ApiResponse::Accepted { version },
         ConfigurationResponse::Read(configuration) => ApiResponse::Configuration(configuration),
@@ -265,23 +268,25 @@
 fn open_folder(
     event_loop: &mut EventLoop,
     settings: &PassThroughSettings,
-    addresses: &ReplicaRoleSettings,
+    role: &ReplicaRoleSettings,
 ) -> OpenedStore {
     let own = node_id_of_address(settings.message_address);
     let identity = FolderIdentity {
-        cluster: CLUSTER,
-        incarnation: match is_founder(settings, addresses) {
-            true => first_incarnation(own),
+        cluster: CLUSTER_ID,
+        incarnation: match is_founder(settings, role) {
+            true => founding_incarnation(own),
             false => Incarnation(rand::random()),
         },
     };
     loop {
-        match LogStore::open(&addresses.data_folder, identity) {
+        match LogStore::open(&role.data_folder, identity) {
             Ok(opened) => {
                 if opened.torn_bytes > 0 {
                     let subject = format!("{} bytes", opened.torn_bytes);
                     let now = event_loop.clock.now();
-                    event_loop.log.note(now, EventKind::LogTailCut, subject);
+                    event_loop
+                        .log
+                        .write_always(now, EventKind::LogTailCut, subject);
                 }
                 return opened;
             }
@@ -292,7 +297,7 @@
 }
 
 /// Hands the node what its former life saved of daemons.
-fn recall_daemons(
+fn load_daemons(
     event_loop: &mut EventLoop,
     node: &mut ConfigurationNode,
     saved: Result<Option<Vec<u8>>, StorageError>,
@@ -305,12 +310,12 @@
     };
     let now = event_loop.clock.now();
     let kind = EventKind::DaemonMemoryFailed;
-    event_loop.log.note(now, kind, failure);
+    event_loop.log.write_always(now, kind, failure);
 }
 
 /// Hands the node the records of open flows that its former life wrote. What can't be read
 /// costs the record, not the start.
-fn recall_flow_records(
+fn load_flow_records(
     event_loop: &mut EventLoop,
     node: &mut ConfigurationNode,
     opened: OpenedRecords,
@@ -323,20 +328,20 @@
         None => "some records can't be decoded".to_owned(),
     };
     let kind = EventKind::FlowRecordsNotSaved;
-    event_loop.log.note(now, kind, failure);
+    event_loop.log.write_always(now, kind, failure);
     opened.file
 }
 
 /// The seeds found the group when all of it starts for the first time.
-fn is_founder(settings: &PassThroughSettings, addresses: &ReplicaRoleSettings) -> bool {
-    addresses.first_start && settings.seeds.contains(&settings.message_address)
+fn is_founder(settings: &PassThroughSettings, role: &ReplicaRoleSettings) -> bool {
+    role.first_start && settings.seeds.contains(&settings.message_address)
 }
 
 fn report_open_failure(event_loop: &mut EventLoop, error: &StorageError) {
     let now: Timestamp = event_loop.clock.now();
     event_loop
         .log
-        .note(now, EventKind::WriteFailed, error.to_string());
+        .write_always(now, EventKind::WriteFailed, error.to_string());
 }
 
 fn replica_start(settings: &PassThroughSettings, opened: &OpenedStore) -> ReplicaStart {
@@ -344,7 +349,7 @@
         let node = node_id_of_address(*seed);
         ReplicaId {
             node,
-            incarnation: first_incarnation(node),
+            incarnation: founding_incarnation(node),
         }
     });
     ReplicaStart {
@@ -357,27 +362,27 @@
 }
 
 /// The incarnation of a replica that founds the group.
-fn first_incarnation(node: NodeId) -> Incarnation {
+fn founding_incarnation(node: NodeId) -> Incarnation {
     Incarnation(NodeId::from_name(&format!("first life of {node}")).0)
 }
 
 fn node_settings(
     settings: &PassThroughSettings,
-    addresses: &ReplicaRoleSettings,
+    role: &ReplicaRoleSettings,
 ) -> ConfigurationNodeSettings {
-    let is_wide = addresses.region_count > 1;
-    let is_small = addresses.cpu_quota < SMALL_PROCESSOR_SHARE;
-    let election_timeout = match is_wide || is_small {
+    let is_multi_region = role.region_count > 1;
+    let has_low_cpu_quota = role.cpu_quota < LOW_CPU_QUOTA;
+    let election_timeout = match is_multi_region || has_low_cpu_quota {
         false => ELECTION_TIMEOUT,
-        true => PATIENT_ELECTION_TIMEOUT,
+        true => LONG_ELECTION_TIMEOUT,
     };
     let defaults = ConfigurationNodeSettings::default();
     ConfigurationNodeSettings {
-        max_lost_replicas: addresses.max_lost_replicas,
-        max_lost_zones: addresses.max_lost_zones,
+        max_lost_replicas: role.max_lost_replicas,
+        max_lost_zones: role.max_lost_zones,
         zone: settings.zone.clone(),
-        zones: addresses.zones.clone(),
-        max_flow_record_bytes: addresses.max_flow_record_bytes,
+        zones: role.zones.clone(),
+        max_flow_record_bytes: role.max_flow_record_bytes,
         flow_record_ttl: settings.flow_ttl,
         replica: ReplicaSettings {
             election_timeout,
--- a/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
+++ b/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
@@ -113,12 +113,12 @@
         loop {
             match self.try_write(&request) {
                 Ok(ticket) => {
-                    self.tell(WriteOutcome::Done(ticket));
+                    self.report(WriteOutcome::Done(ticket));
                     return;
                 }
                 Err(error) => {
                     self.store = None;
-                    self.tell(WriteOutcome::Failed(error));
+                    self.report(WriteOutcome::Failed(error));
                 }
             }
             let first = request.entries.first().map(|entry| entry.position.index);
@@ -137,11 +137,11 @@
 
     fn save_daemons(&self, bytes: &[u8]) {
         if let Err(error) = self.daemons.replace(bytes) {
-            self.tell(WriteOutcome::DaemonsNotSaved(error));
+            self.report(WriteOutcome::DaemonsNotSaved(error));
         }
     }
 
-    fn tell(&self, outcome: WriteOutcome) {
+    fn report(&self, outcome: WriteOutcome) {
         let _ = self.outcomes.send(outcome);
         let _ = self.waker.wake();
     }
--- a/crates/petrellatch/src/runtime/pass_through/settings_watcher.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings_watcher.rs
@@ -8,7 +8,7 @@
 use super::settings::PassThroughSettings;
 
 /// Between two looks at the file.
-const INTERVAL: Duration = Duration::from_secs(2);
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Turns the text of a settings file into settings, or says what is wrong.
 pub type SettingsReader = Box<dyn Fn(&str) -> Result<PassThroughSettings, String>>;
@@ -18,7 +18,7 @@
     path: PathBuf,
     reader: SettingsReader,
     changed_at: Option<SystemTime>,
-    look_at: Timestamp,
+    next_check_at: Timestamp,
 }
 
 impl SettingsWatcher {
@@ -28,7 +28,7 @@
             path,
             reader,
             changed_at: None,
-            look_at: Timestamp::ZERO,
+            next_check_at: Timestamp::ZERO,
         }
     }
 
@@ -45,13 +45,13 @@
     pub(super) fn poll(
         &mut self,
         now: Timestamp,
-        asked: bool,
+        force: bool,
     ) -> Option<Result<PassThroughSettings, String>> {
-        if !asked {
-            if now < self.look_at {
+        if !force {
+            if now < self.next_check_at {
                 return None;
             }
-            self.look_at = now + INTERVAL;
+            self.next_check_at = now + CHECK_INTERVAL;
             if self.modified() == self.changed_at {
                 return None;
             }
--- a/crates/petrellatch/src/runtime/pass_through/signals.rs
+++ b/crates/petrellatch/src/runtime/pass_through/signals.rs
@@ -35,12 +35,12 @@
     }
 
     /// Whether a planned stop was asked for.
-    pub(super) fn stop_wanted(&self) -> bool {
+    pub(super) fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
     /// Whether the settings are to be read again; asks only once.
-    pub(super) fn take_reload(&self) -> bool {
+    pub(super) fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 }
