--- a/crates/petrellatch/src/logs/flow_timeline.rs
+++ b/crates/petrellatch/src/logs/flow_timeline.rs
@@ -46,10 +46,10 @@
     pub fn new(lines: &[LogLine], flow: &str) -> FlowTimeline {
         let own = |line: &&LogLine| is_about(line, flow);
         let own: Vec<&LogLine> = lines.iter().filter(own).collect();
-        let told = lines.iter().filter(|line| is_told(line, flow, &own));
+        let included = lines.iter().filter(|line| is_included(line, flow, &own));
         FlowTimeline {
             flow: flow.to_owned(),
-            lines: told.cloned().collect(),
+            lines: included.cloned().collect(),
             missing: missing(lines, &own),
             cause: cause(lines, &own),
         }
@@ -93,7 +93,7 @@
 
 /// Whether a line belongs to the story: one of the flow, or one about a node
 /// of it from about the same time.
-fn is_told(line: &LogLine, flow: &str, own: &[&LogLine]) -> bool {
+fn is_included(line: &LogLine, flow: &str, own: &[&LogLine]) -> bool {
     if is_about(line, flow) {
         return true;
     }
@@ -135,13 +135,13 @@
         missing.push("lines of a balancer".to_owned());
     }
     let nodes: BTreeSet<&str> = own.iter().map(|line| line.node.as_str()).collect();
-    let left_out = lines.iter().filter(|line| {
+    let suppressed = lines.iter().filter(|line| {
         is_event(line, EventKind::EntriesLeftOut)
             && nodes.contains(line.node.as_str())
             && own.iter().any(|it| is_near(it, line))
     });
     missing
-        .extend(left_out.map(|line| format!("{} at {}, {}", line.subject, line.node, line.time)));
+        .extend(suppressed.map(|line| format!("{} at {}, {}", line.subject, line.node, line.time)));
     missing
 }
 
@@ -170,13 +170,13 @@
         return format!("the agent {agent} that has the flow does not answer");
     }
     if is_event(outcome, EventKind::FlowGone) {
-        return gone(outcome);
+        return orphaned(outcome);
     }
     if is_event(outcome, EventKind::FlowNotFound) {
-        return not_found(outcome);
+        return search_inconclusive(outcome);
     }
     if is_event(outcome, EventKind::FlowTold) {
-        return told(outcome);
+        return caller_notified(outcome);
     }
     if is_event(outcome, EventKind::PacketReturned) {
         return "the back end does not have the flow any more".to_owned();
@@ -193,46 +193,46 @@
 }
 
 /// The flow was reset because no back end has it.
-fn gone(outcome: &LogLine) -> String {
+fn orphaned(outcome: &LogLine) -> String {
     if outcome.value("was_open") == Some("true") {
         let agent = outcome.value("agent").unwrap_or("its agent");
         return format!("the back end at {agent} had the flow and has it no more; it was reset");
     }
-    let lacks = outcome.value("lacks").unwrap_or("all");
-    format!("no back end has the flow any more, by the word of {lacks} agents; it was reset")
+    let not_owned = outcome.value("lacks").unwrap_or("all");
+    format!("no back end has the flow any more, by the word of {not_owned} agents; it was reset")
 }
 
 /// The agent told that the life of the back end that had the flow is over.
-fn told(outcome: &LogLine) -> String {
-    let whom = match outcome.value("cause") {
+fn caller_notified(outcome: &LogLine) -> String {
+    let notified = match outcome.value("cause") {
         Some("request") => "its caller waited for an answer and was told at once",
         Some("question") => "a balancer asked for the flow and was told",
         _ => "its caller rested and was told before its next request",
     };
     format!(
-        "the back end at {} has the flow no more; {whom}",
+        "the back end at {} has the flow no more; {notified}",
         outcome.node
     )
 }
 
 /// The flow was sought until its caller gave up.
-fn not_found(outcome: &LogLine) -> String {
+fn search_inconclusive(outcome: &LogLine) -> String {
     let reasons = [
         ("missing", "did not answer"),
         ("uncertain", "could not know"),
         ("tried", "had not heard of its back end"),
         ("lacks", "did not have it"),
     ];
-    let told = reasons.iter().filter_map(|(name, reason)| {
+    let replies = reasons.iter().filter_map(|(name, reason)| {
         let count = outcome.value(name)?;
         (count != "0").then(|| format!("{count} {reason}"))
     });
-    let told: Vec<String> = told.collect();
-    match told.is_empty() {
+    let replies: Vec<String> = replies.collect();
+    match replies.is_empty() {
         true => "nobody was asked for the flow before its caller gave up".to_owned(),
         false => format!(
             "the flow was not found among the agents: {}",
-            told.join(", ")
+            replies.join(", ")
         ),
     }
 }
@@ -261,25 +261,25 @@
 /// lines of agents may be left out.
 fn no_agent(outcome: &LogLine) -> String {
     let count = |name| outcome.value(name).and_then(|it| it.parse::<u32>().ok());
-    let Some(asked) = count("asked") else {
+    let Some(offered) = count("asked") else {
         return "refused: no_agent".to_owned();
     };
-    let answers = [
+    let replies = [
         (count("full"), "declined as full"),
         (count("late"), "did not answer"),
         (count("other"), "declined otherwise"),
     ];
-    let answers = answers.iter().filter_map(|(count, answer)| match count {
-        Some(count) if *count > 0 => Some(format!("{count} {answer}")),
+    let replies = replies.iter().filter_map(|(count, reply)| match count {
+        Some(count) if *count > 0 => Some(format!("{count} {reply}")),
         _ => None,
     });
-    let answers: Vec<String> = answers.collect();
-    let mut cause = match asked {
+    let replies: Vec<String> = replies.collect();
+    let mut cause = match offered {
         0 => "the balancer knew no agent that was ready".to_owned(),
-        _ => format!("no agent took the flow: {}", answers.join(", ")),
+        _ => format!("no agent took the flow: {}", replies.join(", ")),
     };
-    if let (Some(agents), Some(leaving @ 1..)) = (count("agents"), count("leaving")) {
-        cause.push_str(&format!("; of {agents} known agents {leaving} leave"));
+    if let (Some(agents), Some(draining @ 1..)) = (count("agents"), count("leaving")) {
+        cause.push_str(&format!("; of {agents} known agents {draining} leave"));
     }
     if let (Some(agents), Some(evacuated @ 1..)) = (count("agents"), count("evacuated")) {
         cause.push_str(&format!(
--- a/crates/petrellatch/src/logs/mod.rs
+++ b/crates/petrellatch/src/logs/mod.rs
@@ -19,7 +19,7 @@
 use crate::error::ProgramError;
 
 /// Bytes of a line, at most; the processes write lines under 1 KB.
-const LONGEST_LINE: u64 = 65_536;
+const MAX_LINE_BYTES: u64 = 65_536;
 
 /// Prints the story that the options ask for.
 ///
@@ -28,7 +28,7 @@
 /// Not exactly one of a flow, a version and the summary is asked for, or a file
 /// can't be read.
 pub fn run(options: &LogsOptions) -> Result<(), ProgramError> {
-    let story = match (&options.flow, options.configuration) {
+    let output = match (&options.flow, options.configuration) {
         (None, None) if options.summary => summarize(options)?,
         _ if options.summary || options.json || options.slice.is_some() => {
             let message = "name either --summary, or a flow, or a configuration version; \
@@ -50,7 +50,7 @@
             return Err(ProgramError::Usage { message });
         }
     };
-    print!("{story}");
+    print!("{output}");
     Ok(())
 }
 
@@ -80,7 +80,7 @@
     let mut bytes = Vec::new();
     loop {
         bytes.clear();
-        let mut part = input.by_ref().take(LONGEST_LINE);
+        let mut part = input.by_ref().take(MAX_LINE_BYTES);
         if part.read_until(b'\n', &mut bytes)? == 0 {
             return Ok(());
         }
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -10,17 +10,17 @@
 
 /// Events this close belong together, in milliseconds: twice the time in which
 /// a suspected agent is asked again.
-const TOGETHER_MILLIS: u64 = 500;
+const JOIN_MILLIS: u64 = 500;
 /// Single events this close are told together, in milliseconds: how long a
 /// caller looks for its flow.
-const TOLD_TOGETHER_MILLIS: u64 = 2_500;
+const JOIN_EVENTS_MILLIS: u64 = 2_500;
 /// A second's refusals and suspicions, below which it is ordinary load.
-const ORDINARY_A_SECOND: u64 = 20;
+const ORDINARY_PER_SECOND: u64 = 20;
 /// Refusals this soon after starts are told as theirs, in milliseconds: callers
 /// come back at once, and back ends are cold for two seconds.
 const AFTER_STARTS_MILLIS: u64 = 2_000;
 /// Causes told, at most: half a screen.
-const MOST_CAUSES: usize = 12;
+const MAX_CAUSES: usize = 12;
 
 /// Something that explains what followed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -38,25 +38,29 @@
 /// The heaviest causes, in the order of time.
 pub(super) fn causes(summary: &Summary) -> Vec<Cause> {
     let starts = starts(summary);
-    let mut causes = pressure(summary, &starts);
-    causes.extend(silent_verdicts(summary));
-    causes.extend(full_links(summary));
+    let mut causes = overloads(summary, &starts);
+    causes.extend(inconclusive_searches(summary));
+    causes.extend(congested_links(summary));
     causes.extend(lost_elections(summary));
-    causes.extend(single(summary));
+    causes.extend(single_events(summary));
     causes.extend(starts);
     causes.sort_by_key(|cause| std::cmp::Reverse(cause.weight));
-    causes.truncate(MOST_CAUSES);
+    causes.truncate(MAX_CAUSES);
     causes.sort_by_key(|cause| cause.from);
     causes
 }
 
 /// Runs of slices that `is_in`, with what they count together.
-fn runs(summary: &Summary, gap: u64, is_in: impl Fn(&Slice) -> bool) -> Vec<(u64, u64, Slice)> {
+fn runs(
+    summary: &Summary,
+    gap_millis: u64,
+    is_in: impl Fn(&Slice) -> bool,
+) -> Vec<(u64, u64, Slice)> {
     let mut runs: Vec<(u64, u64, Slice)> = Vec::new();
     for (index, slice) in summary.slices.iter().filter(|(_, slice)| is_in(slice)) {
         let (from, until) = (index * summary.width, (index + 1) * summary.width);
         match runs.last_mut() {
-            Some((_, end, sum)) if from <= *end + gap => {
+            Some((_, end, sum)) if from <= *end + gap_millis => {
                 *end = until;
                 sum.merge(slice);
             }
@@ -67,9 +71,9 @@
 }
 
 /// Refusals and suspicions: too little room, or links full of questions.
-fn pressure(summary: &Summary, starts: &[Cause]) -> Vec<Cause> {
-    let ordinary = ORDINARY_A_SECOND * summary.width / 1_000;
-    let runs = runs(summary, TOGETHER_MILLIS, |slice| {
+fn overloads(summary: &Summary, starts: &[Cause]) -> Vec<Cause> {
+    let ordinary = ORDINARY_PER_SECOND * summary.width / 1_000;
+    let runs = runs(summary, JOIN_MILLIS, |slice| {
         slice.refused() + slice.count(Column::Suspected) > ordinary
     });
     let agents = summary.slices.values().map(|slice| slice.agents).max();
@@ -101,20 +105,20 @@
 }
 
 fn refusals(slice: &Slice) -> String {
-    let told = [
+    let reasons = [
         (Column::RefusedFull, "all that answered were full"),
         (Column::RefusedLate, "no agent answered in time"),
         (Column::RefusedUnknown, "no agent was known"),
         (Column::RefusedOther, "mixed or other"),
     ];
-    let told = told.iter().filter_map(|(column, reason)| {
+    let reasons = reasons.iter().filter_map(|(column, reason)| {
         let count = slice.count(*column);
         (count > 0).then(|| format!("{count} {reason}"))
     });
-    let told: Vec<String> = told.collect();
-    match told.is_empty() {
+    let reasons: Vec<String> = reasons.collect();
+    match reasons.is_empty() {
         true => "no flow refused".to_owned(),
-        false => format!("{} flows refused ({})", slice.refused(), told.join(", ")),
+        false => format!("{} flows refused ({})", slice.refused(), reasons.join(", ")),
     }
 }
 
@@ -144,7 +148,7 @@
 }
 
 /// What else holds a verdict up.
-const HELD_UP: [(Column, &str); 5] = [
+const BLOCKERS: [(Column, &str); 5] = [
     (
         Column::BlockedByLate,
         "agents that should have answered, or most agents, did not",
@@ -168,22 +172,22 @@
 ];
 
 /// Searches for flows that ended without a verdict, and who held it up.
-fn silent_verdicts(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+fn inconclusive_searches(summary: &Summary) -> Vec<Cause> {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::SearchInconclusive) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
         let weight = slice.count(Column::SearchInconclusive);
         let mut text = format!("{weight} flows sought without a verdict");
-        let held = slice.count(Column::BlockedByAbsent);
-        if held > 0 {
+        let blocked = slice.count(Column::BlockedByAbsent);
+        if blocked > 0 {
             text.push_str(&format!(
-                "; for {held} of them SILENCED BY A STOPPED AGENT: up to {} agents lack the flow, \
+                "; for {blocked} of them SILENCED BY A STOPPED AGENT: up to {} agents lack the flow, \
                  all but at most {} that nobody expects to answer",
-                slice.lacks, slice.missing
+                slice.not_owned, slice.missing
             ));
         }
-        for (column, reason) in HELD_UP {
+        for (column, reason) in BLOCKERS {
             let count = slice.count(column);
             if count > 0 {
                 text.push_str(&format!("; for {count} {reason}"));
@@ -200,13 +204,13 @@
 }
 
 /// Links of balancers that carried less than was to be sent.
-fn full_links(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+fn congested_links(summary: &Summary) -> Vec<Cause> {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::LinkCongested) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
         let weight = slice.count(Column::LinkCongested);
-        let (links, wait) = (slice.full_links.len(), slice.link_wait);
+        let (links, wait) = (slice.congested_links.len(), slice.link_wait);
         let text = format!(
             "links of {links} balancers became FULL, {weight} times: callers send more at once \
              than these carry, and long flows wait, {wait} ms and more"
@@ -223,7 +227,7 @@
 
 /// Elections without a leader, close to each other.
 fn lost_elections(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::ElectionLost) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
@@ -232,7 +236,7 @@
         let reasons: Vec<String> = reasons
             .map(|(reason, count)| format!("{count} {reason}"))
             .collect();
-        let (first, last) = slice.lost_between.unwrap_or((from, until));
+        let (first, last) = slice.election_loss_period.unwrap_or((from, until));
         let text = format!(
             "elections LOST: {weight} ({}), first {}, last {}",
             reasons.join(", "),
@@ -258,7 +262,7 @@
 }
 
 /// What counts each time that it happens.
-fn single(summary: &Summary) -> Vec<Cause> {
+fn single_events(summary: &Summary) -> Vec<Cause> {
     let kinds = [
         (
             Column::BackendEjected,
@@ -270,9 +274,9 @@
     ];
     let mut causes = Vec::new();
     for (column, text) in kinds {
-        for (from, until, slice) in runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
-            slice.count(column) > 0
-        }) {
+        for (from, until, slice) in
+            runs(summary, JOIN_EVENTS_MILLIS, |slice| slice.count(column) > 0)
+        {
             let weight = slice.count(column);
             let text = format!("{text}: {weight}");
             causes.push(Cause {
@@ -302,7 +306,7 @@
             continue;
         }
         match groups.last_mut() {
-            Some(group) if step.millis <= group.until + TOGETHER_MILLIS => {
+            Some(group) if step.millis <= group.until + JOIN_MILLIS => {
                 group.add(step, role, planned);
             }
             _ => groups.push(Starts::new(step, role, planned)),
@@ -350,7 +354,7 @@
             killed => text.push_str(&format!(", {killed} without having been asked to stop")),
         }
         let silence = silence_before(summary, self.from);
-        if silence >= TOGETHER_MILLIS {
+        if silence >= JOIN_MILLIS {
             text.push_str(&format!(", after {silence} ms without a line of anyone"));
         }
         Cause {
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -75,14 +75,16 @@
         EventKind::AgentSuspected => Column::Suspected,
         EventKind::AgentReturned => Column::SuspectCleared,
         EventKind::FlowGone => Column::Orphaned,
-        EventKind::FlowNotFound => return not_found(line),
+        EventKind::FlowNotFound => return inconclusive_search(line),
         EventKind::PacketReturned => Column::PacketReturned,
         EventKind::FlowStalled => Column::Stalled,
         EventKind::BackendSilent => Column::BackendSilent,
         EventKind::BackendLeftOut => Column::BackendEjected,
         EventKind::LinkFull => Column::LinkCongested,
         EventKind::WriteFailed => Column::WriteFailed,
-        EventKind::EntriesLeftOut => return vec![(Column::LinesSuppressed, left_out(line))],
+        EventKind::EntriesLeftOut => {
+            return vec![(Column::LinesSuppressed, suppressed_lines(line))];
+        }
         _ => return Vec::new(),
     };
     vec![(column, 1)]
@@ -95,43 +97,48 @@
         Some("no_agent") => {}
         _ => return Column::RefusedOther,
     }
-    let Some(asked) = number(line, "asked") else {
+    let Some(offered) = number(line, "asked") else {
         return Column::RefusedOther;
     };
     let full = number(line, "full").unwrap_or(0);
     let late = number(line, "late").unwrap_or(0);
-    match asked {
+    match offered {
         0 => Column::RefusedUnknown,
-        _ if late >= asked => Column::RefusedLate,
+        _ if late >= offered => Column::RefusedLate,
         // An answer that comes late counts in both.
-        _ if full > 0 && full + late >= asked => Column::RefusedFull,
+        _ if full > 0 && full + late >= offered => Column::RefusedFull,
         _ => Column::RefusedOther,
     }
 }
 
 /// A search without a verdict, and which agents held the verdict up.
-fn not_found(line: &LogLine) -> Vec<(Column, u64)> {
+fn inconclusive_search(line: &LogLine) -> Vec<(Column, u64)> {
     let count = |name| number(line, name).unwrap_or(0);
     let mut columns = vec![(Column::SearchInconclusive, 1)];
-    let unsure = count("uncertain") + count("tried");
+    let undecided = count("uncertain") + count("tried");
     let is = |name, value| line.value(name) == Some(value);
-    let held_by = match (count("expected"), unsure, count("missing"), count("lacks")) {
+    let blocked_by = match (
+        count("expected"),
+        undecided,
+        count("missing"),
+        count("lacks"),
+    ) {
         (1.., ..) => Some(Column::BlockedByLate),
         (0, 1.., ..) => Some(Column::BlockedByUncertain),
         _ if is("awaits", "false") => Some(Column::NoResponseAwaited),
         _ if is("directory_whole", "false") => Some(Column::BlockedByIncompleteDirectory),
-        (0, 0, missing @ 1.., lacks) if missing < lacks => Some(Column::BlockedByAbsent),
+        (0, 0, missing @ 1.., not_owned) if missing < not_owned => Some(Column::BlockedByAbsent),
         (0, 0, 1.., _) => Some(Column::BlockedByLate),
         (0, 0, 0, 1..) => Some(Column::BlockedByNone),
         // Nobody was asked.
         (0, 0, 0, 0) => None,
     };
-    columns.extend(held_by.map(|column| (column, 1)));
+    columns.extend(blocked_by.map(|column| (column, 1)));
     columns
 }
 
 /// The subject is `N entries`.
-fn left_out(line: &LogLine) -> u64 {
+fn suppressed_lines(line: &LogLine) -> u64 {
     let count = line.subject.split(' ').next();
     count.and_then(|it| it.parse().ok()).unwrap_or(0)
 }
--- a/crates/petrellatch/src/logs/summary/mod.rs
+++ b/crates/petrellatch/src/logs/summary/mod.rs
@@ -22,13 +22,13 @@
 /// Width of the finest slice, in milliseconds: a collapse begins within 200 ms.
 const FINEST_MILLIS: u64 = 100;
 /// Slices kept, at most; the width is doubled beyond, so a day fits with 12.8 s.
-const MOST_SLICES: usize = 8_192;
+const MAX_SLICES: usize = 8_192;
 /// Names of nodes and agents kept, at most: four for each of 1,000 machines.
-const MOST_NAMES: usize = 4_096;
+const MAX_NAMES: usize = 4_096;
 /// Starts and stops kept one by one, at most: eight for each of 1,000 machines.
-const MOST_STARTS: usize = 8_192;
+const MAX_STEPS: usize = 8_192;
 /// Pairs of reason and priority kept, at most; there are about ten.
-const MOST_REASONS: usize = 64;
+const MAX_REASONS: usize = 64;
 
 /// A process that started or was asked to stop.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -81,7 +81,7 @@
         let slice = self.slices.entry(millis / self.width).or_default();
         slice.lines += 1;
         slice.add(*kind, line, node, agent);
-        if self.slices.len() > MOST_SLICES {
+        if self.slices.len() > MAX_SLICES {
             self.double_width();
         }
     }
@@ -99,7 +99,7 @@
             EventKind::ProcessStopping => None,
             _ => return,
         };
-        if self.steps.len() < MOST_STARTS {
+        if self.steps.len() < MAX_STEPS {
             self.steps.push(Step { millis, node, role });
         }
     }
@@ -107,7 +107,7 @@
     fn note_refusal(&mut self, line: &LogLine) {
         let value = |name| line.value(name).unwrap_or("-").to_owned();
         let mut key = (value("reason"), value("priority"));
-        if self.refusals.len() >= MOST_REASONS && !self.refusals.contains_key(&key) {
+        if self.refusals.len() >= MAX_REASONS && !self.refusals.contains_key(&key) {
             key = ("others".to_owned(), "-".to_owned());
         }
         *self.refusals.entry(key).or_default() += 1;
@@ -119,7 +119,7 @@
             return *number;
         }
         let next = self.names.len();
-        if next < MOST_NAMES {
+        if next < MAX_NAMES {
             self.names.insert(name.to_owned(), next as u32);
         }
         next as u32
--- a/crates/petrellatch/src/logs/summary/report.rs
+++ b/crates/petrellatch/src/logs/summary/report.rs
@@ -9,7 +9,7 @@
 use super::{Cause, Column, Summary};
 
 /// Rows of the table that a screen holds beside the causes.
-const MOST_ROWS: u64 = 30;
+const MAX_ROWS: u64 = 30;
 /// Widths that people read easily, in milliseconds.
 const WIDTHS: [u64; 14] = [
     100, 250, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 120_000, 300_000, 600_000,
@@ -35,7 +35,7 @@
     ) -> SummaryReport {
         let width = match slice_millis {
             Some(width) => width,
-            None => fitting(summary),
+            None => fitting_width(summary),
         };
         // Slices are cut from whole finest ones.
         let width = width.max(1).div_ceil(summary.width) * summary.width;
@@ -148,7 +148,7 @@
 }
 
 /// The narrowest width with which a screen holds all slices.
-fn fitting(summary: &Summary) -> u64 {
+fn fitting_width(summary: &Summary) -> u64 {
     let rows = |width: u64| {
         let mut rows: Vec<u64> = summary
             .slices
@@ -159,7 +159,7 @@
         rows.len() as u64
     };
     let widths = WIDTHS.into_iter();
-    let mut fitting = widths.filter(|width| rows(*width) <= MOST_ROWS);
+    let mut fitting = widths.filter(|width| rows(*width) <= MAX_ROWS);
     fitting.next().unwrap_or(MILLIS_OF_DAY)
 }
 
--- a/crates/petrellatch/src/logs/summary/slice.rs
+++ b/crates/petrellatch/src/logs/summary/slice.rs
@@ -9,10 +9,10 @@
 
 /// Names kept for each slice and kind, at most; the sets say "at least" beyond.
 /// 512 agents are more than half of the largest deployment's thousand.
-const MOST_NAMES: usize = 512;
+const MAX_NAMES: usize = 512;
 
 /// Reasons of lost elections kept for each slice, at most; there are three.
-const MOST_LOSS_REASONS: usize = 8;
+const MAX_LOSS_REASONS: usize = 8;
 
 /// Counts of a slice, with what the causes need to be told from each other.
 #[derive(Clone, Debug, Default)]
@@ -27,17 +27,17 @@
     /// Most agents missing in a search that only gone agents held up.
     pub(super) missing: u64,
     /// Most agents that lacked the flow in such a search.
-    pub(super) lacks: u64,
+    pub(super) not_owned: u64,
     /// Most agents of a service that a balancer knew when it refused.
     pub(super) agents: u64,
     /// Most of them that were cold.
     pub(super) cold: u64,
     /// Balancers whose links became full.
-    pub(super) full_links: BTreeSet<u32>,
+    pub(super) congested_links: BTreeSet<u32>,
     /// Lost elections by reason.
     pub(super) elections_lost: BTreeMap<String, u64>,
     /// Moments of the first and the last lost election, in milliseconds.
-    pub(super) lost_between: Option<(u64, u64)>,
+    pub(super) election_loss_period: Option<(u64, u64)>,
     /// The longest time, in milliseconds, that such a link needed for what waited.
     pub(super) link_wait: u64,
 }
@@ -50,12 +50,12 @@
             match column {
                 Column::BlockedByAbsent => {
                     self.missing = self.missing.max(number(line, "missing").unwrap_or(0));
-                    self.lacks = self.lacks.max(number(line, "lacks").unwrap_or(0));
+                    self.not_owned = self.not_owned.max(number(line, "lacks").unwrap_or(0));
                 }
                 Column::ElectionLost => self.note_lost_election(line),
                 Column::Suspected => insert(&mut self.suspected, agent),
                 Column::LinkCongested => {
-                    insert(&mut self.full_links, Some(node));
+                    insert(&mut self.congested_links, Some(node));
                     self.link_wait = self.link_wait.max(number(line, "wait").unwrap_or(0));
                 }
                 _ => {}
@@ -75,16 +75,16 @@
         }
         self.lines += other.lines;
         self.missing = self.missing.max(other.missing);
-        self.lacks = self.lacks.max(other.lacks);
+        self.not_owned = self.not_owned.max(other.not_owned);
         self.agents = self.agents.max(other.agents);
         self.cold = self.cold.max(other.cold);
         self.link_wait = self.link_wait.max(other.link_wait);
         for (reason, count) in &other.elections_lost {
             *self.elections_lost.entry(reason.clone()).or_default() += count;
         }
-        self.extend_lost_between(other.lost_between);
-        for name in &other.full_links {
-            insert(&mut self.full_links, Some(*name));
+        self.extend_election_loss_period(other.election_loss_period);
+        for name in &other.congested_links {
+            insert(&mut self.congested_links, Some(*name));
         }
         for name in &other.suspected {
             insert(&mut self.suspected, Some(*name));
@@ -96,15 +96,16 @@
 
     fn note_lost_election(&mut self, line: &LogLine) {
         let reason = line.value("reason").unwrap_or("-");
-        if self.elections_lost.len() < MOST_LOSS_REASONS {
+        if self.elections_lost.len() < MAX_LOSS_REASONS {
             *self.elections_lost.entry(reason.to_owned()).or_default() += 1;
         }
-        self.extend_lost_between(line.millis().map(|at| (at, at)));
+        self.extend_election_loss_period(line.millis().map(|at| (at, at)));
     }
 
-    fn extend_lost_between(&mut self, more: Option<(u64, u64)>) {
-        let both = self.lost_between.into_iter().chain(more);
-        self.lost_between = both.reduce(|one, other| (one.0.min(other.0), one.1.max(other.1)));
+    fn extend_election_loss_period(&mut self, more: Option<(u64, u64)>) {
+        let both = self.election_loss_period.into_iter().chain(more);
+        self.election_loss_period =
+            both.reduce(|one, other| (one.0.min(other.0), one.1.max(other.1)));
     }
 
     pub(super) fn count(&self, column: Column) -> u64 {
@@ -124,7 +125,7 @@
 }
 
 fn insert(names: &mut BTreeSet<u32>, name: Option<u32>) {
-    if names.len() < MOST_NAMES {
+    if names.len() < MAX_NAMES {
         names.extend(name);
     }
 }
--- a/crates/petrellatch/src/logs/version_timeline.rs
+++ b/crates/petrellatch/src/logs/version_timeline.rs
@@ -13,7 +13,7 @@
 pub struct VersionTimeline {
     version: u64,
     lines: Vec<LogLine>,
-    without: Vec<String>,
+    nodes_without: Vec<String>,
 }
 
 impl VersionTimeline {
@@ -23,25 +23,25 @@
             let named = line.value("version").and_then(|it| it.parse().ok());
             named == Some(version) && !line.subject.contains("flow=")
         };
-        let answered = format!("answer=accepted({version})");
-        let told = lines
+        let accepted = format!("answer=accepted({version})");
+        let included = lines
             .iter()
-            .filter(|line| is_about(line) || line.subject.contains(&answered));
+            .filter(|line| is_about(line) || line.subject.contains(&accepted));
         VersionTimeline {
             version,
-            lines: told.cloned().collect(),
-            without: without(lines, version),
+            lines: included.cloned().collect(),
+            nodes_without: nodes_without(lines, version),
         }
     }
 
     /// Balancers without the version.
     pub fn nodes_without(&self) -> &[String] {
-        &self.without
+        &self.nodes_without
     }
 }
 
 /// Nodes that applied some version, but neither this one nor a newer one.
-fn without(lines: &[LogLine], version: u64) -> Vec<String> {
+fn nodes_without(lines: &[LogLine], version: u64) -> Vec<String> {
     let applied: Vec<(&str, u64)> = lines
         .iter()
         .filter(|line| line.event == EventKind::ConfigurationApplied.name())
@@ -51,7 +51,7 @@
     let has = |node: &str| {
         applied
             .iter()
-            .any(|(it, held)| *it == node && *held >= version)
+            .any(|(it, applied)| *it == node && *applied >= version)
     };
     let without = nodes.into_iter().filter(|node| !has(node));
     without.map(str::to_owned).collect()
@@ -66,7 +66,7 @@
         if self.lines.is_empty() {
             writeln!(formatter, "missing: every line about it")?;
         }
-        for node in &self.without {
+        for node in &self.nodes_without {
             writeln!(formatter, "missing: neither it nor a newer one at {node}")?;
         }
         Ok(())
--- a/crates/petrellatch/tests/logs.rs
+++ b/crates/petrellatch/tests/logs.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn lines_are_ordered_by_time_whatever_digits_it_has() {
+fn lines_are_ordered_by_time_whatever_its_number_of_digits() {
     let texts = [
         line("05:44:34.3789442", "b", "FlowPlaced", "flow=x"),
         line("05:44:34.37", "a", "FlowPlaced", "flow=x"),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_flow_that_met_an_older_version_is_explained_by_the_newer_one() {
+fn a_refusal_by_an_older_version_names_the_newer_one() {
     let texts = [
         line(
             "10:00:00.1",
@@ -65,10 +65,13 @@
             "version=10",
         ),
     ];
-    let story = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
-    assert!(story.cause().contains("had version 8"), "{story}");
-    assert!(story.cause().contains("accepted version 9"), "{story}");
-    let text = story.to_string();
+    let timeline = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
+    assert!(timeline.cause().contains("had version 8"), "{timeline}");
+    assert!(
+        timeline.cause().contains("accepted version 9"),
+        "{timeline}"
+    );
+    let text = timeline.to_string();
     assert!(text.contains("ConfigurationApplied version=9"), "{text}");
     assert!(
         !text.contains("version=10"),
@@ -77,7 +80,7 @@
 }
 
 #[test]
-fn what_is_missing_is_said() {
+fn missing_lines_are_reported() {
     let texts = [
         line(
             "10:00:00.1",
@@ -88,18 +91,18 @@
         line("10:00:01.0", "agent", "EntriesLeftOut", "40 entries"),
         line("10:00:01.0", "other", "EntriesLeftOut", "50 entries"),
     ];
-    let story = FlowTimeline::new(&lines(&texts), FLOW);
-    let missing = story.missing().join("; ");
+    let timeline = FlowTimeline::new(&lines(&texts), FLOW);
+    let missing = timeline.missing().join("; ");
     assert!(missing.contains("balancer"), "{missing}");
     assert!(missing.contains("40 entries at agent"), "{missing}");
     assert!(!missing.contains("50"), "{missing}");
-    let nothing = FlowTimeline::new(&lines(&texts), "100.64.0.7:9");
-    assert!(nothing.missing()[0].contains("every line"));
-    assert_eq!(nothing.cause(), "unknown");
+    let no_lines = FlowTimeline::new(&lines(&texts), "100.64.0.7:9");
+    assert!(no_lines.missing()[0].contains("every line"));
+    assert_eq!(no_lines.cause(), "unknown");
 }
 
 #[test]
-fn a_version_names_the_balancers_that_lack_it() {
+fn the_timeline_of_a_version_names_the_balancers_without_it() {
     let texts = [
         line(
             "10:00:00.1",
@@ -111,12 +114,12 @@
         line("10:00:00.2", "two", "ConfigurationApplied", "version=8"),
         line("10:00:00.3", "three", "ConfigurationApplied", "version=11"),
     ];
-    let story = VersionTimeline::new(&lines(&texts), 9);
-    assert_eq!(story.nodes_without(), ["two"]);
+    let timeline = VersionTimeline::new(&lines(&texts), 9);
+    assert_eq!(timeline.nodes_without(), ["two"]);
 }
 
 #[test]
-fn the_command_reads_standard_input_and_wants_one_subject() {
+fn the_command_reads_standard_input_and_requires_exactly_one_flow_or_version() {
     let program = env!("CARGO_BIN_EXE_petrellatch");
     let mut process = Command::new(program)
         .args(["logs", "--flow", FLOW])
@@ -151,9 +154,9 @@
 }
 
 #[test]
-fn a_refusal_is_explained_by_its_own_line_when_others_were_left_out() {
-    let refused = |answers: &str| {
-        let subject = format!("flow={FLOW} reason=no_agent version=8 {answers}");
+fn a_refusal_is_explained_by_its_own_line_when_other_lines_were_suppressed() {
+    let refused = |counts: &str| {
+        let subject = format!("flow={FLOW} reason=no_agent version=8 {counts}");
         let texts = [
             line("10:00:00.2", "balancer", "FlowRefused", &subject),
             line("10:00:01.0", "agent", "EntriesLeftOut", "3000 entries"),
@@ -170,15 +173,15 @@
         cold.contains("of 9 known agents 9 have cold back ends"),
         "{cold}"
     );
-    let nobody = refused("asked=0 full=0 late=0 other=0");
-    assert!(nobody.contains("knew no agent"), "{nobody}");
-    // Without the counts the line says nothing about agents.
+    let no_agent = refused("asked=0 full=0 late=0 other=0");
+    assert!(no_agent.contains("knew no agent"), "{no_agent}");
+    // Without the counts the line says no_lines about agents.
     let unknown = refused("");
     assert_eq!(unknown, "refused: no_agent");
 }
 
 #[test]
-fn a_flow_that_nobody_held_is_explained_by_what_the_agents_answered() {
+fn a_flow_without_an_owner_is_explained_by_the_replies_of_the_agents() {
     for (event, subject, cause) in [
         (
             "FlowGone",
@@ -226,8 +229,8 @@
             ),
             line("10:00:02.5", "balancer", event, &subject),
         ];
-        let story = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
-        assert!(story.cause().contains(cause), "{story}");
-        assert!(story.missing().is_empty(), "{story}");
+        let timeline = FlowTimeline::new(&lines(&texts), "100.64.0.7:4001");
+        assert!(timeline.cause().contains(cause), "{timeline}");
+        assert!(timeline.missing().is_empty(), "{timeline}");
     }
 }
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -23,7 +23,7 @@
     summary.report(None)
 }
 
-fn told(report: &SummaryReport) -> Vec<&str> {
+fn cause_texts(report: &SummaryReport) -> Vec<&str> {
     let causes = report.causes().iter();
     causes.map(|cause| cause.text.as_str()).collect()
 }
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn a_collapse_is_named_and_one_dead_agent_is_none() {
+fn a_congestion_collapse_is_reported_but_a_single_stopped_agent_is_not() {
     let collapsed = report(&collapse());
-    let causes = told(&collapsed);
+    let causes = cause_texts(&collapsed);
     assert_eq!(causes.len(), 1, "{causes:?}");
     assert!(causes[0].contains("1000 flows refused"), "{causes:?}");
     assert!(
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn callers_that_come_back_at_once_to_full_agents_are_no_collapse() {
+fn refusals_by_full_agents_without_repeated_suspicions_are_no_collapse() {
     let suspected = |text: &String| text.contains("AgentSuspected");
     let (suspicions, mut texts): (Vec<String>, Vec<String>) =
         collapse().into_iter().partition(suspected);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_collapse_in_which_answers_are_late_is_named_too() {
+fn a_collapse_with_late_replies_is_reported_too() {
     let late = collapse().into_iter().enumerate().map(|(number, text)| {
         let is_late = number % 8 > 1;
         let counts = if is_late {
@@ -116,18 +116,20 @@
 }
 
 #[test]
-fn an_agent_that_silences_the_verdicts_is_named() {
-    let lost = |number: u64, held: &str| {
-        let subject = format!("flow=100.64.0.7:{number}>198.18.0.1:80 {held}");
+fn inconclusive_searches_are_counted_by_what_blocked_them() {
+    let lost = |number: u64, counts: &str| {
+        let subject = format!("flow=100.64.0.7:{number}>198.18.0.1:80 {counts}");
         line(8_000 + number, "front-1", "FlowNotFound", &subject)
     };
     let stopped = "rounds=5 missing=1 expected=0 uncertain=0 tried=0 lacks=44";
     // One that waited for an answer before it closed the flow was owed a word.
     let closed = "rounds=5 missing=1 expected=0 uncertain=0 tried=0 lacks=44 \
                   directory_whole=true awaits=true ended=true";
-    let held = |number| if number % 2 == 0 { stopped } else { closed };
-    let mut texts: Vec<String> = (0..700).map(|number| lost(number, held(number))).collect();
-    for (number, held) in [
+    let counts = |number| if number % 2 == 0 { stopped } else { closed };
+    let mut texts: Vec<String> = (0..700)
+        .map(|number| lost(number, counts(number)))
+        .collect();
+    for (number, counts) in [
         (
             700,
             "rounds=5 missing=3 expected=2 uncertain=0 tried=0 lacks=42",
@@ -153,10 +155,10 @@
             "rounds=0 missing=0 expected=0 uncertain=0 tried=0 lacks=0",
         ),
     ] {
-        texts.push(lost(number, held));
+        texts.push(lost(number, counts));
     }
     let report = report(&texts);
-    let causes = told(&report);
+    let causes = cause_texts(&report);
     assert_eq!(causes.len(), 1, "{causes:?}");
     for part in [
         "706 flows sought without a verdict",
@@ -169,7 +171,7 @@
     ] {
         assert!(causes[0].contains(part), "{part}: {causes:?}");
     }
-    let held = [
+    let blocked = [
         Column::BlockedByAbsent,
         Column::BlockedByLate,
         Column::BlockedByUncertain,
@@ -178,13 +180,13 @@
         Column::NoResponseAwaited,
     ];
     assert_eq!(
-        held.map(|column| report.total(column)),
+        blocked.map(|column| report.total(column)),
         [700, 1, 1, 1, 1, 1]
     );
 }
 
 #[test]
-fn starts_come_before_the_refusals_that_they_cause() {
+fn restarts_are_reported_before_the_refusals_that_they_cause() {
     let mut texts = vec![
         line(1_000, "side-1", "ProcessStarted", "agent first_start=true"),
         line(1_000, "front-1", "ProcessStarted", "balancer"),
@@ -199,7 +201,7 @@
         line(4_200 + number, "front-1", "FlowRefused", &subject)
     }));
     let report = report(&texts);
-    let causes = told(&report);
+    let causes = cause_texts(&report);
     assert_eq!(
         causes,
         [
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn a_day_of_lines_is_held_in_few_slices() {
+fn a_day_of_lines_fits_in_thirty_slices() {
     let mut summary = Summary::default();
     for second in 0..86_400_u64 {
         let clock = format!(
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn the_command_prints_json_for_tools_and_refuses_mixed_questions() {
+fn the_command_prints_json_and_refuses_conflicting_options() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("all.log");
     std::fs::write(&file, collapse().join("\n")).expect("it is written");
@@ -267,15 +269,15 @@
 }
 
 #[test]
-fn full_links_are_told_on_a_line_of_their_own() {
-    let full = (0..6).map(|number: u64| {
+fn congested_links_are_reported_as_a_cause() {
+    let congested = (0..6).map(|number: u64| {
         let balancer = format!("front-{}", number % 3);
         let subject = format!("wait={} copies=0 dropped=0", 100 + number);
         line(3_000 + 10 * number, &balancer, "LinkFull", &subject)
     });
-    let full: Vec<String> = full.collect();
-    let report = report(&full);
-    let causes = told(&report);
+    let congested: Vec<String> = congested.collect();
+    let report = report(&congested);
+    let causes = cause_texts(&report);
     assert_eq!(causes.len(), 1, "{causes:?}");
     let expected = "links of 3 balancers became FULL, 6 times";
     assert!(causes[0].contains(expected), "{causes:?}");
@@ -283,7 +285,7 @@
 }
 
 #[test]
-fn lost_elections_are_told_on_a_line_of_their_own_with_first_and_last_moment() {
+fn lost_elections_are_reported_with_the_times_of_the_first_and_the_last() {
     let lost = [
         (3_257, "core-1", "term=3 reason=denied"),
         (3_259, "core-2", "term=3 reason=denied"),
@@ -295,7 +297,7 @@
         .collect();
     lines.push(line(3_497, "core-1", "LeaderElected", "term=5"));
     let report = report(&lines);
-    let causes = told(&report);
+    let causes = cause_texts(&report);
     let expected = "elections LOST: 3 (2 denied, 1 higher_term), first 3.257, last 3.486";
     assert!(causes.contains(&expected), "{causes:?}");
     assert!(causes.contains(&"elections: 1"), "{causes:?}");
