--- a/crates/petrellatch/src/settings/flags.rs
+++ b/crates/petrellatch/src/settings/flags.rs
@@ -16,22 +16,22 @@
 const COMMAND_LINE: &str = "command line";
 
 /// Puts the flags over the file; notes those that can't be read.
-pub(super) fn put_flags(
+pub(super) fn apply_flags(
     file: &mut SettingsFile,
     flags: &DaemonOptions,
     problems: &mut Vec<SettingsProblem>,
 ) {
     let node = &mut file.node;
-    put_flag(&mut node.name, "node.name", &flags.name, problems);
-    put_flag(&mut node.zone, "node.zone", &flags.zone, problems);
-    put_flag(
+    apply_flag(&mut node.name, "node.name", &flags.name, problems);
+    apply_flag(&mut node.zone, "node.zone", &flags.zone, problems);
+    apply_flag(
         &mut node.data_folder,
         "node.data_folder",
         &flags.data_folder,
         problems,
     );
     let key_file = &mut file.cluster.key_file;
-    put_flag(key_file, "cluster.key_file", &flags.key_file, problems);
+    apply_flag(key_file, "cluster.key_file", &flags.key_file, problems);
     let addresses = &mut file.addresses;
     for (target, key, flag) in [
         (
@@ -56,29 +56,29 @@
             &flags.fabric_address,
         ),
     ] {
-        put_flag(target, key, flag, problems);
+        apply_flag(target, key, flag, problems);
     }
     let list_url = &mut file.platform.list_url;
-    put_flag(
+    apply_flag(
         list_url,
         "platform.list_url",
         &flags.platform_list_url,
         problems,
     );
     let health_path = &mut file.backends.health_path;
-    put_flag(
+    apply_flag(
         health_path,
         "backends.health_path",
         &flags.health_path,
         problems,
     );
-    put_word(
+    apply_enum_flag(
         &mut file.log.format,
         "log.format",
         &flags.log_format,
         problems,
     );
-    put_word(&mut file.log.level, "log.level", &flags.log_level, problems);
+    apply_enum_flag(&mut file.log.level, "log.level", &flags.log_level, problems);
     if !flags.replica.is_empty() {
         file.cluster.replicas = flags
             .replica
@@ -88,7 +88,7 @@
     }
 }
 
-fn put_flag<T>(
+fn apply_flag<T>(
     target: &mut Option<T>,
     key: &str,
     flag: &Option<String>,
@@ -104,8 +104,8 @@
     }
 }
 
-/// Like [`put_flag`], for values that are words of a closed list.
-fn put_word<T>(
+/// Like [`apply_flag`], for values that are words of a closed list.
+fn apply_enum_flag<T>(
     target: &mut Option<T>,
     key: &str,
     flag: &Option<String>,
--- a/crates/petrellatch/src/settings/load.rs
+++ b/crates/petrellatch/src/settings/load.rs
@@ -108,11 +108,11 @@
             Some(Value::Table(inner)) => remove(inner, rest),
             Some(Value::Array(items)) => {
                 let index = rest[0].parse::<usize>().unwrap_or(usize::MAX);
-                let present = index < items.len();
-                if present {
+                let exists = index < items.len();
+                if exists {
                     items.remove(index);
                 }
-                present
+                exists
             }
             _ => false,
         },
--- a/crates/petrellatch/src/settings/resolve.rs
+++ b/crates/petrellatch/src/settings/resolve.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use super::flags::put_flags;
+use super::flags::apply_flags;
 use super::keys;
 use super::problem::SettingsProblem;
 use super::settings_file::{ReplicaSettings, SettingsFile};
@@ -110,7 +110,7 @@
     role: Option<Role>,
 ) -> Result<Settings, Vec<SettingsProblem>> {
     let mut problems = Vec::new();
-    put_flags(&mut file, flags, &mut problems);
+    apply_flags(&mut file, flags, &mut problems);
     let mut resolver = Resolver {
         file_name,
         role,
@@ -209,7 +209,7 @@
         );
         if lease < heartbeat.saturating_mul(MIN_HEARTBEATS_PER_LEASE) {
             let message = format!("is shorter than three heartbeats of {heartbeat} ms");
-            self.wrong("timing.lease_milliseconds", lease.to_string(), message);
+            self.report("timing.lease_milliseconds", lease.to_string(), message);
         }
         Timing {
             heartbeat: Duration::from_millis(heartbeat),
@@ -222,33 +222,33 @@
     fn name(&mut self, key: &str, value: &Option<String>) -> String {
         let name = self.required(key, value);
         if value.is_some() && !is_name(&name) {
-            self.wrong(key, format!("{name:?}"), "is not a name".to_string());
+            self.report(key, format!("{name:?}"), "is not a name".to_string());
         }
         name
     }
 
     fn replicas(&mut self, replicas: &[ReplicaSettings]) -> Vec<ReplicaSettings> {
         let count = replicas.len();
-        let missing = count == 0 && self.role.is_none();
-        if !missing && !REPLICA_COUNTS.contains(&count) {
+        let is_optional = count == 0 && self.role.is_none();
+        if !is_optional && !REPLICA_COUNTS.contains(&count) {
             let message = format!("names {count} replicas");
-            self.wrong("cluster.replicas", String::new(), message);
+            self.report("cluster.replicas", String::new(), message);
         }
         for (index, replica) in replicas.iter().enumerate() {
             if !is_name(&replica.name) {
                 let value = format!("{:?}", replica.name);
-                self.wrong("cluster.replicas.name", value, "is not a name".to_string());
+                self.report("cluster.replicas.name", value, "is not a name".to_string());
             }
             let earlier = &replicas[..index];
             if earlier.iter().any(|other| other.name == replica.name) {
                 let value = format!("{:?}", replica.name);
                 let message = "stands there twice".to_string();
-                self.wrong("cluster.replicas.name", value, message);
+                self.report("cluster.replicas.name", value, message);
             }
             if earlier.iter().any(|other| other.control == replica.control) {
                 let value = replica.control.to_string();
                 let message = "is the address of two replicas".to_string();
-                self.wrong("cluster.replicas.control", value, message);
+                self.report("cluster.replicas.control", value, message);
             }
         }
         replicas.to_vec()
@@ -271,7 +271,7 @@
         if !replicas.any(|replica| replica.name == settings.name) {
             let value = format!("{:?}", settings.name);
             let message = "is not among cluster.replicas".to_string();
-            self.wrong("node.name", value, message);
+            self.report("node.name", value, message);
         }
     }
 
@@ -285,21 +285,21 @@
             && !text.starts_with(beginning)
         {
             let message = format!("does not begin with {beginning}");
-            self.wrong(key, format!("{text:?}"), message);
+            self.report(key, format!("{text:?}"), message);
         }
         value.clone()
     }
 
     fn fabric(&mut self, address: Option<SocketAddrV4>) -> SocketAddrV4 {
         if self.role == Some(Role::Agent) && address.is_none() {
-            self.wrong("addresses.fabric", String::new(), "is missing".to_string());
+            self.report("addresses.fabric", String::new(), "is missing".to_string());
         }
         address.unwrap_or(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0))
     }
 
     fn required<T: Clone + Default>(&mut self, key: &str, value: &Option<T>) -> T {
         if value.is_none() && self.role.is_some() {
-            self.wrong(key, String::new(), "is missing".to_string());
+            self.report(key, String::new(), "is missing".to_string());
         }
         value.clone().unwrap_or_default()
     }
@@ -313,12 +313,12 @@
     ) -> u64 {
         let number = value.unwrap_or(default);
         if !range.contains(&number) {
-            self.wrong(key, number.to_string(), "is out of range".to_string());
+            self.report(key, number.to_string(), "is out of range".to_string());
         }
         number
     }
 
-    fn wrong(&mut self, key: &str, value: String, message: String) {
+    fn report(&mut self, key: &str, value: String, message: String) {
         self.problems.push(SettingsProblem {
             file: self.file_name.to_string(),
             line: None,
--- a/crates/petrellatch/tests/settings_refusals.rs
+++ b/crates/petrellatch/tests/settings_refusals.rs
@@ -5,7 +5,7 @@
 
 use tempfile::TempDir;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [node]
 name = "agent-1"
 zone = "tarlac-hall"
@@ -37,12 +37,12 @@
         .expect("the program runs")
 }
 
-fn good_key() -> String {
+fn valid_key() -> String {
     "0123456789abcdef".repeat(2)
 }
 
 fn assert_refused(content: &str, expected: &[&str]) {
-    let (output, _folder) = check(content, &good_key());
+    let (output, _folder) = check(content, &valid_key());
     assert_refusal(&output, expected);
 }
 
@@ -55,34 +55,34 @@
 }
 
 #[test]
-fn a_good_file_passes() {
-    let (output, _folder) = check(GOOD, &good_key());
+fn a_valid_file_is_accepted() {
+    let (output, _folder) = check(VALID, &valid_key());
     let message = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(0), "{message}");
 }
 
 #[test]
 fn an_unknown_key_is_refused_with_the_known_ones() {
-    let content = GOOD.replace("zone =", "zoom =");
+    let content = VALID.replace("zone =", "zoom =");
     let expected = ["settings.toml:4: node.zoom", "\"tarlac-hall\"", "`zone`"];
     assert_refused(&content, &expected);
 }
 
 #[test]
 fn an_unknown_section_is_refused() {
-    let content = format!("{GOOD}\n[nodes]\nname = \"x\"\n");
+    let content = format!("{VALID}\n[nodes]\nname = \"x\"\n");
     assert_refused(&content, &["settings.toml:14: nodes", "unknown field"]);
 }
 
 #[test]
-fn broken_toml_is_refused_with_its_line() {
-    let content = GOOD.replace("name = \"agent-1\"", "name = \"agent-1");
+fn invalid_toml_is_refused_with_its_line() {
+    let content = VALID.replace("name = \"agent-1\"", "name = \"agent-1");
     assert_refused(&content, &["settings.toml:3:"]);
 }
 
 #[test]
 fn an_address_without_port_is_refused() {
-    let content = GOOD.replace("127.0.0.1:9000", "127.0.0.1");
+    let content = VALID.replace("127.0.0.1:9000", "127.0.0.1");
     let expected = [
         "settings.toml:12: addresses.fabric",
         "allowed: an IPv4 address and port",
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_number_out_of_range_is_refused() {
-    let content = format!("{GOOD}\n[timing]\nheartbeat_milliseconds = 1\n");
+    let content = format!("{VALID}\n[timing]\nheartbeat_milliseconds = 1\n");
     let expected = [
         "timing.heartbeat_milliseconds = 1",
         "out of range",
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_lease_shorter_than_three_heartbeats_is_refused() {
-    let content = format!("{GOOD}\n[timing]\nlease_milliseconds = 2000\n");
+    let content = format!("{VALID}\n[timing]\nlease_milliseconds = 2000\n");
     assert_refused(
         &content,
         &["timing.lease_milliseconds = 2000", "three heartbeats"],
@@ -112,7 +112,7 @@
 
 #[test]
 fn a_number_of_the_wrong_type_is_refused() {
-    let content = format!("{GOOD}\n[timing]\nstop_seconds = \"soon\"\n");
+    let content = format!("{VALID}\n[timing]\nstop_seconds = \"soon\"\n");
     assert_refused(
         &content,
         &["timing.stop_seconds = \"soon\"", "from 1 to 86400"],
@@ -122,7 +122,7 @@
 #[test]
 fn two_replicas_are_refused() {
     let second = r#"[{ name = "control-2", control = "127.0.0.1:7401" }, "#;
-    let content = GOOD.replace("replicas = [", &format!("replicas = {second}"));
+    let content = VALID.replace("replicas = [", &format!("replicas = {second}"));
     assert_refused(
         &content,
         &["cluster.replicas: names 2 replicas", "1, 3 or 5"],
@@ -130,34 +130,34 @@
 }
 
 #[test]
-fn an_impossible_name_is_refused() {
-    let content = GOOD.replace("agent-1", "agent 1");
+fn an_invalid_name_is_refused() {
+    let content = VALID.replace("agent-1", "agent 1");
     assert_refused(&content, &["node.name = \"agent 1\"", "1 to 64 letters"]);
 }
 
 #[test]
 fn a_missing_key_is_refused() {
-    let content = GOOD.replace("fabric = \"127.0.0.1:9000\"", "");
+    let content = VALID.replace("fabric = \"127.0.0.1:9000\"", "");
     assert_refused(&content, &["addresses.fabric: is missing"]);
 }
 
 #[test]
-fn a_bad_word_is_refused_with_the_allowed_ones() {
-    let content = format!("{GOOD}\n[log]\nlevel = \"loud\"\n");
+fn an_unknown_log_level_is_refused_with_the_allowed_ones() {
+    let content = format!("{VALID}\n[log]\nlevel = \"loud\"\n");
     assert_refused(&content, &["log.level = \"loud\"", "\"debug\", \"info\""]);
 }
 
 #[test]
-fn a_broken_cluster_key_is_refused_without_showing_it() {
+fn an_invalid_cluster_key_is_refused_without_printing_it() {
     let key = "0123456789abcdef0123456789abcdeg";
-    let (output, _folder) = check(GOOD, key);
+    let (output, _folder) = check(VALID, key);
     assert_refusal(&output, &["cluster.key_file", "32 hexadecimal digits"]);
     assert!(!String::from_utf8_lossy(&output.stderr).contains(key));
 }
 
 #[test]
 fn all_problems_are_listed_in_one_run() {
-    let content = GOOD
+    let content = VALID
         .replace("zone =", "zoom =")
         .replace("127.0.0.1:9000", "nowhere")
         .replace("127.0.0.1:7400", "nowhere");
@@ -170,15 +170,15 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_refused() {
+fn a_missing_file_is_refused() {
     let output = run_check(Path::new("no-such-settings.toml"));
     assert_refusal(&output, &["no-such-settings.toml: can't read"]);
 }
 
 #[test]
-fn an_address_that_is_no_http_address_is_refused() {
-    let content = format!("{GOOD}\n[platform]\nlist_url = \"ftp://here\"\n");
+fn a_url_or_path_with_a_wrong_beginning_is_refused() {
+    let content = format!("{VALID}\n[platform]\nlist_url = \"ftp://here\"\n");
     assert_refused(&content, &["platform.list_url", "ftp://here", "http://"]);
-    let content = format!("{GOOD}\n[backends]\nhealth_path = \"health\"\n");
+    let content = format!("{VALID}\n[backends]\nhealth_path = \"health\"\n");
     assert_refused(&content, &["backends.health_path", "begins with /"]);
 }
