--- a/crates/petrellatch-core/src/event.rs
+++ b/crates/petrellatch-core/src/event.rs
@@ -1,32 +1,32 @@
-//! Numbered events that the state machines report for the log.
+//! Numbered events that the state machines emit for the log.
 
-/// How serious an event is.
+/// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Severity {
-    /// Of interest when looking for a fault.
+    /// Useful when analyzing a fault.
     Debug,
     /// Normal operation.
     Info,
-    /// Something an operator may want to look at.
+    /// May need the attention of an operator.
     Warning,
-    /// Something an operator has to look at.
+    /// Needs the attention of an operator.
     Error,
 }
 
 macro_rules! events {
     ($($(#[doc = $documentation:literal])* $name:ident = $number:literal, $severity:ident;)*) => {
-        /// The closed list of events. The catalogue in `docs/EVENTS.md` is
-        /// checked against it by a test.
+        /// The kinds of events. A test compares them with the catalogue in
+        /// `docs/EVENTS.md`.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum EventKind {
             $($(#[doc = $documentation])* $name,)*
         }
 
         impl EventKind {
-            /// All kinds by number.
+            /// All kinds, in ascending order of their numbers.
             pub const ALL: &'static [EventKind] = &[$(EventKind::$name,)*];
 
-            /// Returns the number, which never changes its meaning.
+            /// Returns the number. The meaning of a number never changes.
             pub const fn number(self) -> u16 {
                 match self { $(EventKind::$name => $number,)* }
             }
@@ -41,7 +41,7 @@
                 match self { $(EventKind::$name => Severity::$severity,)* }
             }
 
-            /// Returns the explanation that the catalogue gives.
+            /// Returns the explanation for the catalogue.
             pub const fn explanation(self) -> &'static str {
                 match self { $(EventKind::$name => concat!($($documentation),*),)* }
             }
@@ -52,7 +52,7 @@
 events! {
     /// The process started and serves its addresses.
     ProcessStarted = 100, Info;
-    /// The process was asked to stop and finishes what it has.
+    /// The process was asked to stop and finishes its work.
     ProcessStopping = 101, Info;
     /// The process stopped.
     ProcessStopped = 102, Info;
@@ -62,39 +62,39 @@
     ViewNotStored = 104, Warning;
     /// The stored copy of the cluster view is damaged and is not used.
     StoredViewIgnored = 105, Warning;
-    /// The platform's list of machines can't be read; the last one holds.
+    /// The platform's list of machines can't be read; the last list stays active.
     PlatformListMissing = 106, Warning;
     /// A control replica became leader.
     LeaderElected = 200, Info;
-    /// A control replica stopped being leader.
+    /// A control replica is no longer leader.
     LeaderSteppedDown = 201, Info;
     /// An operator's change was accepted.
     ChangeAccepted = 202, Info;
     /// An operator's change was refused.
     ChangeRefused = 203, Info;
-    /// The torn end of the log was cut off at start.
+    /// An incomplete entry at the end of the log was cut off at start.
     LogTailCut = 204, Warning;
     /// A replica without its disk asked to join again.
     ReplicaRejoining = 205, Warning;
     /// The set of replicas changed.
     ReplicasChanged = 206, Info;
-    /// A control replica stood for election, and that term ended before it heard a leader.
+    /// A control replica was a candidate in a term that ended without a leader known to it.
     ElectionLost = 207, Warning;
     /// A balancer or agent was registered.
     MemberRegistered = 300, Info;
     /// A member stopped sending heartbeats.
     MemberSuspected = 301, Warning;
-    /// A life of a member was fenced: it can admit nothing any more.
+    /// An incarnation of a member was fenced: it can admit nothing any more.
     MemberFenced = 302, Warning;
     /// A daemon changed its parent in the dissemination tree.
     ParentChanged = 303, Info;
     /// A daemon applied a snapshot.
     SnapshotApplied = 304, Info;
-    /// A daemon is current: it has what was committed when it asked.
+    /// A daemon is up to date: it has everything that was committed when it asked.
     BecameCurrent = 305, Info;
-    /// An agent's admission lease ran out.
+    /// An agent's admission lease expired.
     LeaseExpired = 400, Warning;
-    /// An agent received an admission lease after it had none.
+    /// An agent without an admission lease acquired one.
     LeaseAcquired = 401, Info;
     /// A placement generation took effect at an agent.
     PlacementApplied = 402, Debug;
@@ -106,61 +106,61 @@
     BackendReachable = 405, Info;
     /// A service has no eligible back end.
     NoEligibleBackend = 406, Error;
-    /// A new flow was offered to an agent that passes packets through.
+    /// A new flow was offered to an agent of the pass-through tier.
     FlowPlaced = 500, Info;
-    /// A new flow was refused because no agent takes it.
+    /// A new flow was refused: it has no route, or no agent accepted it.
     FlowRefused = 501, Info;
-    /// A packet belongs to a flow whose agent is not known; agents are asked.
+    /// A flow search started: a packet belongs to a flow whose agent is not known.
     FlowSought = 502, Info;
-    /// An agent did not answer an opening packet in time.
+    /// An agent did not reply to the offer of a new flow in time and is suspected.
     AgentSuspected = 503, Warning;
-    /// A suspected agent answered again.
+    /// A suspected agent replied again.
     AgentReturned = 504, Info;
     /// An agent declined a new flow.
     FlowDeclined = 505, Info;
-    /// A back end returned a packet of a flow that it does not have.
+    /// A back end returned a packet of a flow that it does not own.
     PacketReturned = 506, Info;
-    /// A packet of an open flow was handed to an agent that does not answer.
+    /// A packet of an open flow was forwarded to a suspected agent.
     FlowStalled = 507, Info;
-    /// A packet of a flow that no agent knows was handed to those whose back ends may have it.
+    /// A packet of a flow without a known owner was delivered speculatively.
     FlowTried = 508, Info;
-    /// A flow was reset because no back end has it.
+    /// A flow was reset because no back end owns it.
     FlowGone = 509, Info;
     /// A back end registered itself at its agent.
     BackendRegistered = 510, Info;
-    /// A back end said that it leaves.
+    /// A back end is draining or deregistered itself.
     BackendLeaving = 511, Info;
-    /// A back end has been silent for too long.
+    /// A back end did not register for longer than the silence timeout.
     BackendSilent = 512, Warning;
-    /// The search for a flow ended without an answer; its caller has given up.
+    /// A flow search was inconclusive until the caller gave up.
     FlowNotFound = 513, Info;
-    /// A new flow that found the queue full waits for a place that is likely to come in time.
+    /// A new flow waits in the admission queue of a full agent; a slot is likely to free in time.
     FlowWaits = 514, Info;
-    /// A back end failed the requests that it got; it is left out for a while.
+    /// A back end failed its requests and was ejected for a while.
     BackendLeftOut = 515, Warning;
-    /// A back end that was left out answers requests again.
+    /// An ejected back end responds to requests again.
     BackendRecovered = 516, Info;
-    /// A service has no room for new flows of a priority, or for more or fewer priorities than before.
+    /// A service became overloaded for new flows of a priority, or the affected priorities changed.
     ServicePressed = 517, Warning;
-    /// A service has had room for all new flows for a second.
+    /// A service has had capacity for all new flows for a second.
     PressureEnded = 518, Info;
-    /// A call that names no back end to use was refused at an agent.
+    /// An agent refused a registration or an invalid request.
     RegistrationRefused = 519, Warning;
-    /// A balancer has a newer configuration in force.
+    /// A newer configuration is active at a balancer.
     ConfigurationApplied = 520, Info;
-    /// The configuration was replaced under a newer version.
+    /// The configuration was replaced by a newer version.
     ConfigurationReplaced = 521, Info;
     /// A replacement of the configuration was not accepted.
     ReplacementRefused = 522, Info;
-    /// An operator's request was answered.
+    /// An operator's request got its response.
     RequestAnswered = 523, Info;
-    /// A zone was taken out of service by an order of an operator.
+    /// A zone was evacuated by a command of an operator.
     ZoneEvacuated = 524, Info;
-    /// A zone was taken back into service by an order of an operator.
+    /// A zone was restored by a command of an operator.
     ZoneRestored = 525, Info;
-    /// An order about a zone was refused; nothing of it was done.
+    /// A zone command was refused and changed nothing.
     ZoneOrderRefused = 526, Warning;
-    /// A daemon goes by newer orders about zones.
+    /// Newer zone commands are active at a daemon.
     ZonesApplied = 527, Info;
     /// The process became ready for traffic.
     BecameReady = 530, Info;
@@ -168,52 +168,52 @@
     BecameUnready = 531, Info;
     /// The settings were read again.
     SettingsReloaded = 532, Info;
-    /// Changed settings can't be used; the former ones hold.
+    /// Changed settings are invalid; the previous ones stay active.
     SettingsIgnored = 533, Warning;
-    /// A write to the data folder failed and is tried again.
+    /// A write to the data folder failed and is retried.
     WriteFailed = 534, Error;
-    /// Entries were left out to keep the log's volume bounded.
+    /// Log entries were suppressed by the rate limit of the log.
     EntriesLeftOut = 535, Warning;
-    /// The daemons of the former life can't be read or saved; they find the group
+    /// The saved daemons can't be read or written; daemons find the replica group
     /// by their settings.
     DaemonMemoryFailed = 536, Warning;
-    /// The link of a balancer carries less than is to be sent; packets wait.
+    /// A balancer's link is congested: there is more to send than it carries, and packets wait.
     LinkFull = 537, Warning;
-    /// Nothing has waited for a balancer's link for a second.
+    /// No packet has waited for a balancer's link for a second.
     LinkClear = 538, Info;
-    /// A replica has no room for the record of an agent's open flows.
+    /// A replica has no memory left for the flow record of an agent.
     FlowRecordRefused = 539, Warning;
-    /// An agent that started knows what replicas kept of its former life's flows.
+    /// An agent that started finished the recovery of its previous incarnation's flow record.
     FormerFlowsRecalled = 540, Info;
-    /// The records of open flows can't be read or written; they are kept in memory.
+    /// The flow records can't be read or written on disk; they are kept in memory.
     FlowRecordsNotSaved = 541, Warning;
-    /// Returned packets show that a life of a back end is over; the callers of its flows are told.
+    /// Returned packets show that an incarnation of a back end has ended; its callers are notified.
     LifeOver = 545, Info;
-    /// Packets were handed to a back end that may be another one, and showed nothing.
+    /// A restart probe of a back end that may have restarted was inconclusive.
     LifeUndecided = 546, Info;
-    /// An agent took over the flows that a former life of it had recorded.
+    /// An agent took over the flows that its previous incarnation had recorded.
     FlowsTakenOver = 547, Info;
-    /// A flow of a life that is over was told to its caller, or to a balancer.
+    /// A caller or a balancer was notified that a flow is orphaned.
     FlowTold = 548, Info;
     /// A placement policy was put or removed by an operator.
     PolicyChanged = 550, Info;
-    /// A change of the placement policies was refused; nothing of it was done.
+    /// A change of the placement policies was refused and changed nothing.
     PolicyRefused = 551, Warning;
-    /// A balancer goes by newer placement policies.
+    /// Newer placement policies are active at a balancer.
     PoliciesApplied = 552, Info;
 }
 
-/// One event with what it is about.
+/// An event with its subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// To what or whom, in a few words.
+    /// The subject: words, or `name=value` pairs.
     pub subject: String,
 }
 
 impl Event {
-    /// Makes an event.
+    /// Creates an event.
     pub fn new(kind: EventKind, subject: impl Into<String>) -> Self {
         Event {
             kind,
