--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -1,4 +1,4 @@
-//! The process of an agent.
+//! The event loop of an agent.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -24,21 +24,22 @@
 use super::settings::{AgentRoleSettings, PassThroughSettings};
 use super::settings_watcher::SettingsWatcher;
 
-/// Between two reports to the control group.
+/// Interval between reports to the replica group.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// A back end that missed so many registrations gets no new flows.
+/// Number of registration intervals without a registration after which a back end
+/// counts as silent and gets no new flows.
 const MISSED_REGISTRATIONS: u32 = 5;
-/// A new agent waits so many intervals for its back end's first registration
-/// while it admits because the back end is alive.
+/// Number of registration intervals for which a new agent admits flows without a
+/// registration, because its back end is alive.
 const PROVISIONAL_REGISTRATIONS: u32 = 2;
-/// A full agent queues so many requests for each slot, if all others are full.
+/// Number of queue positions per slot of the back end, used if all agents are full.
 const QUEUE_FACTOR: u32 = 2;
-/// How long a stopping agent waits for its flows, at most half of the stop
-/// limit.
+/// How long a stopping agent waits for its open flows; limited to half of the stop
+/// timeout.
 const STOP_DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Receive buffer of the system for packets, in bytes.
+/// Size of the system's receive buffer for packets, in bytes.
 const PACKET_BUFFER_BYTES: usize = 1024 * 1024;
-/// Largest body of a request.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES: usize = 16 * 1024;
 
 pub(super) fn run<C: PacketCodec, T: ApiTranslator>(
--- a/crates/petrellatch/src/runtime/pass_through/api_translator.rs
+++ b/crates/petrellatch/src/runtime/pass_through/api_translator.rs
@@ -1,4 +1,5 @@
-//! What HTTP calls mean: the edge between formats of callers and the product.
+//! Translation between the HTTP formats of operators and back ends and the requests
+//! and responses of this crate.
 
 use std::net::SocketAddrV4;
 
@@ -8,74 +9,80 @@
 
 use crate::http::{HttpRequest, HttpResponse};
 
-/// A call, translated.
+/// A translated HTTP request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiRequest {
-    /// Whether traffic may come.
+    /// Asks whether the process is ready for traffic.
     Readiness,
-    /// A back end registers itself.
+    /// Registers a back end, or renews its registration.
     Register(Registration),
-    /// A back end takes its leave.
+    /// Deregisters a back end.
     Deregister {
-        /// The back end.
+        /// Id of the back end.
         id: String,
     },
-    /// Replace the configuration.
+    /// Replaces the configuration.
     Replace(Configuration),
-    /// Read the configuration.
+    /// Reads the newest configuration.
     Read,
-    /// Take a zone out of service, or back into it.
+    /// Evacuates a zone or restores it.
     SetZoneEvacuated {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it goes out of service.
+        /// True to evacuate the zone, false to restore it.
         evacuated: bool,
-        /// Whether a service may be left without any zone.
+        /// Whether to accept the command even if it leaves a service without any zone.
         allow_last: bool,
     },
-    /// A call about placement policies; [`ApiTranslator`] translates none.
+    /// A request about placement policies. An [`ApiTranslator`] never returns it:
+    /// `policy_api` parses these requests.
     Policies(ConfigurationRequest),
 }
 
-/// The answer to a call.
+/// The response to an [`ApiRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ApiResponse {
-    /// Whether traffic may come.
+    /// Readiness of the process.
     Readiness {
-        /// Whether it may.
+        /// Whether the process is ready for traffic.
         ready: bool,
     },
-    /// The back end's call holds from now on.
+    /// The registration or deregistration took effect.
     Registered,
-    /// The call names no back end to use, and changes nothing.
+    /// The registration was refused and changed nothing.
     RegistrationRefused(RegistrationRefusal),
-    /// The version, or a higher one, is accepted for good.
+    /// The replacement, or a newer version, is committed.
     Accepted {
-        /// The version that is held.
+        /// The committed version.
         version: u64,
     },
     /// The newest configuration.
     Configuration(Configuration),
-    /// The order about a zone holds for good.
+    /// The zone command is committed.
     ZoneCommandApplied,
-    /// The order about a zone is refused, and nothing of it is done.
+    /// The zone command was refused and changed nothing.
     ZoneCommandRefused(ZoneCommandRefusal),
-    /// Another replica leads.
+    /// Another replica is the leader.
     NotLeader {
-        /// Its address for operators.
+        /// Operator address (HTTP) of the leader.
         operator_address: SocketAddrV4,
     },
-    /// The outcome is not known; ask again.
+    /// The outcome is not known, or no leader is; the request may be sent again
+    /// unchanged.
     Unavailable,
-    /// This process does not serve such calls.
+    /// Processes of this role don't serve the request.
     NotServed,
 }
 
-/// Translates calls and answers. It decides nothing and remembers nothing.
+/// Translates HTTP requests and responses, without state and without decisions.
 pub trait ApiTranslator {
-    /// Translates a request, or refuses it as it can't be understood.
+    /// Translates a request.
+    ///
+    /// # Errors
+    ///
+    /// The request can't be parsed; the response to send instead is returned.
     fn translate_request(&self, request: &HttpRequest) -> Result<ApiRequest, HttpResponse>;
 
-    /// Translates an answer.
+    /// Translates the response to `request`.
     fn translate_response(&self, request: &HttpRequest, response: &ApiResponse) -> HttpResponse;
 }
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -1,4 +1,4 @@
-//! The process of a balancer.
+//! The event loop of a balancer.
 
 use std::net::SocketAddrV4;
 
@@ -22,15 +22,16 @@
 use super::settings::{BalancerRoleSettings, PassThroughSettings};
 use super::settings_watcher::SettingsWatcher;
 
-/// Between two questions for news.
+/// Interval between polls of the replicas for updates.
 const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a stopping balancer goes on, at most half of the stop limit: until
-/// routers that ask twice a second have missed it twice. Longer stops overlap
-/// where balancers are stopped in turn.
+/// How long a stopping balancer goes on forwarding packets: until routers that check
+/// its readiness twice a second have seen two checks fail. With a longer delay the
+/// stops of balancers that are stopped one after the other would overlap. The delay is
+/// limited to half of the stop timeout.
 const STOP_DELAY: Duration = Duration::from_millis(1_150);
-/// Receive buffer of the system for packets, in bytes.
+/// Size of the system's receive buffer for packets, in bytes.
 const PACKET_BUFFER_BYTES: usize = 1024 * 1024;
-/// Largest body of a request.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES: usize = 4 * 1024;
 
 pub(super) fn run<C: PacketCodec, T: ApiTranslator>(
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -1,4 +1,4 @@
-//! What the event loops of all roles have in common.
+//! The part of the event loops that all roles share.
 
 use std::time::Duration;
 
@@ -18,27 +18,29 @@
 use super::settings_watcher::SettingsWatcher;
 use super::signals::Signals;
 
-/// Tokens of what a loop waits for; connections come after them.
+/// Tokens of the sockets and the waker that a loop polls.
 pub(super) const MESSAGES: Token = Token(0);
 pub(super) const PACKETS: Token = Token(1);
 pub(super) const HTTP: Token = Token(2);
 pub(super) const SECOND_HTTP: Token = Token(3);
 pub(super) const WAKE: Token = Token(4);
+/// First tokens of the connections of the two HTTP servers.
 pub(super) const FIRST_CONNECTION: usize = 1 << 8;
 pub(super) const SECOND_HTTP_FIRST_CONNECTION: usize = 1 << 40;
 
-/// Where every process tells its metrics.
+/// Path of the metrics of every process.
 const METRICS_PATH: &str = "/metrics";
-/// The longest wait; a signal to another thread is noticed by then.
+/// Maximum time of one wait. A signal that was delivered to another thread does not
+/// interrupt the wait and is noticed after it.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// Most events taken in one go.
+/// Maximum number of events of one wait.
 const EVENT_CAPACITY: usize = 64;
-/// Connections of one HTTP address.
+/// Maximum number of connections of one HTTP address.
 pub(super) const MAX_CONNECTIONS: usize = 128;
-/// Between two looks at idle connections.
+/// Interval between checks for idle connections.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Clock, selector, log, signals and settings of a process.
+/// Clock, poll, log, signals and settings watcher of a process.
 pub(super) struct EventLoop {
     pub(super) clock: ProcessClock,
     pub(super) poll: Poll,
@@ -51,16 +53,16 @@
     expire_at: Timestamp,
 }
 
-/// What a loop has to do after a wait.
+/// The tasks of a loop after a wait.
 #[derive(Debug, Default)]
 pub(super) struct Wakeup {
-    /// Tokens with something to read or write.
+    /// Tokens that are ready to read or write.
     pub(super) tokens: Vec<Token>,
-    /// A planned stop was asked for just now.
+    /// The first request for a planned stop has arrived.
     pub(super) begin_stop: bool,
-    /// Settings that were read again.
+    /// The settings, if they were read again.
     pub(super) settings: Option<PassThroughSettings>,
-    /// Idle connections are to be closed.
+    /// Idle connections must be closed.
     pub(super) expire_connections: bool,
 }
 
@@ -79,7 +81,8 @@
         })
     }
 
-    /// Waits until something happens, or until `deadline`.
+    /// Waits until a token is ready, a signal arrives or `deadline` is reached. Returns
+    /// at once if `has_backlog`, since a socket then still has datagrams to read.
     pub(super) fn wait(
         &mut self,
         deadline: Timestamp,
@@ -109,7 +112,7 @@
         })
     }
 
-    /// Logs a change of readiness.
+    /// Logs a change of readiness. `ready` is the present state.
     pub(super) fn note_ready(&mut self, ready: bool, subject: impl FnOnce() -> String) {
         if ready == self.was_ready {
             return;
@@ -141,9 +144,9 @@
     }
 }
 
-/// Answers the requests of one event. `handle` answers a call at once, or
-/// returns `None` if it will be answered later. Returns what was refused as it
-/// can't be understood, in a few words each.
+/// Serves the requests of one event. `handle` returns the response to a request, or
+/// `None` if the response will be sent later. Returns a description of each request
+/// that could not be parsed.
 pub(super) fn serve_requests<T: ApiTranslator>(
     now: Timestamp,
     server: &mut EventServer,
--- a/crates/petrellatch/src/runtime/pass_through/flow_record_writer.rs
+++ b/crates/petrellatch/src/runtime/pass_through/flow_record_writer.rs
@@ -1,5 +1,5 @@
-//! Writes the records of open flows on a thread of its own: neither the log's syncs nor
-//! the event loop may wait for them.
+//! Writes the flow records on a separate thread, so that neither the syncs of the log
+//! nor the event loop wait for these writes.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 
 use crate::error::ProgramError;
 
-/// Stack of the thread, in bytes.
+/// Stack size of the thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// The thread's ends of the channels.
+/// The event loop's ends of the channels to and from the thread.
 #[derive(Debug)]
 pub(super) struct FlowRecordWriter {
     requests: Sender<FlowRecordWrite>,
@@ -47,17 +47,17 @@
     }
 
     pub(super) fn write(&self, request: FlowRecordWrite) {
-        // The thread ends only with this sender.
+        // Sending can't fail: the thread runs until this sender is dropped.
         let _ = self.requests.send(request);
     }
 
-    /// How a write ended, if one has.
+    /// Returns the result of the oldest completed write that was not polled yet.
     pub(super) fn poll(&self) -> Option<Result<(), StorageError>> {
         self.results.try_recv().ok()
     }
 }
 
-/// The file of records of a data folder.
+/// Path of the flow record file in a data folder.
 pub(super) fn flow_record_path(data_folder: &std::path::Path) -> PathBuf {
     data_folder.join("flow-records")
 }
--- a/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
+++ b/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests with a real folder.
+//! Tests with a real folder and thread.
 
 use std::fs;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 use super::*;
 
-/// By then the thread has written, or never will.
+/// Time limit for one write by the thread.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct WriterHarness {
@@ -16,10 +16,10 @@
 }
 
 fn start(path: &std::path::Path) -> WriterHarness {
-    let poll = Poll::new().expect("a poll");
-    let waker = Waker::new(poll.registry(), Token(0)).expect("a waker");
+    let poll = Poll::new().expect("a poll is created");
+    let waker = Waker::new(poll.registry(), Token(0)).expect("a waker is created");
     let file = RecordFile::open(path).file;
-    let writer = FlowRecordWriter::start(file, Arc::new(waker)).expect("it starts");
+    let writer = FlowRecordWriter::start(file, Arc::new(waker)).expect("the writer starts");
     WriterHarness { poll, writer }
 }
 
@@ -33,40 +33,43 @@
                 return result;
             }
             let polled = self.poll.poll(&mut events, Some(WRITE_TIMEOUT));
-            polled.expect("it polls");
-            assert!(!events.is_empty(), "nobody woke the event loop");
+            polled.expect("the poll succeeds");
+            assert!(!events.is_empty(), "the thread did not wake the event loop");
         }
     }
 }
 
 #[test]
 fn written_records_are_loaded_after_a_restart() {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+    let scratch = tempfile::tempdir().expect("a temporary folder is created");
     let path = flow_record_path(scratch.path());
     let mut harness = start(&path);
     let append = |number| FlowRecordWrite::Append(vec![vec![number]]);
-    harness.write(append(1)).expect("it appends");
-    harness.write(append(2)).expect("it appends");
+    harness.write(append(1)).expect("the append succeeds");
+    harness.write(append(2)).expect("the append succeeds");
     assert_eq!(RecordFile::open(&path).records, [[1], [2]]);
     let replace = FlowRecordWrite::Replace(vec![vec![3]]);
-    harness.write(replace).expect("it replaces");
+    harness.write(replace).expect("the replacement succeeds");
     assert_eq!(RecordFile::open(&path).records, [[3]]);
 }
 
 #[test]
 fn a_missing_folder_is_an_error_and_a_replacement_succeeds_once_it_exists_again() {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+    let scratch = tempfile::tempdir().expect("a temporary folder is created");
     let folder = scratch.path().join("data");
-    fs::create_dir(&folder).expect("it is new");
+    fs::create_dir(&folder).expect("the folder is created");
     let path = flow_record_path(&folder);
     let mut harness = start(&path);
-    fs::remove_dir_all(&folder).expect("it is there");
+    fs::remove_dir_all(&folder).expect("the folder is removed");
     let append = || FlowRecordWrite::Append(vec![vec![1]]);
     let replace = || FlowRecordWrite::Replace(vec![vec![1]]);
     assert!(harness.write(append()).is_err());
-    assert!(harness.write(append()).is_err(), "it stays unusable");
+    assert!(
+        harness.write(append()).is_err(),
+        "the file stays unusable until it is replaced"
+    );
     assert!(harness.write(replace()).is_err());
-    fs::create_dir(&folder).expect("it is gone");
-    harness.write(replace()).expect("it replaces");
+    fs::create_dir(&folder).expect("the folder is created again");
+    harness.write(replace()).expect("the replacement succeeds");
     assert_eq!(RecordFile::open(&path).records, [[1]]);
 }
--- a/crates/petrellatch/src/runtime/pass_through/message_socket.rs
+++ b/crates/petrellatch/src/runtime/pass_through/message_socket.rs
@@ -1,7 +1,8 @@
-//! Messages between processes, in datagrams that are not sealed.
+//! Messages between processes, in datagrams without authentication.
 //!
-//! The tier runs where no secret is handed out. The mark in front keeps stray
-//! datagrams out; it does not protect against a forger inside the network.
+//! The tier runs where processes have no shared secret. The magic bytes at the start
+//! of each datagram filter out stray datagrams; they don't protect against forged
+//! messages from inside the network.
 
 use std::net::SocketAddrV4;
 
@@ -12,12 +13,12 @@
 use crate::error::ProgramError;
 use crate::runtime::datagram_socket::{Batch, DatagramSocket};
 
-/// In front of every datagram.
+/// Magic bytes at the start of every datagram.
 const MAGIC: [u8; 4] = *b"PLP1";
-/// Receive buffer of the system, in bytes.
+/// Size of the system's receive buffer, in bytes.
 const SYSTEM_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The socket.
+/// The UDP socket for messages between processes.
 #[derive(Debug)]
 pub(super) struct MessageSocket {
     socket: DatagramSocket,
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Hands out the messages that have arrived.
+    /// Passes the messages that have arrived, up to one batch, to `handle`.
     pub(super) fn receive(
         &mut self,
         mut handle: impl FnMut(SocketAddrV4, PassThroughBody),
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Datagrams that could not be read.
+    /// Number of datagrams that could not be decoded.
     pub(super) fn malformed(&self) -> u64 {
         self.malformed
     }
--- a/crates/petrellatch/src/runtime/pass_through/metrics.rs
+++ b/crates/petrellatch/src/runtime/pass_through/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics of the tier, in the form that Prometheus reads. They are gathered
-//! when they are asked for, so that a process keeps nothing for them.
+//! Metrics of the pass-through tier in the Prometheus text format. They are collected
+//! from the state machine on each request, so a process keeps no state for them.
 
 use std::time::Duration;
 
@@ -70,8 +70,7 @@
 const POLICY_EVALUATIONS_TOTAL: &str = "petrellatch_pass_through_policy_evaluations_total";
 const POLICY_ELIGIBLE: &str = "petrellatch_pass_through_policy_eligible";
 
-/// The metrics that a process may have. `docs/API.md` lists them; a test
-/// compares the two.
+/// Names of all metrics of the tier. A test checks that `docs/API.md` lists them.
 pub const METRIC_NAMES: [&str; 51] = [
     PACKETS_TOTAL,
     PLACED_TOTAL,
@@ -327,7 +326,7 @@
     encode(&registry, [acceptance, sync])
 }
 
-/// What an agent has recorded of its open flows.
+/// Adds the state of an agent's flow record and the outcome of its recovery.
 fn add_flow_recorder_metrics(
     registry: &Registry,
     stats: FlowRecorderStats,
@@ -358,7 +357,7 @@
     }
 }
 
-/// What a replica keeps of agents' records.
+/// Adds the statistics of the flow records that a replica keeps.
 fn add_flow_record_store_metrics(registry: &Registry, node: &ConfigurationNode, now: Timestamp) {
     let stats = node.flow_record_stats(now);
     let help = "Agents with a record of open flows here.";
@@ -375,7 +374,8 @@
     set(&gauge(registry, RECORD_WRITE_AGE_MILLISECONDS, help), age);
 }
 
-/// What became of flows of former lives.
+/// Adds what an agent did with the flows of previous incarnations: of its back end, whose
+/// flows are orphaned, and of itself, whose flows it takes over.
 fn add_previous_incarnation_metrics<C: PacketCodec>(
     registry: &Registry,
     agent: &PassThroughAgent<C>,
@@ -406,7 +406,7 @@
     set(&pending, agent.pending_restart_probes());
 }
 
-/// What each placement policy did at a balancer.
+/// Adds the counts of each placement policy at a balancer.
 fn add_policy_metrics<C: PacketCodec>(registry: &Registry, balancer: &PassThroughBalancer<C>) {
     let index = gauge(registry, POLICIES_INDEX, POLICIES_INDEX_HELP);
     set(&index, balancer.policies_index());
@@ -424,12 +424,13 @@
     }
 }
 
-/// Zones out of service: all of them, or for an agent its own one.
+/// Adds the number of evacuated zones; an agent counts only its own zone.
 fn add_evacuated_zones(registry: &Registry, zones: usize) {
     let evacuated = gauge(registry, ZONES_EVACUATED, "Zones out of service.");
     set(&evacuated, zones);
 }
 
+/// Adds the elections that a replica lost, by reason.
 fn add_lost_elections(registry: &Registry, node: &ConfigurationNode) {
     let help = "Elections that this replica stood for and lost, by reason.";
     let lost = counters(registry, ELECTIONS_LOST_TOTAL, help, "reason");
@@ -439,6 +440,7 @@
     }
 }
 
+/// Value of the label `reason`.
 fn decline_reason_label(reason: DeclineReason) -> &'static str {
     match reason {
         DeclineReason::Unspecified => "unspecified",
@@ -453,7 +455,7 @@
     }
 }
 
-/// A histogram as Prometheus has it.
+/// Converts a latency histogram to a metric family with cumulative buckets.
 fn histogram(name: &str, help: &str, latencies: &LatencyHistogram) -> MetricFamily {
     let buckets = BUCKET_MILLIS.iter().map(|millis| {
         let limit = Duration::from_millis(*millis);
@@ -476,6 +478,7 @@
     family
 }
 
+/// Encodes the metrics of a registry, followed by histograms, as a response.
 fn encode(registry: &Registry, histograms: impl IntoIterator<Item = MetricFamily>) -> HttpResponse {
     let mut families = registry.gather();
     families.extend(histograms);
--- a/crates/petrellatch/src/runtime/pass_through/mod.rs
+++ b/crates/petrellatch/src/runtime/pass_through/mod.rs
@@ -1,10 +1,10 @@
 //! The processes of the pass-through tier: balancer, agent and configuration
-//! replica, each an event loop of one thread; a replica has two more that write
-//! its log and the records of open flows.
+//! replica. Each runs its event loop on one thread; a replica has two more threads,
+//! which write its log and the flow records.
 //!
-//! The packet format is a [`PacketCodec`], the operator's and back ends' HTTP
-//! calls are an [`ApiTranslator`], so that a program with other formats only
-//! translates.
+//! Packets are parsed by a [`PacketCodec`], the HTTP requests of operators and back
+//! ends by an [`ApiTranslator`]. A program with other formats implements these two
+//! traits.
 
 mod agent_loop;
 mod api_translator;
@@ -33,7 +33,11 @@
 };
 pub use self::settings_watcher::{SettingsReader, SettingsWatcher};
 
-/// Runs a process of the tier until it is asked to stop.
+/// Runs the process that `settings` describe until a signal asks it to stop.
+///
+/// # Errors
+///
+/// An address can't be bound, or a system call of the event loop fails.
 pub fn run<C: PacketCodec, I: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -1,5 +1,5 @@
-//! The operator's calls about placement policies. They are the product's own: the other
-//! calls go through the [`ApiTranslator`](super::ApiTranslator) of the platform.
+//! Operators' requests about placement policies. They have the format of this crate; all
+//! other requests go through the [`ApiTranslator`](super::ApiTranslator) of the platform.
 
 use std::net::SocketAddrV4;
 
@@ -16,12 +16,13 @@
 };
 use crate::http::{HttpRequest, HttpResponse};
 
-/// Whether a request is about policies.
+/// Whether a request is about placement policies.
 pub(super) fn is_policy_request(request: &HttpRequest) -> bool {
     parse_request(request).is_some()
 }
 
-/// Reads a request about policies; none if it is about something else.
+/// Parses a request about placement policies. Returns `None` for any other request, and
+/// the response to send if the request is malformed.
 pub(super) fn parse_request(
     request: &HttpRequest,
 ) -> Option<Result<ConfigurationRequest, HttpResponse>> {
@@ -66,7 +67,8 @@
     })
 }
 
-/// Answers a request about policies. All replicas serve operators at `operator_port`.
+/// Converts the response to a request about placement policies. All replicas serve
+/// operators at `operator_port`, so it is also the port of the leader.
 pub(super) fn to_http_response(
     response: &ConfigurationResponse,
     operator_port: u16,
--- a/crates/petrellatch/src/runtime/pass_through/rate_limited_log.rs
+++ b/crates/petrellatch/src/runtime/pass_through/rate_limited_log.rs
@@ -1,5 +1,5 @@
-//! A log of bounded volume that never holds up its process: lines of JSON on
-//! standard output, within a budget a second, and only if the pipe has room.
+//! A rate-limited log that never blocks its process: JSON lines on standard output,
+//! within a budget per second, dropped if the pipe is full.
 
 use std::cell::RefCell;
 use std::io;
@@ -12,15 +12,15 @@
 
 use crate::logging::log_event;
 
-/// Lines a second for what is not a warning.
+/// Rate limit of events below a warning.
 const LINES_PER_SECOND: u64 = 30;
-/// Lines that may come at once.
+/// Number of lines that may be written in a burst.
 const BURST_LINES: u64 = 120;
 
-/// Between two lines that say how many were left out.
+/// Minimum interval between the events that report how many lines were suppressed.
 const SUPPRESSION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The log of one process.
+/// The rate-limited log of one process.
 pub(super) struct RateLimitedLog {
     logger: Logger,
     budget: u64,
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Writes an event, unless the budget is spent. Warnings and errors are
-    /// always written.
+    /// Writes an event, or suppresses it if the budget is spent. Warnings and errors
+    /// are never suppressed.
     pub(super) fn write(&mut self, now: Timestamp, event: &Event) {
         self.refill(now);
         let severity = event.kind.severity();
@@ -60,8 +60,8 @@
         log_event(&self.logger, event);
     }
 
-    /// Writes an event of the process itself, which is rare: its start, its stop,
-    /// its readiness. It is never left out.
+    /// Writes a rare event of the process itself, such as its start, its stop or a
+    /// change of its readiness, even if the budget is spent.
     pub(super) fn write_always(
         &mut self,
         now: Timestamp,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Writes records as JSON; a record that finds no room is dropped.
+/// Writes records as JSON; drops a record if standard output is not writable.
 struct StdoutDrain {
     json: slog_json::Json<NonBlockingStdout>,
 }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Gathers one line and writes it if standard output takes it at once.
+/// Buffers one line and writes it if standard output accepts it without blocking.
 struct NonBlockingStdout;
 
 thread_local! {
@@ -136,7 +136,8 @@
     }
 }
 
-/// A pipe that is ready takes a line of less than a page at once.
+/// Writes the line if standard output is writable. A writable pipe accepts a line
+/// shorter than a page without blocking.
 fn write_if_ready(line: &[u8]) {
     let stdout = rustix::stdio::stdout();
     let mut descriptors = [PollFd::new(&stdout, PollFlags::OUT)];
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -1,4 +1,4 @@
-//! The process of a configuration replica.
+//! The event loop of a configuration replica.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -34,27 +34,29 @@
 use super::settings::{PassThroughSettings, ReplicaRoleSettings};
 use super::settings_watcher::SettingsWatcher;
 
-/// Largest body of a request, in bytes.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES: usize = 4 * 1024 * 1024;
-/// Between two tries to open the data folder.
+/// Interval between attempts to open the data folder.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// The file of the data folder with the daemons of the former life.
+/// Name of the file in the data folder with the daemons that the previous incarnation
+/// saved.
 const DAEMONS_FILE: &str = "daemons";
-/// The cluster that a folder belongs to, where no key tells them apart.
+/// Cluster id in every data folder. This tier has no cluster keys that could tell
+/// clusters apart.
 const CLUSTER_ID: u64 = 1;
 
-/// Time without a leader after which one is elected: it must be longer than
-/// some round trips and a sync, and is part of every recovery.
+/// Time without a leader after which a replica starts an election. It must be longer
+/// than several round trips and a sync, and adds to the time of every recovery.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(200);
-/// The same where messages travel between regions, or where one large request
-/// holds up a small processor for long.
+/// Election timeout of a group that spans regions, or of a replica with a low CPU
+/// quota, which one large request can occupy for long.
 const LONG_ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
-/// A smaller part of a processor is a small one.
+/// CPU quotas below this fraction of a CPU count as low.
 const LOW_CPU_QUOTA: f64 = 0.1;
-/// Heartbeats in one election timeout.
+/// Number of heartbeats per election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 4;
 
-/// A request that waits for the group.
+/// A request whose response needs the replica group.
 struct PendingRequest {
     connection: ConnectionId,
     request: HttpRequest,
@@ -78,7 +80,7 @@
         BODY_BYTES,
     )?;
     let waker = Waker::new(registry, WAKE).map_err(|source| ProgramError::System {
-        action: "watch for writes",
+        action: "create the waker of the event loop",
         source,
     })?;
     let opened = open_folder(&mut event_loop, &settings, role);
@@ -211,8 +213,8 @@
     Ok(())
 }
 
-/// The time of day, which operators read of an order; zero if the clock stands
-/// before 1970.
+/// Unix time in milliseconds, for the time at which a zone command was issued; zero if
+/// the clock is before 1970.
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
@@ -262,9 +264,10 @@
     }
 }
 
-/// Opens the data folder, as soon as the disk lets it. Only a founding replica
-/// formats it with the incarnation that the first membership lists; a folder
-/// that was lost gets a random one, and can never vote twice.
+/// Opens the data folder, and retries until it succeeds. Only a founding replica
+/// formats it with the incarnation that the first membership lists. A replica that
+/// lost its folder gets a random incarnation, so that it can never vote twice in a
+/// term.
 fn open_folder(
     event_loop: &mut EventLoop,
     settings: &PassThroughSettings,
@@ -296,7 +299,7 @@
     }
 }
 
-/// Hands the node what its former life saved of daemons.
+/// Loads the daemons that the previous incarnation saved into the node.
 fn load_daemons(
     event_loop: &mut EventLoop,
     node: &mut ConfigurationNode,
@@ -313,8 +316,8 @@
     event_loop.log.write_always(now, kind, failure);
 }
 
-/// Hands the node the records of open flows that its former life wrote. What can't be read
-/// costs the record, not the start.
+/// Loads the flow records that the previous incarnation wrote into the node. Records
+/// that can't be read are lost, but don't keep the replica from starting.
 fn load_flow_records(
     event_loop: &mut EventLoop,
     node: &mut ConfigurationNode,
@@ -332,7 +335,8 @@
     opened.file
 }
 
-/// The seeds found the group when all of it starts for the first time.
+/// Whether this replica is a founding member: the seeds are, when the whole group
+/// starts for the first time.
 fn is_founder(settings: &PassThroughSettings, role: &ReplicaRoleSettings) -> bool {
     role.first_start && settings.seeds.contains(&settings.message_address)
 }
@@ -361,7 +365,7 @@
     }
 }
 
-/// The incarnation of a replica that founds the group.
+/// The incarnation of a founding member, which all seeds can compute.
 fn founding_incarnation(node: NodeId) -> Incarnation {
     Incarnation(NodeId::from_name(&format!("first life of {node}")).0)
 }
--- a/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
+++ b/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
@@ -1,6 +1,6 @@
-//! Writes the replicated log on a thread of its own, and tries again when the
-//! disk refuses a write. What else is saved goes the same way, as a disk that
-//! stands still must hold up nobody else.
+//! Writes the replicated log on a separate thread and retries when a write fails. The
+//! saved daemons are written by the same thread, so that a disk that hangs does not
+//! block the event loop.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,31 +14,31 @@
 
 use crate::error::ProgramError;
 
-/// Between two tries.
+/// Interval between attempts of a write.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// Stack of the thread, in bytes.
+/// Stack size of the thread, in bytes.
 const STACK_BYTES: usize = 256 * 1024;
 
-/// What became of a write.
+/// Outcome of a write.
 #[derive(Debug)]
 pub(super) enum WriteOutcome {
-    /// It is synced.
+    /// The entries are synced to disk.
     Done(PersistTicket),
-    /// It failed and is tried again.
+    /// An attempt failed; the write is retried.
     Failed(StorageError),
-    /// The daemons were not saved; that is not tried again.
+    /// The daemons were not saved; this is not retried.
     DaemonsNotSaved(StorageError),
 }
 
-/// What to write.
+/// A write for the thread.
 #[derive(Debug)]
 enum WriteRequest {
     Log(PersistRequest),
-    /// The daemons to remember.
+    /// The encoded list of saved daemons.
     Daemons(Vec<u8>),
 }
 
-/// The thread's ends of the channels.
+/// The event loop's ends of the channels to and from the thread.
 #[derive(Debug)]
 pub(super) struct RetryingLogWriter {
     requests: Sender<WriteRequest>,
@@ -90,25 +90,27 @@
     }
 
     pub(super) fn write(&self, request: PersistRequest) {
-        // The thread ends only with this sender.
+        // Sending can't fail: the thread runs until this sender is dropped.
         let _ = self.requests.send(WriteRequest::Log(request));
     }
 
-    /// Saves the daemons to remember. A failure is told, and not more: they are
-    /// saved again when they change.
+    /// Saves the list of daemons. A failure is reported but not retried: the list is
+    /// saved again when it changes.
     pub(super) fn save_daemons(&self, bytes: Vec<u8>) {
-        // As above.
+        // As in `write`.
         let _ = self.requests.send(WriteRequest::Daemons(bytes));
     }
 
+    /// Returns the oldest outcome that was not polled yet.
     pub(super) fn poll(&self) -> Option<WriteOutcome> {
         self.outcomes.try_recv().ok()
     }
 }
 
 impl Worker {
-    /// Writes until it is done. After a failure part of the request may be in
-    /// the log already; its entries are then written anew from the first on.
+    /// Writes a request and retries until it succeeds. After a failure part of the
+    /// request may already be in the log, so the retry truncates the log from the
+    /// request's first entry and writes all its entries again.
     fn write(&mut self, mut request: PersistRequest) {
         loop {
             match self.try_write(&request) {
--- a/crates/petrellatch/src/runtime/pass_through/settings.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes.
+//! Settings of the processes of the pass-through tier.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,109 +7,111 @@
 
 use petrellatch_core::pass_through::{FlowRecordSettings, WarmUpBounds};
 
-/// What the settings of the record of open flows may be.
+/// Permitted values of the flow record settings.
 pub mod flow_record_bounds {
     use std::ops::RangeInclusive;
     use std::time::Duration;
 
-    /// Age of the flows that are recorded.
+    /// Permitted minimum ages of a recorded flow. Zero disables recording.
     pub const MIN_FLOW_AGE: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_secs(60);
-    /// The most flows that an agent records.
+    /// Permitted maximum numbers of flows that an agent records.
     pub const MAX_FLOWS: RangeInclusive<usize> = 1..=65_536;
-    /// What the records may take at a replica, in bytes.
+    /// Permitted memory limits of the records at a replica, in bytes.
     pub const MAX_BYTES: RangeInclusive<usize> = 65_536..=268_435_456;
-    /// Replicas that keep a record, at least: with one the record is lost with it.
+    /// Minimum number of replicas that keep a record. With a single replica the record
+    /// would be lost together with it.
     pub const MIN_RECORD_REPLICAS: usize = 2;
-    /// What the records may take at a replica unless it is set, in bytes.
+    /// Default memory limit of the records at a replica, in bytes.
     pub const DEFAULT_MAX_BYTES: usize = 16 * 1024 * 1024;
 }
 
-/// What every process needs, and what its role needs.
+/// Settings of a process: those of every role, and those of its own role.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PassThroughSettings {
-    /// Name of the node, for logs.
+    /// Name of the node, used in logs.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where it exchanges messages with other processes (UDP).
+    /// Address for messages between processes (UDP).
     pub message_address: SocketAddrV4,
-    /// Message addresses of some replicas of the control group.
+    /// Message addresses of some replicas of the replica group.
     pub seeds: Vec<SocketAddrV4>,
-    /// How long a flow may rest, or last, before it may be forgotten.
+    /// How long a flow may be idle, or last, before its state may be dropped.
     pub flow_ttl: Duration,
-    /// The longest that a planned stop may take.
+    /// Maximum duration of a planned stop.
     pub stop_timeout: Duration,
-    /// The role.
+    /// Role of the process, with its settings.
     pub role: PassThroughRole,
 }
 
-/// The role of a process, with its addresses.
+/// The role of a process, with the settings of this role.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PassThroughRole {
-    /// Takes callers' packets.
+    /// Receives callers' packets and forwards them to agents.
     Balancer(BalancerRoleSettings),
-    /// Beside a back end.
+    /// Runs beside a back end, admits flows and delivers their packets to it.
     Agent(AgentRoleSettings),
-    /// Holds the configuration.
+    /// Stores the configuration as a member of the replica group.
     Replica(ReplicaRoleSettings),
 }
 
-/// Addresses of a balancer, and what it can't observe of its link and callers.
+/// Settings of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancerRoleSettings {
-    /// Callers' packets (UDP). Callers get packets at the same port.
+    /// Address that receives callers' packets (UDP). Packets to callers are sent to the
+    /// same port number.
     pub packet_address: SocketAddrV4,
-    /// Readiness (HTTP).
+    /// Address that serves the readiness (HTTP).
     pub readiness_address: SocketAddrV4,
-    /// What the machine's link carries each way, in bytes a second; none if that
-    /// is not known.
+    /// Capacity of the machine's link in each direction, in bytes per second, if known.
     pub link_bytes_per_second: Option<u64>,
 }
 
-/// Addresses of an agent, and what it can't observe of the back end beside it.
+/// Settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AgentRoleSettings {
-    /// The service of the back end.
+    /// Service of the back end.
     pub service: String,
-    /// The back end's packets (UDP).
+    /// Address that receives packets from the back end (UDP).
     pub backend_packet_address: SocketAddrV4,
-    /// The back end (UDP).
+    /// Address of the back end, to which packets are delivered (UDP).
     pub backend_address: SocketAddrV4,
-    /// The port at which callers get packets.
+    /// Port number to which packets to callers are sent.
     pub caller_port: u16,
-    /// The back end's registrations (HTTP).
+    /// Address that receives the back end's registrations (HTTP).
     pub registration_address: SocketAddrV4,
-    /// Readiness (HTTP), if it has an address of its own.
+    /// Address that serves the readiness (HTTP), if it is not the registration address.
     pub readiness_address: Option<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system, and not only this process, starts for the first time.
     pub first_start: bool,
-    /// About how often a back end registers again.
+    /// Usual interval between registrations of the back end.
     pub registration_interval: Duration,
-    /// What a back end that warms up may get.
+    /// Limits of the flow rate of a back end during warm-up.
     pub warm_up_bounds: WarmUpBounds,
-    /// The record of open flows that replicas keep.
+    /// Settings of the flow record that replicas keep for the agent.
     pub flow_record: FlowRecordSettings,
 }
 
-/// Addresses and files of a replica.
+/// Settings of a configuration replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaRoleSettings {
-    /// Operators (HTTP). All replicas serve them at the same port.
+    /// Address that serves operators (HTTP). All replicas use the same port number.
     pub operator_address: SocketAddrV4,
-    /// The data folder.
+    /// Folder of the log and the other files.
     pub data_folder: PathBuf,
-    /// Whether the whole group starts for the first time. Its seeds found it.
+    /// Whether the whole replica group starts for the first time. The seeds are its
+    /// founding members.
     pub first_start: bool,
-    /// How many machines may be lost at once.
+    /// Number of replicas that may be lost at the same time.
     pub max_lost_replicas: usize,
-    /// How many zones may be lost at once.
+    /// Number of zones that may be lost at the same time.
     pub max_lost_zones: usize,
-    /// Regions that the group may stretch over.
+    /// Number of regions that the replica group may span.
     pub region_count: usize,
-    /// All zones, which operators may take out of service.
+    /// Names of all zones, which operators may evacuate.
     pub zones: BTreeSet<String>,
-    /// How much of a processor the process may use.
+    /// Fraction of a CPU that the process may use.
     pub cpu_quota: f64,
-    /// What the records of open flows may take in memory, in bytes.
+    /// Memory limit of the flow records, in bytes.
     pub max_flow_record_bytes: usize,
 }
--- a/crates/petrellatch/src/runtime/pass_through/settings_watcher.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings_watcher.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when they change, with or without a signal.
+//! Reads the settings again when their file changes or a signal requests it.
 
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
@@ -7,13 +7,13 @@
 
 use super::settings::PassThroughSettings;
 
-/// Between two looks at the file.
+/// Interval between checks of the file's modification time.
 const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Turns the text of a settings file into settings, or says what is wrong.
+/// Parses the text of a settings file, or returns a message about what is wrong in it.
 pub type SettingsReader = Box<dyn Fn(&str) -> Result<PassThroughSettings, String>>;
 
-/// A settings file and its reader.
+/// A settings file, its reader and the time of its last known change.
 pub struct SettingsWatcher {
     path: PathBuf,
     reader: SettingsReader,
@@ -22,7 +22,7 @@
 }
 
 impl SettingsWatcher {
-    /// Watches the file at `path`.
+    /// Watches the file at `path`, without reading it yet.
     pub fn new(path: PathBuf, reader: SettingsReader) -> Self {
         SettingsWatcher {
             path,
@@ -33,6 +33,11 @@
     }
 
     /// Reads the settings.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or the reader refuses its text; the message begins with
+    /// the path.
     pub fn read(&mut self) -> Result<PassThroughSettings, String> {
         self.changed_at = self.modified();
         let path = self.path.display();
@@ -41,7 +46,7 @@
         (self.reader)(&text).map_err(|message| format!("{path}: {message}"))
     }
 
-    /// Reads the settings again, if `asked` or if the file has changed.
+    /// Reads the settings again if `force` is set or the file has changed.
     pub(super) fn poll(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch/src/runtime/pass_through/signals.rs
+++ b/crates/petrellatch/src/runtime/pass_through/signals.rs
@@ -1,5 +1,5 @@
-//! Signals as flags that an event loop looks at. A signal also interrupts the
-//! loop's wait.
+//! Signals as flags that an event loop checks. A signal also interrupts the loop's
+//! wait.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,7 +9,8 @@
 
 use crate::error::ProgramError;
 
-/// The signals that processes take.
+/// The signals that a process handles: SIGTERM and SIGINT stop it, SIGHUP reloads the
+/// settings.
 #[derive(Debug)]
 pub(super) struct Signals {
     stop: Arc<AtomicBool>,
@@ -24,7 +25,7 @@
         };
         let register = |number, flag: &Arc<AtomicBool>| {
             flag::register(number, Arc::clone(flag)).map_err(|source| ProgramError::System {
-                action: "take signals",
+                action: "register signal handlers",
                 source,
             })
         };
@@ -34,12 +35,12 @@
         Ok(signals)
     }
 
-    /// Whether a planned stop was asked for.
+    /// Whether a planned stop was requested.
     pub(super) fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Whether the settings are to be read again; asks only once.
+    /// Whether the settings must be read again. Clears the request.
     pub(super) fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
