--- a/crates/petrellatch/src/logs/flow_timeline.rs
+++ b/crates/petrellatch/src/logs/flow_timeline.rs
@@ -1,4 +1,4 @@
-//! What became of one flow.
+//! The timeline of one flow and the cause of its failure.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,11 +7,11 @@
 
 use super::log_line::LogLine;
 
-/// Lines about the nodes of a flow are told if they are at most this far from
-/// one of the flow's own lines.
+/// Lines about the nodes of a flow are included if they are within this time of one of
+/// the flow's own lines.
 const NEARBY_MILLIS: u64 = 3_000;
 
-/// What is told about a node beside the lines of the flow itself.
+/// Events of a node that are included besides the lines of the flow itself.
 const NODE_EVENTS: [EventKind; 13] = [
     EventKind::ProcessStarted,
     EventKind::ProcessStopping,
@@ -28,11 +28,10 @@
     EventKind::FlowsTakenOver,
 ];
 
-/// The lines of one flow in their order, with those that explain them, what is
-/// missing, and the cause that they point to.
+/// The lines of one flow in order of time, with the lines of its nodes that explain them,
+/// what is missing, and the likely cause of its failure.
 ///
-/// The flow is named as in the log: `CALLER:PORT>ROUTE:PORT`, or by its first
-/// part alone.
+/// The flow is named as in the log, `CALLER:PORT>ROUTE:PORT`, or by `CALLER:PORT` alone.
 #[derive(Clone, Debug)]
 pub struct FlowTimeline {
     flow: String,
@@ -42,7 +41,7 @@
 }
 
 impl FlowTimeline {
-    /// Finds the story in lines that are in the order of their times.
+    /// Builds the timeline of `flow` from lines that are sorted by time.
     pub fn new(lines: &[LogLine], flow: &str) -> FlowTimeline {
         let own = |line: &&LogLine| is_about(line, flow);
         let own: Vec<&LogLine> = lines.iter().filter(own).collect();
@@ -55,12 +54,12 @@
         }
     }
 
-    /// What the lines say of why the flow failed.
+    /// Why the flow failed, according to the lines.
     pub fn cause(&self) -> &str {
         &self.cause
     }
 
-    /// What the lines can't show.
+    /// Descriptions of lines that are missing.
     pub fn missing(&self) -> &[String] {
         &self.missing
     }
@@ -79,6 +78,7 @@
     }
 }
 
+/// Whether a line names the flow.
 fn is_about(line: &LogLine, flow: &str) -> bool {
     let Some(named) = line.value("flow") else {
         return false;
@@ -91,8 +91,8 @@
     line.event == kind.name()
 }
 
-/// Whether a line belongs to the story: one of the flow, or one about a node
-/// of it from about the same time.
+/// Whether a line belongs to the timeline: it is about the flow, or it is an event of
+/// one of the flow's nodes at about the same time.
 fn is_included(line: &LogLine, flow: &str, own: &[&LogLine]) -> bool {
     if is_about(line, flow) {
         return true;
@@ -111,12 +111,14 @@
     }
 }
 
+/// Describes the missing lines: those of balancers, and those that the log's rate limit
+/// suppressed at the nodes of the flow.
 fn missing(lines: &[LogLine], own: &[&LogLine]) -> Vec<String> {
     let mut missing = Vec::new();
     if own.is_empty() {
         missing.push(
-            "every line of the flow: it did not reach a balancer, or it was an ordinary flow \
-             that is not among the sampled ones"
+            "all lines of the flow: it did not reach a balancer, or it was an ordinary flow \
+             that was not sampled"
                 .to_owned(),
         );
     }
@@ -145,7 +147,7 @@
     missing
 }
 
-/// The cause, from the last line of the flow that tells an outcome.
+/// The cause, from the last line of the flow that reports an outcome.
 fn cause(lines: &[LogLine], own: &[&LogLine]) -> String {
     let outcome = own.iter().rev().find(|line| {
         let kinds = [
@@ -161,13 +163,13 @@
     });
     let Some(outcome) = outcome else {
         return match own.last() {
-            Some(last) => format!("none is logged; the last line is {}", last.event),
+            Some(last) => format!("not logged; the last line is {}", last.event),
             None => "unknown".to_owned(),
         };
     };
     if is_event(outcome, EventKind::FlowStalled) {
         let agent = outcome.value("agent").unwrap_or("its agent");
-        return format!("the agent {agent} that has the flow does not answer");
+        return format!("the agent {agent} of the flow does not reply");
     }
     if is_event(outcome, EventKind::FlowGone) {
         return orphaned(outcome);
@@ -179,10 +181,10 @@
         return caller_notified(outcome);
     }
     if is_event(outcome, EventKind::PacketReturned) {
-        return "the back end does not have the flow any more".to_owned();
+        return "the back end does not own the flow any more".to_owned();
     }
     if is_event(outcome, EventKind::FlowSought) {
-        return "no agent has said that its back end has the flow".to_owned();
+        return "no agent replied that its back end owns the flow".to_owned();
     }
     match outcome.value("reason") {
         Some("no_route") => no_route(lines, outcome),
@@ -192,36 +194,40 @@
     }
 }
 
-/// The flow was reset because no back end has it.
+/// The flow was reset because no back end owns it any more.
 fn orphaned(outcome: &LogLine) -> String {
     if outcome.value("was_open") == Some("true") {
         let agent = outcome.value("agent").unwrap_or("its agent");
-        return format!("the back end at {agent} had the flow and has it no more; it was reset");
+        return format!(
+            "the back end at {agent} owned the flow but does not any more; the flow was reset"
+        );
     }
     let not_owned = outcome.value("lacks").unwrap_or("all");
-    format!("no back end has the flow any more, by the word of {not_owned} agents; it was reset")
+    format!(
+        "no back end owns the flow any more, according to {not_owned} agents; the flow was reset"
+    )
 }
 
-/// The agent told that the life of the back end that had the flow is over.
+/// The agent reported that the flow's back end has restarted, which orphaned the flow.
 fn caller_notified(outcome: &LogLine) -> String {
     let notified = match outcome.value("cause") {
-        Some("request") => "its caller waited for an answer and was told at once",
-        Some("question") => "a balancer asked for the flow and was told",
-        _ => "its caller rested and was told before its next request",
+        Some("request") => "its caller awaited a response and was notified at once",
+        Some("question") => "a balancer queried the flow and was notified",
+        _ => "its caller was idle and was notified before its next request",
     };
     format!(
-        "the back end at {} has the flow no more; {notified}",
+        "the back end at {} does not own the flow any more; {notified}",
         outcome.node
     )
 }
 
-/// The flow was sought until its caller gave up.
+/// The search for the flow was inconclusive until its caller gave up.
 fn search_inconclusive(outcome: &LogLine) -> String {
     let reasons = [
-        ("missing", "did not answer"),
-        ("uncertain", "could not know"),
-        ("tried", "had not heard of its back end"),
-        ("lacks", "did not have it"),
+        ("missing", "did not reply"),
+        ("uncertain", "could not tell"),
+        ("tried", "had an undecided speculative delivery"),
+        ("lacks", "did not own it"),
     ];
     let replies = reasons.iter().filter_map(|(name, reason)| {
         let count = outcome.value(name)?;
@@ -229,7 +235,7 @@
     });
     let replies: Vec<String> = replies.collect();
     match replies.is_empty() {
-        true => "nobody was asked for the flow before its caller gave up".to_owned(),
+        true => "no agent was queried for the flow before its caller gave up".to_owned(),
         false => format!(
             "the flow was not found among the agents: {}",
             replies.join(", ")
@@ -237,7 +243,7 @@
     }
 }
 
-/// The route is not in the version that the balancer had in force.
+/// The route is not in the version that was active at the balancer.
 fn no_route(lines: &[LogLine], outcome: &LogLine) -> String {
     let version = outcome.value("version").unwrap_or("0");
     let newer = lines.iter().find(|line| {
@@ -257,8 +263,8 @@
     }
 }
 
-/// What the balancer heard from the agents that it asked, by its own line;
-/// lines of agents may be left out.
+/// The replies to the balancer's offers, according to its own line; the lines of the
+/// agents may have been suppressed.
 fn no_agent(outcome: &LogLine) -> String {
     let count = |name| outcome.value(name).and_then(|it| it.parse::<u32>().ok());
     let Some(offered) = count("asked") else {
@@ -266,8 +272,8 @@
     };
     let replies = [
         (count("full"), "declined as full"),
-        (count("late"), "did not answer"),
-        (count("other"), "declined otherwise"),
+        (count("late"), "did not reply"),
+        (count("other"), "declined for another reason"),
     ];
     let replies = replies.iter().filter_map(|(count, reply)| match count {
         Some(count) if *count > 0 => Some(format!("{count} {reply}")),
@@ -276,19 +282,21 @@
     let replies: Vec<String> = replies.collect();
     let mut cause = match offered {
         0 => "the balancer knew no agent that was ready".to_owned(),
-        _ => format!("no agent took the flow: {}", replies.join(", ")),
+        _ => format!("no agent accepted the flow: {}", replies.join(", ")),
     };
     if let (Some(agents), Some(draining @ 1..)) = (count("agents"), count("leaving")) {
-        cause.push_str(&format!("; of {agents} known agents {draining} leave"));
+        cause.push_str(&format!(
+            "; of {agents} known agents, {draining} were draining"
+        ));
     }
     if let (Some(agents), Some(evacuated @ 1..)) = (count("agents"), count("evacuated")) {
         cause.push_str(&format!(
-            "; of {agents} known agents {evacuated} are in zones out of service"
+            "; of {agents} known agents, {evacuated} were in evacuated zones"
         ));
     }
     if let (Some(agents), Some(cold @ 1..)) = (count("agents"), count("cold")) {
         cause.push_str(&format!(
-            "; of {agents} known agents {cold} have cold back ends"
+            "; of {agents} known agents, {cold} had cold back ends"
         ));
     }
     cause
--- a/crates/petrellatch/src/logs/log_line.rs
+++ b/crates/petrellatch/src/logs/log_line.rs
@@ -1,28 +1,29 @@
-//! One line of a log.
+//! A parsed log line.
 
 use std::fmt;
 
 use serde::Deserialize;
 
-/// Digits of a second's fraction in the times of log lines, at most.
+/// Maximum number of fractional digits of a second in the times of log lines.
 const FRACTION_DIGITS: usize = 9;
 const MILLIS_PER_SECOND: u64 = 1_000;
 const MILLIS_PER_DAY: u64 = 86_400_000;
-/// Days from the first of March of year 0 to the start of 1970, and one, since
+/// Days from the first of March of year 0 to the start of 1970, plus one because the
 /// days of a month count from 1.
 const DAYS_BEFORE_1970: u64 = 719_469;
 
-/// One line, as a process wrote it. Lines are ordered by their time, which is
-/// that of the machine's own clock.
+/// One log line of a process. Lines are ordered by their time, which comes from the
+/// clock of the machine that wrote them.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogLine {
-    /// Time of day with all digits, so that its order is that of the times.
+    /// Date and time in RFC 3339, padded to nine fractional digits so that the order of
+    /// the texts is the order of the times.
     pub time: String,
-    /// The node that wrote it.
+    /// Name of the node that wrote the line.
     pub node: String,
     /// Name of the event.
     pub event: String,
-    /// What it is about.
+    /// Subject of the event: words, or `name=value` pairs.
     pub subject: String,
 }
 
@@ -36,8 +37,8 @@
 }
 
 impl LogLine {
-    /// Reads a line of JSON. What stands before the first brace is ignored, as
-    /// collectors of logs put a prefix there. `None` for any other line.
+    /// Parses a line of JSON. Text before the first brace is ignored, since log
+    /// collectors put a prefix there. Returns `None` for any other line.
     pub fn parse(line: &str) -> Option<LogLine> {
         let document = &line[line.find('{')?..];
         let document: Document = serde_json::from_str(document).ok()?;
@@ -49,19 +50,19 @@
         })
     }
 
-    /// Reads all lines of a text that are log lines.
+    /// Parses all log lines of a text and skips its other lines.
     pub fn parse_all(text: &str) -> impl Iterator<Item = LogLine> + '_ {
         text.lines().filter_map(LogLine::parse)
     }
 
-    /// A value of the subject, which has the form `name=value name=value`.
+    /// Returns a value of the subject, which has the form `name=value name=value`.
     pub fn value(&self, name: &str) -> Option<&str> {
         let words = self.subject.split(' ');
         let mut pairs = words.filter_map(|word| word.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
     }
 
-    /// Milliseconds since the start of the line's day.
+    /// Returns the milliseconds since the start of the line's day.
     pub fn millis_of_day(&self) -> Option<u64> {
         let (_, clock) = self.time.split_once('T')?;
         let mut parts = clock.trim_end_matches('Z').splitn(3, ':');
@@ -72,8 +73,8 @@
         Some(whole + (seconds * MILLIS_PER_SECOND as f64) as u64)
     }
 
-    /// Milliseconds since the start of 1970, so that lines of several days are
-    /// in their order.
+    /// Returns the milliseconds since the start of 1970, which order lines of several
+    /// days.
     pub fn millis(&self) -> Option<u64> {
         let (date, _) = self.time.split_once('T')?;
         let mut parts = date.splitn(3, '-').map(|part| part.parse::<u64>().ok());
@@ -83,8 +84,8 @@
     }
 }
 
-/// Days from the start of 1970 to a date of the common calendar, counted in
-/// years that begin in March, so that leap days come last.
+/// Days from the start of 1970 to a date of the Gregorian calendar. Years are counted
+/// from March, so that a leap day is the last day of its year.
 fn days_since_1970(year: u64, month: u64, day: u64) -> Option<u64> {
     let years = if month > 2 {
         year
@@ -109,6 +110,7 @@
     }
 }
 
+/// Pads a time to the maximum number of fractional digits.
 fn with_all_digits(time: &str) -> String {
     let time = time.trim_end_matches('Z');
     let (seconds, fraction) = time.split_once('.').unwrap_or((time, ""));
--- a/crates/petrellatch/src/logs/mod.rs
+++ b/crates/petrellatch/src/logs/mod.rs
@@ -1,6 +1,6 @@
-//! The `logs` command: what the processes logged about one flow or one
-//! version of the configuration, in order, with what is missing; or a summary
-//! of all lines by time.
+//! The `logs` command: a timeline of the log lines of all processes about one flow or
+//! one version of the configuration, with what is missing; or a summary of all lines by
+//! time.
 
 mod flow_timeline;
 mod log_line;
@@ -18,14 +18,14 @@
 use crate::command_line::LogsOptions;
 use crate::error::ProgramError;
 
-/// Bytes of a line, at most; the processes write lines under 1 KB.
+/// Maximum length of a line in bytes; the processes write lines under 1 KB.
 const MAX_LINE_BYTES: u64 = 65_536;
 
-/// Prints the story that the options ask for.
+/// Prints the timeline or the summary that the options select.
 ///
 /// # Errors
 ///
-/// Not exactly one of a flow, a version and the summary is asked for, or a file
+/// The options don't select exactly one of a flow, a version and the summary, or a file
 /// can't be read.
 pub fn run(options: &LogsOptions) -> Result<(), ProgramError> {
     let output = match (&options.flow, options.configuration) {
@@ -54,8 +54,8 @@
     Ok(())
 }
 
-/// Counts the lines of all files, or of standard input if there is none, one
-/// after the other, and prints the report.
+/// Counts the lines of all files, or of standard input if no file is given, and returns
+/// the report.
 fn summarize(options: &LogsOptions) -> Result<String, ProgramError> {
     let mut summary = Summary::default();
     if options.files.is_empty() {
@@ -74,8 +74,8 @@
     })
 }
 
-/// Counts lines, with one of them in memory; the rest of one that is longer
-/// than any log line is read as lines of its own, which say nothing.
+/// Counts lines and keeps only one of them in memory. A line over the maximum length is
+/// split; its parts are not valid log lines and are ignored.
 fn count_lines(summary: &mut Summary, mut input: impl BufRead) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     loop {
@@ -90,8 +90,8 @@
     }
 }
 
-/// Reads the lines of all files, or of standard input if there is none, in the
-/// order of their times.
+/// Reads the lines of all files, or of standard input if no file is given, sorted by
+/// time.
 fn read_lines(files: &[PathBuf]) -> Result<Vec<LogLine>, ProgramError> {
     let mut lines = Vec::new();
     if files.is_empty() {
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -1,4 +1,4 @@
-//! The few first causes, in the order of time.
+//! The most important causes of failures, in order of time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,34 +8,35 @@
 use super::slice::Slice;
 use super::{Step, Summary};
 
-/// Events this close belong together, in milliseconds: twice the time in which
-/// a suspected agent is asked again.
+/// Slices with overload and process starts within this time, in milliseconds, are joined
+/// into one cause: twice the time after which a suspected agent gets offers again.
 const JOIN_MILLIS: u64 = 500;
-/// Single events this close are told together, in milliseconds: how long a
-/// caller looks for its flow.
+/// Other events within this time, in milliseconds, are joined into one cause: the time
+/// for which the flow of a silent caller is searched.
 const JOIN_EVENTS_MILLIS: u64 = 2_500;
-/// A second's refusals and suspicions, below which it is ordinary load.
+/// Refusals and suspicions per second up to which the load counts as ordinary.
 const ORDINARY_PER_SECOND: u64 = 20;
-/// Refusals this soon after starts are told as theirs, in milliseconds: callers
-/// come back at once, and back ends are cold for two seconds.
+/// Refusals within this time after process starts, in milliseconds, are attributed to
+/// them: callers retry at once, and back ends are cold for two seconds.
 const AFTER_STARTS_MILLIS: u64 = 2_000;
-/// Causes told, at most: half a screen.
+/// Maximum number of reported causes: half a screen.
 const MAX_CAUSES: usize = 12;
 
-/// Something that explains what followed.
+/// An event, or a group of them, that explains the failures that followed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Cause {
-    /// When it began, in milliseconds since 1970 by the lines' clocks.
+    /// Start in milliseconds since 1970, by the clocks of the lines.
     pub from: u64,
-    /// When it ended.
+    /// End, like `from`.
     pub until: u64,
-    /// Flows or processes that it is about; the table keeps the heaviest.
+    /// Number of flows or processes concerned; the causes of the highest weight are
+    /// reported.
     pub weight: u64,
-    /// What happened, and what it points to.
+    /// Description of the events and what they indicate.
     pub text: String,
 }
 
-/// The heaviest causes, in the order of time.
+/// The causes of the highest weight, in order of time.
 pub(super) fn causes(summary: &Summary) -> Vec<Cause> {
     let starts = starts(summary);
     let mut causes = overloads(summary, &starts);
@@ -50,7 +51,8 @@
     causes
 }
 
-/// Runs of slices that `is_in`, with what they count together.
+/// Runs of slices for which `is_in` holds, with gaps of at most `gap_millis`. Returns start,
+/// end and sum of each run.
 fn runs(
     summary: &Summary,
     gap_millis: u64,
@@ -70,7 +72,7 @@
     runs
 }
 
-/// Refusals and suspicions: too little room, or links full of questions.
+/// Refusals and suspicions: too little capacity, or links that offers have congested.
 fn overloads(summary: &Summary, starts: &[Cause]) -> Vec<Cause> {
     let ordinary = ORDINARY_PER_SECOND * summary.width / 1_000;
     let runs = runs(summary, JOIN_MILLIS, |slice| {
@@ -91,7 +93,7 @@
         if let Some(started) = started {
             let count = started.weight;
             text.push_str(&format!(
-                "; beside {count} processes that had started again"
+                "; at the time of the restart of {count} processes"
             ));
         }
         Cause {
@@ -104,12 +106,13 @@
     causes.collect()
 }
 
+/// Describes the refusals of a slice by reason.
 fn refusals(slice: &Slice) -> String {
     let reasons = [
-        (Column::RefusedFull, "all that answered were full"),
-        (Column::RefusedLate, "no agent answered in time"),
+        (Column::RefusedFull, "all agents that replied were full"),
+        (Column::RefusedLate, "no agent replied in time"),
         (Column::RefusedUnknown, "no agent was known"),
-        (Column::RefusedOther, "mixed or other"),
+        (Column::RefusedOther, "mixed or other reasons"),
     ];
     let reasons = reasons.iter().filter_map(|(column, reason)| {
         let count = slice.count(*column);
@@ -122,9 +125,9 @@
     }
 }
 
-/// Suspicions, and whether they mean agents or the balancers themselves. An
-/// agent that dies is suspected alone, and others take its flows; when half of all agents are suspected at
-/// once, it is the way to them, which their answers have filled.
+/// Describes suspicions, and whether their cause is single agents or congestion. An agent
+/// that stops is suspected alone, and others accept its flows. If half of all agents are
+/// suspected at the same time, the path to them is congested by offers and replies.
 fn suspicions(slice: &Slice, agents: u64, millis: u64) -> String {
     let count = slice.count(Column::Suspected);
     if count == 0 {
@@ -133,57 +136,57 @@
     let (suspected, balancers) = (slice.suspected.len() as u64, slice.balancers.len());
     let rate = count * 1_000 / millis.max(1_000);
     let mut text = format!(
-        "; {count} suspicions ({rate} a second) of {suspected} agents at {balancers} balancers"
+        "; {count} suspicions ({rate} per second) of {suspected} agents at {balancers} balancers"
     );
-    // Most balancers suspect most agents; a single late answer says little.
+    // A single late reply says little: most balancers must suspect most agents.
     let by_most = count * 2 >= suspected * balancers as u64;
     let most_at_once = agents > 0 && suspected * 2 >= agents && by_most;
     if most_at_once && slice.count(Column::RefusedFull) > 0 && slice.refused() * 2 >= count {
         text.push_str(
-            ": CONGESTION COLLAPSE, most agents are late at once while some decline as full; \
-             the balancers' links are full of questions",
+            ": CONGESTION COLLAPSE, most agents reply late at the same time while some decline as full; \
+             offers congest the balancers' links",
         );
     }
     text
 }
 
-/// What else holds a verdict up.
+/// Other reasons why a search is inconclusive.
 const BLOCKERS: [(Column, &str); 5] = [
     (
         Column::BlockedByLate,
-        "agents that should have answered, or most agents, did not",
+        "agents that were expected to reply, or most agents, did not",
     ),
     (
         Column::BlockedByUncertain,
-        "agents or back ends could not know",
+        "agents or back ends could not tell whether they own the flow",
     ),
     (
         Column::BlockedByIncompleteDirectory,
-        "the balancer's list of agents was not whole",
+        "the balancer's agent directory was incomplete",
     ),
     (
         Column::NoResponseAwaited,
-        "the caller waits for no answer (it closed the flow)",
+        "the caller awaited no response (it closed the flow)",
     ),
     (
         Column::BlockedByNone,
-        "all agents lack the flow, and the caller may have closed it first",
+        "no agent owned the flow, and the caller may have closed it first",
     ),
 ];
 
-/// Searches for flows that ended without a verdict, and who held it up.
+/// Inconclusive flow searches, and what kept them from a conclusion.
 fn inconclusive_searches(summary: &Summary) -> Vec<Cause> {
     let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::SearchInconclusive) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
         let weight = slice.count(Column::SearchInconclusive);
-        let mut text = format!("{weight} flows sought without a verdict");
+        let mut text = format!("{weight} flow searches were inconclusive");
         let blocked = slice.count(Column::BlockedByAbsent);
         if blocked > 0 {
             text.push_str(&format!(
-                "; for {blocked} of them SILENCED BY A STOPPED AGENT: up to {} agents lack the flow, \
-                 all but at most {} that nobody expects to answer",
+                "; {blocked} of them BLOCKED BY A STOPPED AGENT: up to {} agents did not own the \
+                 flow, and at most {} that were not expected to reply did not",
                 slice.not_owned, slice.missing
             ));
         }
@@ -203,7 +206,7 @@
     causes.collect()
 }
 
-/// Links of balancers that carried less than was to be sent.
+/// Congested links of balancers.
 fn congested_links(summary: &Summary) -> Vec<Cause> {
     let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::LinkCongested) > 0
@@ -212,8 +215,8 @@
         let weight = slice.count(Column::LinkCongested);
         let (links, wait) = (slice.congested_links.len(), slice.link_wait);
         let text = format!(
-            "links of {links} balancers became FULL, {weight} times: callers send more at once \
-             than these carry, and long flows wait, {wait} ms and more"
+            "links of {links} balancers became CONGESTED, {weight} times: callers send more at \
+             once than the links carry, and packets of long flows wait, {wait} ms or more"
         );
         Cause {
             from,
@@ -225,7 +228,7 @@
     causes.collect()
 }
 
-/// Elections without a leader, close to each other.
+/// Lost elections: those that elected no leader.
 fn lost_elections(summary: &Summary) -> Vec<Cause> {
     let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::ElectionLost) > 0
@@ -253,7 +256,7 @@
     causes.collect()
 }
 
-/// The seconds and milliseconds of a time.
+/// Formats a time as seconds and milliseconds within its minute.
 fn second_of_minute(millis: u64) -> String {
     const SECOND_MILLIS: u64 = 1_000;
     const MINUTE_SECONDS: u64 = 60;
@@ -261,12 +264,12 @@
     format!("{}.{millis:03}", seconds % MINUTE_SECONDS)
 }
 
-/// What counts each time that it happens.
+/// Events that are causes by themselves, whatever their number.
 fn single_events(summary: &Summary) -> Vec<Cause> {
     let kinds = [
         (
             Column::BackendEjected,
-            "back ends left out because they fail requests",
+            "back ends ejected because their requests failed",
         ),
         (Column::BackendSilent, "back ends that fell silent"),
         (Column::WriteFailed, "writes to data folders that failed"),
@@ -290,7 +293,7 @@
     causes
 }
 
-/// Processes that started again, together.
+/// Groups of processes that restarted at about the same time.
 fn starts(summary: &Summary) -> Vec<Cause> {
     let mut steps = summary.steps.clone();
     steps.sort();
@@ -315,9 +318,11 @@
     groups.iter().map(|group| group.cause(summary)).collect()
 }
 
+/// A group of restarts.
 struct Starts {
     from: u64,
     until: u64,
+    /// Number of processes that had been asked to stop.
     planned: u64,
     roles: BTreeMap<String, u64>,
 }
@@ -348,14 +353,14 @@
             .iter()
             .map(|(role, count)| format!("{count} {role}"));
         let roles: Vec<String> = roles.collect();
-        let mut text = format!("{weight} processes started again ({})", roles.join(", "));
+        let mut text = format!("{weight} processes restarted ({})", roles.join(", "));
         match weight - self.planned {
-            0 => text.push_str(", as asked"),
-            killed => text.push_str(&format!(", {killed} without having been asked to stop")),
+            0 => text.push_str(", all after a planned stop"),
+            killed => text.push_str(&format!(", {killed} of them without a planned stop")),
         }
         let silence = silence_before(summary, self.from);
         if silence >= JOIN_MILLIS {
-            text.push_str(&format!(", after {silence} ms without a line of anyone"));
+            text.push_str(&format!(", after {silence} ms without any log line"));
         }
         Cause {
             from: self.from,
@@ -366,7 +371,7 @@
     }
 }
 
-/// Milliseconds before a time in which nobody wrote a line.
+/// Milliseconds before a time in which no process wrote a line.
 fn silence_before(summary: &Summary, millis: u64) -> u64 {
     let slice = millis / summary.width;
     let last = summary.slices.range(..slice).next_back();
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -1,4 +1,4 @@
-//! What is counted in each slice of time.
+//! The columns of the summary: what is counted in each slice of time.
 
 use petrellatch_core::EventKind;
 
@@ -6,22 +6,22 @@
 
 macro_rules! columns {
     ($($name:ident $short:literal $meaning:literal;)*) => {
-        /// One count of a slice.
+        /// A column of the summary: one count per slice of time.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Column {
             $(#[doc = $meaning] $name,)*
         }
 
         impl Column {
-            /// All of them, in the order of the table.
+            /// All columns, in the order of the table.
             pub const ALL: &[Column] = &[$(Column::$name),*];
 
-            /// Head of the column and name of the count in JSON.
+            /// Header of the column, and name of the count in JSON.
             pub fn name(self) -> &'static str {
                 match self { $(Column::$name => $short,)* }
             }
 
-            /// What is counted.
+            /// Description of what is counted.
             pub fn meaning(self) -> &'static str {
                 match self { $(Column::$name => $meaning,)* }
             }
@@ -33,35 +33,35 @@
     Started "start" "Processes that started.";
     Stopping "stop" "Processes that were asked to stop.";
     Elected "elect" "Elections: replicas that became leader.";
-    ElectionLost "noel" "Elections that were lost: candidates whose term got no leader.";
+    ElectionLost "noel" "Lost elections: candidates whose term elected no leader.";
     Ready "ready" "Processes that became ready.";
     Unready "unrdy" "Processes that became unready.";
-    RefusedFull "full" "Flows refused: each agent that answered declined as full.";
-    RefusedLate "late" "Flows refused: no agent that was asked answered in time.";
-    RefusedUnknown "noag" "Flows refused: the balancer knew no agent to ask.";
+    RefusedFull "full" "Flows refused: each agent that replied declined as full.";
+    RefusedLate "late" "Flows refused: no agent replied to the offers in time.";
+    RefusedUnknown "noag" "Flows refused: the balancer knew no agent to offer them to.";
     RefusedRoute "route" "Flows refused: no such route.";
-    RefusedOther "oth" "Flows refused for another reason, or with mixed answers.";
-    Queued "waits" "Flows that waited for a place.";
-    Suspected "susp" "Suspicions of agents.";
-    SuspectCleared "back" "Suspected agents that answered again.";
-    Orphaned "gone" "Searches that found that no back end has the flow; it was reset.";
-    SearchInconclusive "lost" "Searches without a verdict; the caller gave up.";
-    BlockedByAbsent "l.gone" "Of those, held up only by few agents that nobody expects to answer.";
-    BlockedByLate "l.late" "Of those, held up by agents that should have answered, or by most agents.";
-    BlockedByUncertain "l.unsu" "Of those, held up by agents or back ends that could not know.";
-    BlockedByIncompleteDirectory "l.list" "Of those, held up because the balancer's list of agents was not whole.";
-    NoResponseAwaited "l.end" "Of those, with nobody to tell: the caller waits for no answer.";
-    BlockedByNone "l.none" "Of those, held up by no agent: all lack the flow; the caller may have closed it first.";
-    PacketReturned "reset" "Flows reset inside: a back end does not have them any more.";
-    Stalled "stall" "Flows whose agent does not answer.";
+    RefusedOther "oth" "Flows refused for another reason, or after mixed replies.";
+    Queued "waits" "Flows that waited in an admission queue.";
+    Suspected "susp" "Agents that became suspected.";
+    SuspectCleared "back" "Suspected agents that replied again.";
+    Orphaned "gone" "Flow searches that found that no back end owns the flow; it was reset.";
+    SearchInconclusive "lost" "Inconclusive flow searches; the caller gave up.";
+    BlockedByAbsent "l.gone" "Of those, blocked only by a few agents that are not expected to reply.";
+    BlockedByLate "l.late" "Of those, blocked by agents that were expected to reply, or by most agents.";
+    BlockedByUncertain "l.unsu" "Of those, blocked by agents or back ends that could not tell whether they own the flow.";
+    BlockedByIncompleteDirectory "l.list" "Of those, blocked because the balancer's agent directory was incomplete.";
+    NoResponseAwaited "l.end" "Of those, not reset because the caller awaited no response.";
+    BlockedByNone "l.none" "Of those, blocked by no agent: none owns the flow; the caller may have closed it first.";
+    PacketReturned "reset" "Packets that a back end returned because it does not own their flow any more.";
+    Stalled "stall" "Flows whose agent does not reply.";
     BackendSilent "silent" "Back ends that fell silent.";
-    BackendEjected "sick" "Back ends left out because they fail their requests.";
-    LinkCongested "link" "Links of balancers that became full.";
+    BackendEjected "sick" "Back ends ejected because their requests failed.";
+    LinkCongested "link" "Links of balancers that became congested.";
     WriteFailed "disk" "Writes to a data folder that failed.";
-    LinesSuppressed "cut" "Entries that were left out of the logs.";
+    LinesSuppressed "cut" "Entries that the rate limit of the logs suppressed.";
 }
 
-/// The columns in which a line counts, and how much.
+/// The columns in which a line is counted, with the amounts.
 pub(super) fn counts(kind: EventKind, line: &LogLine) -> Vec<(Column, u64)> {
     let column = match kind {
         EventKind::ProcessStarted => Column::Started,
@@ -90,7 +90,7 @@
     vec![(column, 1)]
 }
 
-/// Why the balancer refused, by the answers that its line counts.
+/// Why a balancer refused a flow, by the counts of replies in its line.
 fn refusal(line: &LogLine) -> Column {
     match line.value("reason") {
         Some("no_route") => return Column::RefusedRoute,
@@ -105,13 +105,13 @@
     match offered {
         0 => Column::RefusedUnknown,
         _ if late >= offered => Column::RefusedLate,
-        // An answer that comes late counts in both.
+        // A late reply is counted both as late and by what it says.
         _ if full > 0 && full + late >= offered => Column::RefusedFull,
         _ => Column::RefusedOther,
     }
 }
 
-/// A search without a verdict, and which agents held the verdict up.
+/// An inconclusive search, and what kept it from a conclusion.
 fn inconclusive_search(line: &LogLine) -> Vec<(Column, u64)> {
     let count = |name| number(line, name).unwrap_or(0);
     let mut columns = vec![(Column::SearchInconclusive, 1)];
@@ -130,19 +130,20 @@
         (0, 0, missing @ 1.., not_owned) if missing < not_owned => Some(Column::BlockedByAbsent),
         (0, 0, 1.., _) => Some(Column::BlockedByLate),
         (0, 0, 0, 1..) => Some(Column::BlockedByNone),
-        // Nobody was asked.
+        // No agent was queried.
         (0, 0, 0, 0) => None,
     };
     columns.extend(blocked_by.map(|column| (column, 1)));
     columns
 }
 
-/// The subject is `N entries`.
+/// Number of suppressed lines; the subject is `N entries`.
 fn suppressed_lines(line: &LogLine) -> u64 {
     let count = line.subject.split(' ').next();
     count.and_then(|it| it.parse().ok()).unwrap_or(0)
 }
 
+/// A number in the subject of a line.
 pub(super) fn number(line: &LogLine, name: &str) -> Option<u64> {
     line.value(name)?.parse().ok()
 }
--- a/crates/petrellatch/src/logs/summary/mod.rs
+++ b/crates/petrellatch/src/logs/summary/mod.rs
@@ -1,7 +1,7 @@
-//! What happened to all flows, by slices of time, and the first causes.
+//! A summary of all log lines: counts by slices of time, and the most important causes.
 //!
-//! Lines are counted as they come, in any order, and not kept: the memory that
-//! it takes is bounded by the number of slices and names, not by the lines.
+//! Lines are counted in any order and not kept, so that memory is bounded by the number
+//! of slices and names, not by the number of lines.
 
 mod causes;
 mod column;
@@ -19,27 +19,28 @@
 
 use super::LogLine;
 
-/// Width of the finest slice, in milliseconds: a collapse begins within 200 ms.
+/// Width of the finest slice, in milliseconds: a congestion collapse begins within
+/// 200 ms.
 const FINEST_MILLIS: u64 = 100;
-/// Slices kept, at most; the width is doubled beyond, so a day fits with 12.8 s.
+/// Maximum number of slices. Beyond it the width is doubled; slices of 12.8 s hold a day.
 const MAX_SLICES: usize = 8_192;
-/// Names of nodes and agents kept, at most: four for each of 1,000 machines.
+/// Maximum number of names of nodes and agents: four for each of 1,000 machines.
 const MAX_NAMES: usize = 4_096;
-/// Starts and stops kept one by one, at most: eight for each of 1,000 machines.
+/// Maximum number of recorded starts and stops: eight for each of 1,000 machines.
 const MAX_STEPS: usize = 8_192;
-/// Pairs of reason and priority kept, at most; there are about ten.
+/// Maximum number of pairs of reason and priority; there are about ten.
 const MAX_REASONS: usize = 64;
 
-/// A process that started or was asked to stop.
+/// The start of a process, or the request to stop it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Step {
     millis: u64,
     node: u32,
-    /// What started; `None` for a stop.
+    /// Role of the process that started; `None` for a stop.
     role: Option<String>,
 }
 
-/// Counts lines and makes the report of them.
+/// Counts log lines and reports the counts.
 #[derive(Clone, Debug)]
 pub struct Summary {
     width: u64,
@@ -64,7 +65,7 @@
 }
 
 impl Summary {
-    /// Counts a line; lines without a known event or time are ignored.
+    /// Counts a line. Lines without a known event or a valid time are ignored.
     pub fn add(&mut self, line: &LogLine) {
         let kind = EventKind::ALL.iter().find(|it| it.name() == line.event);
         let (Some(kind), Some(millis)) = (kind, line.millis()) else {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// What the lines say, with slices of this many milliseconds in the table;
-    /// by itself it takes a width with which a screen holds the table.
+    /// Returns the report of the lines. `slice_millis` is the width of the table's slices
+    /// in milliseconds; by default the table fits on a screen.
     pub fn report(&self, slice_millis: Option<u64>) -> SummaryReport {
         let causes = causes::causes(self);
         SummaryReport::new(self, causes, slice_millis)
@@ -113,7 +114,7 @@
         *self.refusals.entry(key).or_default() += 1;
     }
 
-    /// The number of a name; all names beyond the limit share the last one.
+    /// Returns the number of a name. All names beyond the limit share the last number.
     fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.names.get(name) {
             return *number;
--- a/crates/petrellatch/src/logs/summary/report.rs
+++ b/crates/petrellatch/src/logs/summary/report.rs
@@ -1,4 +1,4 @@
-//! The report: a table for a terminal, or JSON.
+//! The report of a summary: a table for a terminal, or JSON.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,16 +8,16 @@
 use super::slice::Slice;
 use super::{Cause, Column, Summary};
 
-/// Rows of the table that a screen holds beside the causes.
+/// Maximum number of rows of the table, so that it fits on a screen with the causes.
 const MAX_ROWS: u64 = 30;
-/// Widths that people read easily, in milliseconds.
+/// Default widths of a slice, in milliseconds.
 const WIDTHS: [u64; 14] = [
     100, 250, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 120_000, 300_000, 600_000,
     1_800_000, 3_600_000,
 ];
 const MILLIS_OF_DAY: u64 = 86_400_000;
 
-/// Counts by slices of time, and the first causes.
+/// Counts by slices of time, and the most important causes.
 #[derive(Clone, Debug)]
 pub struct SummaryReport {
     width: u64,
@@ -37,7 +37,7 @@
             Some(width) => width,
             None => fitting_width(summary),
         };
-        // Slices are cut from whole finest ones.
+        // The width must be a multiple of the width of the summary's slices.
         let width = width.max(1).div_ceil(summary.width) * summary.width;
         let mut rows: BTreeMap<u64, Slice> = BTreeMap::new();
         let mut total = Slice::default();
@@ -56,17 +56,17 @@
         }
     }
 
-    /// The causes, in the order of time.
+    /// The most important causes, in order of time.
     pub fn causes(&self) -> &[Cause] {
         &self.causes
     }
 
-    /// A count over all slices.
+    /// The sum of a column over all slices.
     pub fn total(&self, column: Column) -> u64 {
         self.total.count(column)
     }
 
-    /// The same for tools. Times are milliseconds since 1970.
+    /// The report as JSON. Times are in milliseconds since 1970.
     pub fn to_json(&self) -> Value {
         let rows = self.rows.iter().map(|(from, slice)| {
             let mut row = Map::new();
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Columns in which anything was counted.
+    /// Columns with a count above zero.
     fn columns(&self) -> Vec<Column> {
         let counted = Column::ALL.iter().filter(|column| self.total(**column) > 0);
         counted.copied().collect()
@@ -121,13 +121,13 @@
 
 impl fmt::Display for SummaryReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(formatter, "causes, heaviest ones in the order of time:")?;
+        writeln!(formatter, "most important causes, in order of time:")?;
         for cause in &self.causes {
             let (from, until) = (clock(cause.from), clock(cause.until));
             writeln!(formatter, "  {from} to {until}  {}", cause.text)?;
         }
         if self.causes.is_empty() {
-            writeln!(formatter, "  none is logged")?;
+            writeln!(formatter, "  none found")?;
         }
         for ((reason, priority), count) in &self.refusals {
             writeln!(
@@ -139,7 +139,7 @@
             let count = self.total(Column::LinesSuppressed);
             writeln!(
                 formatter,
-                "missing: {count} entries were left out; counts are at least"
+                "missing: {count} entries were suppressed; all counts are lower bounds"
             )?;
         }
         writeln!(formatter, "slices of {} ms:", self.width)?;
@@ -147,7 +147,7 @@
     }
 }
 
-/// The narrowest width with which a screen holds all slices.
+/// The smallest default width with which the table fits on a screen.
 fn fitting_width(summary: &Summary) -> u64 {
     let rows = |width: u64| {
         let mut rows: Vec<u64> = summary
@@ -163,7 +163,7 @@
     fitting.next().unwrap_or(MILLIS_OF_DAY)
 }
 
-/// Time of day with milliseconds.
+/// Formats the time of day with milliseconds.
 fn clock(millis: u64) -> String {
     let (seconds, millis) = (millis % MILLIS_OF_DAY / 1_000, millis % 1_000);
     let (hours, minutes) = (seconds / 3_600, seconds / 60 % 60);
--- a/crates/petrellatch/src/logs/summary/slice.rs
+++ b/crates/petrellatch/src/logs/summary/slice.rs
@@ -7,43 +7,44 @@
 use super::column::{Column, counts, number};
 use crate::logs::LogLine;
 
-/// Names kept for each slice and kind, at most; the sets say "at least" beyond.
-/// 512 agents are more than half of the largest deployment's thousand.
+/// Maximum number of names in each set of a slice; beyond it the size of the set is a
+/// lower bound. 512 agents are more than half of the thousand of the largest deployment.
 const MAX_NAMES: usize = 512;
 
-/// Reasons of lost elections kept for each slice, at most; there are three.
+/// Maximum number of reasons of lost elections per slice; there are three reasons.
 const MAX_LOSS_REASONS: usize = 8;
 
-/// Counts of a slice, with what the causes need to be told from each other.
+/// The counts of a slice, with the data that distinguishes the causes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Slice {
     counts: [u64; Column::ALL.len()],
-    /// Lines of any kind.
+    /// Number of lines of any kind.
     pub(super) lines: u64,
-    /// Addresses of agents that were suspected.
+    /// Suspected agents, as numbers of their addresses.
     pub(super) suspected: BTreeSet<u32>,
-    /// Balancers that suspected or refused.
+    /// Balancers that suspected agents or refused flows, as numbers of their names.
     pub(super) balancers: BTreeSet<u32>,
-    /// Most agents missing in a search that only gone agents held up.
+    /// Maximum number of agents without a reply in a search that was blocked only by
+    /// absent agents.
     pub(super) missing: u64,
-    /// Most agents that lacked the flow in such a search.
+    /// Maximum number of agents that did not own the flow in such a search.
     pub(super) not_owned: u64,
-    /// Most agents of a service that a balancer knew when it refused.
+    /// Maximum number of agents of a service that a balancer knew when it refused a flow.
     pub(super) agents: u64,
-    /// Most of them that were cold.
+    /// Maximum number of these agents whose back ends were cold.
     pub(super) cold: u64,
-    /// Balancers whose links became full.
+    /// Balancers whose links became congested, as numbers of their names.
     pub(super) congested_links: BTreeSet<u32>,
     /// Lost elections by reason.
     pub(super) elections_lost: BTreeMap<String, u64>,
-    /// Moments of the first and the last lost election, in milliseconds.
+    /// Times of the first and the last lost election, in milliseconds since 1970.
     pub(super) election_loss_period: Option<(u64, u64)>,
-    /// The longest time, in milliseconds, that such a link needed for what waited.
+    /// Maximum time, in milliseconds, that a congested link needed to send its queue.
     pub(super) link_wait: u64,
 }
 
 impl Slice {
-    /// Counts a line. `node` and `agent` are the numbers of the names in it.
+    /// Counts a line. `node` and `agent` are the numbers of the names in the line.
     pub(super) fn add(&mut self, kind: EventKind, line: &LogLine, node: u32, agent: Option<u32>) {
         for (column, count) in counts(kind, line) {
             self.counts[column as usize] += count;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Takes the counts of a later slice in.
+    /// Adds the counts of another slice.
     pub(super) fn merge(&mut self, other: &Slice) {
         for (own, more) in self.counts.iter_mut().zip(other.counts) {
             *own += more;
@@ -112,7 +113,7 @@
         self.counts[column as usize]
     }
 
-    /// Flows refused because no agent takes them, whatever agents said.
+    /// Number of flows refused for any reason but a missing route.
     pub(super) fn refused(&self) -> u64 {
         let reasons = [
             Column::RefusedFull,
--- a/crates/petrellatch/src/logs/version_timeline.rs
+++ b/crates/petrellatch/src/logs/version_timeline.rs
@@ -1,4 +1,4 @@
-//! How one version of the configuration came into force.
+//! The timeline of one version of the configuration.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,8 +7,8 @@
 
 use super::log_line::LogLine;
 
-/// The lines about one version in their order, and the balancers that did not
-/// tell that they have it, or a newer one, in force.
+/// The lines about one version in order of time, and the balancers that did not log
+/// that this version, or a newer one, is active.
 #[derive(Clone, Debug)]
 pub struct VersionTimeline {
     version: u64,
@@ -17,7 +17,7 @@
 }
 
 impl VersionTimeline {
-    /// Finds the story in lines that are in the order of their times.
+    /// Builds the timeline of `version` from lines that are sorted by time.
     pub fn new(lines: &[LogLine], version: u64) -> VersionTimeline {
         let is_about = |line: &&LogLine| {
             let named = line.value("version").and_then(|it| it.parse().ok());
@@ -34,13 +34,14 @@
         }
     }
 
-    /// Balancers without the version.
+    /// Names of the balancers that logged an older version, but neither this one nor a
+    /// newer one.
     pub fn nodes_without(&self) -> &[String] {
         &self.nodes_without
     }
 }
 
-/// Nodes that applied some version, but neither this one nor a newer one.
+/// Names of the nodes that applied some version, but neither this one nor a newer one.
 fn nodes_without(lines: &[LogLine], version: u64) -> Vec<String> {
     let applied: Vec<(&str, u64)> = lines
         .iter()
@@ -64,10 +65,13 @@
             writeln!(formatter, "  {line}")?;
         }
         if self.lines.is_empty() {
-            writeln!(formatter, "missing: every line about it")?;
+            writeln!(formatter, "missing: all lines about this version")?;
         }
         for node in &self.nodes_without {
-            writeln!(formatter, "missing: neither it nor a newer one at {node}")?;
+            writeln!(
+                formatter,
+                "missing: neither this version nor a newer one at {node}"
+            )?;
         }
         Ok(())
     }
--- a/crates/petrellatch/tests/logs.rs
+++ b/crates/petrellatch/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The `logs` command and the stories behind it.
+//! The timelines of the `logs` command.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -75,7 +75,7 @@
     assert!(text.contains("ConfigurationApplied version=9"), "{text}");
     assert!(
         !text.contains("version=10"),
-        "that is too long after: {text}"
+        "the line is too far from the flow's own lines: {text}"
     );
 }
 
@@ -97,7 +97,7 @@
     assert!(missing.contains("40 entries at agent"), "{missing}");
     assert!(!missing.contains("50"), "{missing}");
     let no_lines = FlowTimeline::new(&lines(&texts), "100.64.0.7:9");
-    assert!(no_lines.missing()[0].contains("every line"));
+    assert!(no_lines.missing()[0].contains("all lines"));
     assert_eq!(no_lines.cause(), "unknown");
 }
 
@@ -126,17 +126,19 @@
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let text = line(
         "10:00:00.2",
         "balancer",
         "FlowRefused",
         &format!("flow={FLOW} reason=no_agent version=8"),
     );
-    let mut input = process.stdin.take().expect("piped");
-    input.write_all(text.as_bytes()).expect("it reads");
+    let mut input = process.stdin.take().expect("standard input is piped");
+    input
+        .write_all(text.as_bytes())
+        .expect("the program reads its standard input");
     drop(input);
-    let output = process.wait_with_output().expect("it ends");
+    let output = process.wait_with_output().expect("the program exits");
     assert!(output.status.success());
     let printed = String::from_utf8_lossy(&output.stdout);
     assert!(printed.contains("cause: refused: no_agent"), "{printed}");
@@ -148,7 +150,7 @@
         let output = Command::new(program)
             .args(&wrong)
             .output()
-            .expect("it starts");
+            .expect("the program starts");
         assert_eq!(output.status.code(), Some(2), "{wrong:?}");
     }
 }
@@ -165,17 +167,17 @@
     };
     let full = refused("asked=8 full=7 late=1 other=0");
     assert!(
-        full.contains("7 declined as full, 1 did not answer"),
+        full.contains("7 declined as full, 1 did not reply"),
         "{full}"
     );
     let cold = refused("asked=8 full=8 late=0 other=0 agents=9 leaving=0 evacuated=0 cold=9");
     assert!(
-        cold.contains("of 9 known agents 9 have cold back ends"),
+        cold.contains("of 9 known agents, 9 had cold back ends"),
         "{cold}"
     );
     let no_agent = refused("asked=0 full=0 late=0 other=0");
     assert!(no_agent.contains("knew no agent"), "{no_agent}");
-    // Without the counts the line says no_lines about agents.
+    // A line without counts does not explain the refusal.
     let unknown = refused("");
     assert_eq!(unknown, "refused: no_agent");
 }
@@ -186,37 +188,37 @@
         (
             "FlowGone",
             "waited=61 rounds=2 missing=0 expected=0 uncertain=0 tried=0 lacks=7",
-            "no back end has the flow any more, by the word of 7 agents",
+            "no back end owns the flow any more, according to 7 agents",
         ),
         (
             "FlowGone",
             "agent=10.1.0.4:7000 was_open=true",
-            "the back end at 10.1.0.4:7000 had the flow",
+            "the back end at 10.1.0.4:7000 owned the flow",
         ),
         (
             "FlowTold",
             "cause=question known_for=12",
-            "the back end at balancer has the flow no more; a balancer asked for the flow",
+            "the back end at balancer does not own the flow any more; a balancer queried the flow",
         ),
         (
             "FlowTold",
             "cause=request known_for=0",
-            "its caller waited for an answer and was told at once",
+            "its caller awaited a response and was notified at once",
         ),
         (
             "FlowTold",
             "cause=pace known_for=180",
-            "its caller rested and was told before its next request",
+            "its caller was idle and was notified before its next request",
         ),
         (
             "FlowNotFound",
             "rounds=8 missing=3 expected=2 uncertain=5 tried=0 lacks=0",
-            "not found among the agents: 3 did not answer, 5 could not know",
+            "not found among the agents: 3 did not reply, 5 could not tell",
         ),
         (
             "FlowNotFound",
             "rounds=0 missing=0 expected=0 uncertain=0 tried=0 lacks=0",
-            "nobody was asked for the flow",
+            "no agent was queried for the flow",
         ),
     ] {
         let subject = format!("flow={FLOW} {subject}");
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -1,5 +1,5 @@
-//! The summary of the `logs` command: what happened by time, and the first
-//! causes, from lines of all processes in any order.
+//! The summary of the `logs` command: counts by time and the most important causes, from
+//! lines of all processes in any order.
 
 use std::process::Command;
 
@@ -16,7 +16,8 @@
 
 fn report(texts: &[String]) -> SummaryReport {
     let mut summary = Summary::default();
-    // Files of many processes come one after the other, not by time.
+    // The files of several processes are read one after the other, so lines are not
+    // sorted by time.
     for line in texts.iter().rev().filter_map(|text| LogLine::parse(text)) {
         summary.add(&line);
     }
@@ -28,8 +29,8 @@
     causes.map(|cause| cause.text.as_str()).collect()
 }
 
-/// A second in which eight balancers ask eight full agents for each flow, and
-/// suspect all of 42, a thousand times.
+/// The lines of a congestion collapse: within one second, eight balancers refuse a
+/// thousand flows after eight declined offers each, and suspect all of 42 agents.
 fn collapse() -> Vec<String> {
     let lines = (0..1_000).flat_map(|number: u64| {
         let (at, balancer) = (5_000 + number, format!("front-{}", number % 8));
@@ -54,7 +55,7 @@
     assert_eq!(causes.len(), 1, "{causes:?}");
     assert!(causes[0].contains("1000 flows refused"), "{causes:?}");
     assert!(
-        causes[0].contains("1000 suspicions (1000 a second)"),
+        causes[0].contains("1000 suspicions (1000 per second)"),
         "{causes:?}"
     );
     assert!(causes[0].contains("42 agents at 8 balancers"), "{causes:?}");
@@ -64,7 +65,10 @@
         text.contains("refused: 1000 reason=no_agent priority=2"),
         "{text}"
     );
-    assert!(text.lines().count() < 50, "a screen holds it: {text}");
+    assert!(
+        text.lines().count() < 50,
+        "the report does not fit on a screen: {text}"
+    );
 
     let one_dead = collapse().into_iter().map(|text| {
         let (head, tail) = text.split_once("10.1.0.").unwrap_or((&text, ""));
@@ -83,7 +87,7 @@
     let suspected = |text: &String| text.contains("AgentSuspected");
     let (suspicions, mut texts): (Vec<String>, Vec<String>) =
         collapse().into_iter().partition(suspected);
-    // Each agent is late once, for one balancer.
+    // Each agent replies late once, to one balancer.
     texts.extend(suspicions.into_iter().take(42));
     let report = report(&texts);
     assert_eq!(report.total(Column::Suspected), 42);
@@ -110,7 +114,7 @@
         report.to_string().contains("CONGESTION COLLAPSE"),
         "{report}"
     );
-    // Most agents are silent here, not one that stopped.
+    // Most agents did not reply, so this is not the case of a single stopped agent.
     assert_eq!(report.total(Column::BlockedByAbsent), 0);
     assert_eq!(report.total(Column::BlockedByLate), 1);
 }
@@ -122,7 +126,8 @@
         line(8_000 + number, "front-1", "FlowNotFound", &subject)
     };
     let stopped = "rounds=5 missing=1 expected=0 uncertain=0 tried=0 lacks=44";
-    // One that waited for an answer before it closed the flow was owed a word.
+    // A caller that awaited a response before it closed the flow counts as well: it
+    // should have been reset.
     let closed = "rounds=5 missing=1 expected=0 uncertain=0 tried=0 lacks=44 \
                   directory_whole=true awaits=true ended=true";
     let counts = |number| if number % 2 == 0 { stopped } else { closed };
@@ -161,13 +166,13 @@
     let causes = cause_texts(&report);
     assert_eq!(causes.len(), 1, "{causes:?}");
     for part in [
-        "706 flows sought without a verdict",
-        "700 of them SILENCED BY A STOPPED AGENT: up to 44 agents lack the flow, all but at most 1 that",
-        "for 1 agents that should have answered, or most agents, did not",
-        "for 1 agents or back ends could not know",
-        "for 1 the balancer's list of agents was not whole",
-        "for 1 the caller waits for no answer (it closed the flow)",
-        "for 1 all agents lack the flow, and the caller may have closed it first",
+        "706 flow searches were inconclusive",
+        "700 of them BLOCKED BY A STOPPED AGENT: up to 44 agents did not own the flow, and at most 1 that",
+        "for 1 agents that were expected to reply, or most agents, did not",
+        "for 1 agents or back ends could not tell whether they own the flow",
+        "for 1 the balancer's agent directory was incomplete",
+        "for 1 the caller awaited no response (it closed the flow)",
+        "for 1 no agent owned the flow, and the caller may have closed it first",
     ] {
         assert!(causes[0].contains(part), "{part}: {causes:?}");
     }
@@ -205,16 +210,16 @@
     assert_eq!(
         causes,
         [
-            "2 processes started again (1 agent, 1 balancer), 1 without having been asked to \
-             stop, after 900 ms without a line of anyone",
-            "50 flows refused (50 all that answered were full), up to 6 of 7 agents cold; beside 2 processes that had \
-             started again",
+            "2 processes restarted (1 agent, 1 balancer), 1 of them without a planned stop, \
+             after 900 ms without any log line",
+            "50 flows refused (50 all agents that replied were full), up to 6 of 7 agents cold; \
+             at the time of the restart of 2 processes",
         ]
     );
     assert!(
         report
             .to_string()
-            .contains("missing: 40 entries were left out"),
+            .contains("missing: 40 entries were suppressed"),
         "{report}"
     );
 }
@@ -231,10 +236,10 @@
         );
         let text =
             format!("{{\"msg\":\"FlowWaits\",\"ts\":\"2026-02-28T{clock}Z\",\"node\":\"side-1\"}}");
-        summary.add(&LogLine::parse(&text).expect("a line"));
+        summary.add(&LogLine::parse(&text).expect("the line is valid"));
     }
     let next_day = "{\"msg\":\"FlowWaits\",\"ts\":\"2026-03-01T00:00:00Z\",\"node\":\"side-1\"}";
-    summary.add(&LogLine::parse(next_day).expect("a line"));
+    summary.add(&LogLine::parse(next_day).expect("the line is valid"));
     let report = summary.report(None);
     assert_eq!(report.total(Column::Queued), 86_401);
     let slices = report.to_json()["slices"].as_array().map_or(0, Vec::len);
@@ -243,19 +248,23 @@
 
 #[test]
 fn the_command_prints_json_and_refuses_conflicting_options() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let file = folder.path().join("all.log");
-    std::fs::write(&file, collapse().join("\n")).expect("it is written");
+    std::fs::write(&file, collapse().join("\n")).expect("the file is written");
     let logs = |arguments: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_petrellatch"));
         let output = command.arg("logs").args(arguments).arg(&file).output();
-        output.expect("it starts")
+        output.expect("the program starts")
     };
     let output = logs(&["--summary", "--json", "--slice", "500"]);
     assert!(output.status.success());
-    let json: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
+    let json: serde_json::Value =
+        serde_json::from_slice(&output.stdout).expect("the output is JSON");
     assert_eq!(json["slice_millis"], 500);
-    let full = json["slices"].as_array().expect("slices").iter();
+    let full = json["slices"]
+        .as_array()
+        .expect("the report has slices")
+        .iter();
     let full: Vec<u64> = full.filter_map(|slice| slice["full"].as_u64()).collect();
     assert_eq!(full, [500, 500]);
     assert_eq!(json["refusals"][0]["priority"], "2");
@@ -279,9 +288,9 @@
     let report = report(&congested);
     let causes = cause_texts(&report);
     assert_eq!(causes.len(), 1, "{causes:?}");
-    let expected = "links of 3 balancers became FULL, 6 times";
+    let expected = "links of 3 balancers became CONGESTED, 6 times";
     assert!(causes[0].contains(expected), "{causes:?}");
-    assert!(causes[0].contains("105 ms and more"), "{causes:?}");
+    assert!(causes[0].contains("105 ms or more"), "{causes:?}");
 }
 
 #[test]
