--- a/crates/petrellatch/src/settings/cluster_key.rs
+++ b/crates/petrellatch/src/settings/cluster_key.rs
@@ -6,9 +6,12 @@
 
 use super::problem::SettingsProblem;
 
-/// Reads the key that all processes of the cluster share: 32 hexadecimal
-/// digits, with white space around them allowed. The value itself never shows
-/// up in an error.
+/// Reads the key that all processes of the cluster share: 32 hexadecimal digits, which
+/// white space may surround. Errors never contain the key.
+///
+/// # Errors
+///
+/// The file can't be read, or does not contain exactly 32 hexadecimal digits.
 pub fn read_cluster_key(path: &Path) -> Result<ClusterKey, Box<SettingsProblem>> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| problem(path, format!("can't read the file: {error}")))?;
@@ -19,7 +22,7 @@
 fn parse_key(text: &str) -> Result<[u8; KEY_BYTES], String> {
     let digits = text.as_bytes();
     if digits.len() != 2 * KEY_BYTES {
-        return Err(format!("the file holds {} characters", digits.len()));
+        return Err(format!("the file contains {} characters", digits.len()));
     }
     let mut key = [0; KEY_BYTES];
     for (byte, pair) in key.iter_mut().zip(digits.chunks_exact(2)) {
@@ -28,7 +31,7 @@
         *byte = u8::from_str_radix(pair, 16)
             .ok()
             .filter(|_| both_digits)
-            .ok_or("the file holds a character that is no hexadecimal digit")?;
+            .ok_or("the file contains a character that is not a hexadecimal digit")?;
     }
     Ok(key)
 }
--- a/crates/petrellatch/src/settings/flags.rs
+++ b/crates/petrellatch/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Puts the flags of the command line over the settings file.
+//! Overrides the values of the settings file with the command-line flags.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -12,10 +12,11 @@
 use super::settings_file::{ReplicaSettings, SettingsFile};
 use crate::command_line::DaemonOptions;
 
-/// Where a problem of a flag is reported.
+/// The file name in problems of flags.
 const COMMAND_LINE: &str = "command line";
 
-/// Puts the flags over the file; notes those that can't be read.
+/// Overrides values of the file with the flags. Flags that can't be parsed are added to
+/// `problems`.
 pub(super) fn apply_flags(
     file: &mut SettingsFile,
     flags: &DaemonOptions,
@@ -88,6 +89,7 @@
     }
 }
 
+/// Overrides `target` with the parsed flag, if the flag is set.
 fn apply_flag<T>(
     target: &mut Option<T>,
     key: &str,
@@ -104,7 +106,7 @@
     }
 }
 
-/// Like [`apply_flag`], for values that are words of a closed list.
+/// Like [`apply_flag`], for values of an enumeration.
 fn apply_enum_flag<T>(
     target: &mut Option<T>,
     key: &str,
@@ -130,6 +132,7 @@
     parsed
 }
 
+/// Parses `NAME=CONTROL[,OPERATOR]`.
 fn split_replica(text: &str) -> Option<ReplicaSettings> {
     let (name, addresses) = text.split_once('=')?;
     let (control, operator) = match addresses.split_once(',') {
--- a/crates/petrellatch/src/settings/keys.rs
+++ b/crates/petrellatch/src/settings/keys.rs
@@ -1,28 +1,28 @@
-//! What each key of the settings file may hold.
+//! The keys of the settings file with their permitted values.
 
 use std::ops::RangeInclusive;
 
-/// Bounds of `timing.heartbeat_milliseconds`.
+/// Permitted values of `timing.heartbeat_milliseconds`.
 pub const HEARTBEAT_MILLISECONDS: RangeInclusive<u64> = 50..=10_000;
-/// Bounds of `timing.lease_milliseconds`.
+/// Permitted values of `timing.lease_milliseconds`.
 pub const LEASE_MILLISECONDS: RangeInclusive<u64> = 500..=60_000;
-/// Bounds of `timing.election_milliseconds`.
+/// Permitted values of `timing.election_milliseconds`.
 pub const ELECTION_MILLISECONDS: RangeInclusive<u64> = 100..=10_000;
-/// Bounds of `timing.stop_seconds`.
+/// Permitted values of `timing.stop_seconds`.
 pub const STOP_SECONDS: RangeInclusive<u64> = 1..=86_400;
-/// Bounds of `limits.operator_requests`.
+/// Permitted values of `limits.operator_requests`.
 pub const OPERATOR_REQUESTS: RangeInclusive<u64> = 1..=1_024;
-/// Bounds of `limits.receive_buffer_bytes`.
+/// Permitted values of `limits.receive_buffer_bytes`.
 pub const RECEIVE_BUFFER_BYTES: RangeInclusive<u64> = 65_536..=67_108_864;
 
-/// One key with what is allowed.
+/// A key with its permitted values and its default.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyDescription {
-    /// The key with its section.
+    /// The key with its section, such as `node.zone`.
     pub key: &'static str,
-    /// What is allowed.
+    /// Description of the permitted values.
     pub allowed: &'static str,
-    /// The value when the key is missing; empty if there is none.
+    /// The default value; empty if the key has none.
     pub default: &'static str,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// All keys, in the order of the documentation.
+/// All keys, in the order in which they are documented.
 pub const KEYS: &[KeyDescription] = &[
     key("node.name", NAME, ""),
     key("node.zone", NAME, ""),
@@ -100,7 +100,7 @@
     ),
 ];
 
-/// Returns what a key may hold; empty for an unknown key.
+/// Returns the description of the permitted values of a key; empty for an unknown key.
 pub fn allowed(key: &str) -> &'static str {
     KEYS.iter()
         .find(|description| description.key == key)
--- a/crates/petrellatch/src/settings/load.rs
+++ b/crates/petrellatch/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file and collects everything that is wrong in it.
+//! Reads a settings file and collects all problems in it.
 
 use std::path::Path;
 
@@ -8,11 +8,11 @@
 use super::problem::SettingsProblem;
 use super::settings_file::SettingsFile;
 
-/// More problems than this are not listed.
+/// Maximum number of problems that are listed.
 const MAX_PROBLEMS: usize = 64;
 
-/// Reads a settings file. Everything that is wrong by itself is returned;
-/// whether something is missing depends on the role and the flags.
+/// Reads a settings file and returns it with the problems found in it. Missing keys are
+/// not reported here, since they depend on the role and the flags.
 pub fn load(path: &Path) -> (SettingsFile, Vec<SettingsProblem>) {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Deserializes, and on a problem takes the key out and tries again, so that
+/// Deserializes the table. After a problem it removes the key and tries again, so that
 /// all problems are found in one run.
 fn deserialize(file: &str, text: &str, mut table: Table) -> (SettingsFile, Vec<SettingsProblem>) {
     let mut problems = Vec::new();
@@ -98,8 +98,8 @@
         })
 }
 
-/// Removes the value at `path`. An element of an array goes with everything in
-/// it, since its keys are all needed.
+/// Removes the value at `path` and returns whether it existed. An element of an array is
+/// removed with all its keys, since it is invalid without one of them.
 fn remove(table: &mut Table, path: &[String]) -> bool {
     match path {
         [] => false,
@@ -119,8 +119,8 @@
     }
 }
 
-/// Finds the line of a key. Sections and keys are found by their text, since
-/// a deserialized table no longer knows where it came from.
+/// Finds the line of a key by searching the text, since a parsed table does not keep the
+/// positions of its keys.
 fn line_of_key(text: &str, path: &[String]) -> Option<usize> {
     let names: Vec<&String> = path
         .iter()
@@ -160,11 +160,13 @@
     None
 }
 
+/// The line, from one, of a byte offset.
 fn line_of(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.len())];
     before.iter().filter(|byte| **byte == b'\n').count() + 1
 }
 
+/// A problem of the file as a whole, without a key.
 fn whole_file(file: &str, line: Option<usize>, message: String) -> SettingsProblem {
     SettingsProblem {
         file: file.to_string(),
--- a/crates/petrellatch/src/settings/mod.rs
+++ b/crates/petrellatch/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! Settings of the daemons: a TOML file with flags over it.
+//! Settings of the daemons: a TOML file that command-line flags override.
 //!
-//! [`SettingsFile`] is the file as written; [`load`] reads it and collects
-//! everything that is wrong; [`Settings`] are the values that hold after the
-//! flags and defaults, with nothing missing for the role.
+//! [`SettingsFile`] is the file as written; [`load`] reads it and collects all problems;
+//! [`Settings`] are the effective values after flags and defaults, complete for the role
+//! of the process.
 
 mod cluster_key;
 mod flags;
--- a/crates/petrellatch/src/settings/problem.rs
+++ b/crates/petrellatch/src/settings/problem.rs
@@ -1,11 +1,11 @@
-//! One thing that is wrong in the settings.
+//! Problems in the settings.
 
 use std::fmt;
 
-/// One thing that is wrong, where, and what would be right.
+/// A problem in the settings: its place, and the permitted values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsProblem {
-    /// The settings file, or "command line".
+    /// Name of the settings file, or "command line".
     pub file: String,
     /// The line in the file, from one, if known.
     pub line: Option<usize>,
@@ -13,9 +13,9 @@
     pub key: String,
     /// The value as written; empty if there is none.
     pub value: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What is allowed; empty when the message says it.
+    /// Description of the permitted values; empty if the message contains it.
     pub allowed: String,
 }
 
--- a/crates/petrellatch/src/settings/resolve.rs
+++ b/crates/petrellatch/src/settings/resolve.rs
@@ -1,4 +1,4 @@
-//! Puts flags over the file, adds defaults, and checks what holds together.
+//! Combines the settings file with flags and defaults, and checks the result.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::RangeInclusive;
@@ -13,15 +13,15 @@
 use crate::command_line::DaemonOptions;
 use crate::logging::{LogFormat, LogLevel};
 
-/// The longest name of a node or zone, in characters.
+/// Maximum length of the name of a node or zone, in characters.
 const MAX_NAME_CHARACTERS: usize = 64;
-/// The sizes that a control group may have.
+/// Permitted numbers of replicas in the control group.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
-/// How many heartbeats a lease lasts at least, so that one lost heartbeat does
-/// not end it.
+/// Minimum duration of a lease in heartbeats, so that one lost heartbeat does not end
+/// it.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 3;
 
-/// The job of a process.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A control replica.
@@ -47,62 +47,67 @@
     }
 }
 
-/// Intervals and bounds that hold.
+/// Effective intervals and timeouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// An agent's admission lease.
+    /// Duration of an agent's admission lease.
     pub lease: Duration,
-    /// The shortest time without a leader before an election.
+    /// Minimum time without a leader before an election.
     pub election: Duration,
-    /// The longest that a planned stop waits for open flows.
+    /// Maximum time for which a planned stop waits for open flows.
     pub stop: Duration,
 }
 
-/// The settings that hold for one process.
+/// The effective settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node name.
     pub name: String,
     /// The zone.
     pub zone: String,
-    /// The folder for all files.
+    /// The folder for all files of the process.
     pub data_folder: PathBuf,
     /// The file with the cluster key.
     pub key_file: PathBuf,
     /// The control replicas.
     pub replicas: Vec<ReplicaSettings>,
-    /// Control messages (UDP).
+    /// Address for control messages (UDP).
     pub control: SocketAddrV4,
-    /// Caller packets (UDP).
+    /// Address for callers' packets (UDP).
     pub data: SocketAddrV4,
-    /// Health and metrics (HTTP).
+    /// Address that serves health and metrics (HTTP).
     pub admin: SocketAddrV4,
-    /// Operators (HTTP).
+    /// Address that serves operators (HTTP).
     pub operator: SocketAddrV4,
-    /// Whether the data folder is formatted as that of a first voter.
+    /// Whether the data folder is formatted as that of a founding voter.
     pub bootstrap: bool,
-    /// The fabric; the unspecified address when there is none.
+    /// Address of the fabric; the unspecified address if there is none.
     pub fabric: SocketAddrV4,
-    /// Where the platform's list of machines is read, if anywhere.
+    /// URL of the platform's list of machines, if there is one.
     pub platform_list_url: Option<String>,
-    /// The path at which back ends say whether they are draining, if they do.
+    /// Path of the request that asks a back end whether it is draining, if back ends
+    /// serve it.
     pub health_path: Option<String>,
-    /// Intervals and bounds.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Operator requests worked on or waiting at once.
+    /// Maximum number of operator requests in progress or queued.
     pub operator_requests: usize,
-    /// The kernel's receive buffer of each UDP socket, in bytes.
+    /// Size of the kernel's receive buffer of each UDP socket, in bytes.
     pub receive_buffer_bytes: usize,
-    /// The log's format.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// The lowest level logged.
+    /// Lowest level that is logged.
     pub log_level: LogLevel,
 }
 
-/// Puts the flags over the file and checks the result for `role`. Without a
-/// role nothing counts as missing.
+/// Overrides the file with the flags, adds defaults and checks the result for `role`.
+/// Without a role, missing keys are no problem.
+///
+/// # Errors
+///
+/// Returns all problems of the flags and of the resulting values.
 pub fn resolve(
     file_name: &str,
     mut file: SettingsFile,
@@ -125,7 +130,7 @@
     }
 }
 
-/// Takes values out of the file and notes what is wrong with them.
+/// Reads values of the file and collects their problems.
 struct Resolver<'a> {
     file_name: &'a str,
     role: Option<Role>,
@@ -242,7 +247,7 @@
             let earlier = &replicas[..index];
             if earlier.iter().any(|other| other.name == replica.name) {
                 let value = format!("{:?}", replica.name);
-                let message = "stands there twice".to_string();
+                let message = "is used twice".to_string();
                 self.report("cluster.replicas.name", value, message);
             }
             if earlier.iter().any(|other| other.control == replica.control) {
@@ -254,7 +259,7 @@
         replicas.to_vec()
     }
 
-    /// The entry of this process, which tells its addresses.
+    /// The entry of this process among the replicas, which contains its addresses.
     fn own_replica<'a>(&self, file: &'a SettingsFile) -> Option<&'a ReplicaSettings> {
         let name = file.node.name.as_ref();
         let mut replicas = file.cluster.replicas.iter();
@@ -263,6 +268,7 @@
             .filter(|_| self.role == Some(Role::Control))
     }
 
+    /// Reports a control replica that is not in the list of replicas.
     fn check_own_replica(&mut self, settings: &Settings) {
         if self.role != Some(Role::Control) || settings.replicas.is_empty() {
             return;
@@ -275,6 +281,7 @@
         }
     }
 
+    /// Checks that the value, if set, begins with `beginning`.
     fn beginning_with(
         &mut self,
         key: &str,
--- a/crates/petrellatch/src/settings/settings_file.rs
+++ b/crates/petrellatch/src/settings/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file as written.
+//! The structure of the settings file.
 
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
@@ -7,37 +7,38 @@
 
 use crate::logging::{LogFormat, LogLevel};
 
-/// The whole file. Every key may be missing: flags and defaults come later.
+/// The settings file as written. Every key may be missing, since flags and defaults are
+/// applied later.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct SettingsFile {
-    /// Who this process is.
+    /// Identity of the process.
     pub node: NodeSection,
-    /// The cluster that it belongs to.
+    /// The cluster that the process belongs to.
     pub cluster: ClusterSection,
-    /// Where it listens and sends.
+    /// Addresses of the process and of the fabric.
     pub addresses: AddressSection,
-    /// What the platform tells.
+    /// Sources of platform data.
     pub platform: PlatformSection,
-    /// What back ends tell.
+    /// Sources of data about back ends.
     pub backends: BackendSection,
-    /// Intervals and bounds.
+    /// Intervals and timeouts.
     pub timing: TimingSection,
-    /// Bounds on what it takes on.
+    /// Resource limits.
     pub limits: LimitSection,
     /// The log.
     pub log: LogSection,
 }
 
-/// Who this process is.
+/// Identity of the process.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct NodeSection {
-    /// The name, unique in the cluster.
+    /// Name of the node, unique in the cluster.
     pub name: Option<String>,
     /// The zone.
     pub zone: Option<String>,
-    /// The folder for all files.
+    /// The folder for all files of the process.
     pub data_folder: Option<PathBuf>,
 }
 
@@ -51,71 +52,71 @@
     pub replicas: Vec<ReplicaSettings>,
 }
 
-/// A control replica as every process knows it.
+/// A control replica, as listed in the settings of every process.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaSettings {
     /// The node name.
     pub name: String,
-    /// Where it receives control messages.
+    /// Address that receives control messages (UDP).
     pub control: SocketAddrV4,
-    /// Where it serves operators, if others are to be told.
+    /// Address that serves operators (HTTP), if clients are to be redirected to it.
     pub operator: Option<SocketAddrV4>,
 }
 
-/// Where a process listens and sends.
+/// Addresses of the process and of the fabric.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AddressSection {
-    /// Control messages (UDP).
+    /// Address for control messages (UDP).
     pub control: Option<SocketAddrV4>,
-    /// Caller packets (UDP).
+    /// Address for callers' packets (UDP).
     pub data: Option<SocketAddrV4>,
-    /// Health and metrics (HTTP).
+    /// Address that serves health and metrics (HTTP).
     pub admin: Option<SocketAddrV4>,
-    /// Operators (HTTP).
+    /// Address that serves operators (HTTP).
     pub operator: Option<SocketAddrV4>,
-    /// The fabric that takes answer packets (UDP).
+    /// Address of the fabric that transports packets to callers (UDP).
     pub fabric: Option<SocketAddrV4>,
 }
 
-/// What the platform tells.
+/// Sources of platform data.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlatformSection {
-    /// Where the list of live and leaving machines is read (HTTP).
+    /// URL of the list of live and draining machines (HTTP).
     pub list_url: Option<String>,
 }
 
-/// What back ends tell.
+/// Sources of data about back ends.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BackendSection {
-    /// The path at which each back end says whether it is draining (HTTP).
+    /// Path of the request that asks a back end whether it is draining (HTTP).
     pub health_path: Option<String>,
 }
 
-/// Intervals and bounds.
+/// Intervals and timeouts.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TimingSection {
-    /// Between two heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_milliseconds: Option<u64>,
-    /// An agent's admission lease, in milliseconds.
+    /// Duration of an agent's admission lease, in milliseconds.
     pub lease_milliseconds: Option<u64>,
-    /// The shortest time without a leader before an election, in milliseconds.
+    /// Minimum time without a leader before an election, in milliseconds.
     pub election_milliseconds: Option<u64>,
-    /// The longest that a planned stop waits for open flows, in seconds.
+    /// Maximum time for which a planned stop waits for open flows, in seconds.
     pub stop_seconds: Option<u64>,
 }
 
-/// Bounds on what a process takes on.
+/// Resource limits.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitSection {
-    /// Operator requests worked on or waiting at once.
+    /// Maximum number of operator requests in progress or queued.
     pub operator_requests: Option<u64>,
-    /// The kernel's receive buffer of each UDP socket, in bytes.
+    /// Size of the kernel's receive buffer of each UDP socket, in bytes.
     pub receive_buffer_bytes: Option<u64>,
 }
 
@@ -123,8 +124,8 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSection {
-    /// The format.
+    /// Format of the log.
     pub format: Option<LogFormat>,
-    /// The lowest level.
+    /// Lowest level that is logged.
     pub level: Option<LogLevel>,
 }
--- a/crates/petrellatch/tests/settings_refusals.rs
+++ b/crates/petrellatch/tests/settings_refusals.rs
@@ -1,4 +1,4 @@
-//! Broken settings files and what `petrellatch check` says about them.
+//! Invalid settings files and the messages of `petrellatch check` about them.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -19,7 +19,7 @@
 "#;
 
 fn check(content: &str, key: &str) -> (Output, TempDir) {
-    let folder = tempfile::tempdir().expect("a folder for the test");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let key_file = folder.path().join("cluster.key");
     std::fs::write(&key_file, key).expect("the key is written");
     let settings = folder.path().join("settings.toml");
