--- a/crates/petrellatch-core/src/event.rs
+++ b/crates/petrellatch-core/src/event.rs
@@ -152,7 +152,7 @@
     ConfigurationReplaced = 521, Info;
     /// A replacement of the configuration was not accepted.
     ReplacementRefused = 522, Info;
-    /// An operator's request got its response.
+    /// A response to an operator's request was sent.
     RequestAnswered = 523, Info;
     /// A zone was evacuated by a command of an operator.
     ZoneEvacuated = 524, Info;
--- a/crates/petrellatch/src/logs/flow_timeline.rs
+++ b/crates/petrellatch/src/logs/flow_timeline.rs
@@ -178,7 +178,7 @@
         return search_inconclusive(outcome);
     }
     if is_event(outcome, EventKind::FlowTold) {
-        return caller_notified(outcome);
+        return orphaned_by_restart(outcome);
     }
     if is_event(outcome, EventKind::PacketReturned) {
         return "the back end does not own the flow any more".to_owned();
@@ -208,8 +208,9 @@
     )
 }
 
-/// The agent reported that the flow's back end has restarted, which orphaned the flow.
-fn caller_notified(outcome: &LogLine) -> String {
+/// The flow was orphaned by a restart of its back end, and its agent notified the caller or
+/// a balancer.
+fn orphaned_by_restart(outcome: &LogLine) -> String {
     let notified = match outcome.value("cause") {
         Some("request") => "its caller awaited a response and was notified at once",
         Some("question") => "a balancer queried the flow and was notified",
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -8,7 +8,7 @@
 use super::slice::Slice;
 use super::{Step, Summary};
 
-/// Slices with overload and process starts within this time, in milliseconds, are joined
+/// Slices with overload and process restarts within this time, in milliseconds, are joined
 /// into one cause: twice the time after which a suspected agent gets offers again.
 const JOIN_MILLIS: u64 = 500;
 /// Other events within this time, in milliseconds, are joined into one cause: the time
@@ -16,9 +16,9 @@
 const JOIN_EVENTS_MILLIS: u64 = 2_500;
 /// Refusals and suspicions per second up to which the load counts as ordinary.
 const ORDINARY_PER_SECOND: u64 = 20;
-/// Refusals within this time after process starts, in milliseconds, are attributed to
+/// Refusals within this time after process restarts, in milliseconds, are attributed to
 /// them: callers retry at once, and back ends are cold for two seconds.
-const AFTER_STARTS_MILLIS: u64 = 2_000;
+const AFTER_RESTARTS_MILLIS: u64 = 2_000;
 /// Maximum number of reported causes: half a screen.
 const MAX_CAUSES: usize = 12;
 
@@ -38,13 +38,13 @@
 
 /// The causes of the highest weight, in order of time.
 pub(super) fn causes(summary: &Summary) -> Vec<Cause> {
-    let starts = starts(summary);
-    let mut causes = overloads(summary, &starts);
+    let restarts = restarts(summary);
+    let mut causes = overloads(summary, &restarts);
     causes.extend(inconclusive_searches(summary));
     causes.extend(congested_links(summary));
     causes.extend(lost_elections(summary));
     causes.extend(single_events(summary));
-    causes.extend(starts);
+    causes.extend(restarts);
     causes.sort_by_key(|cause| std::cmp::Reverse(cause.weight));
     causes.truncate(MAX_CAUSES);
     causes.sort_by_key(|cause| cause.from);
@@ -73,7 +73,7 @@
 }
 
 /// Refusals and suspicions: too little capacity, or links that offers have congested.
-fn overloads(summary: &Summary, starts: &[Cause]) -> Vec<Cause> {
+fn overloads(summary: &Summary, restarts: &[Cause]) -> Vec<Cause> {
     let ordinary = ORDINARY_PER_SECOND * summary.width / 1_000;
     let runs = runs(summary, JOIN_MILLIS, |slice| {
         slice.refused() + slice.count(Column::Suspected) > ordinary
@@ -86,12 +86,12 @@
             text.push_str(&format!(", up to {cold} of {agents} agents cold"));
         }
         text.push_str(&suspicions(&slice, agents.unwrap_or(0), until - from));
-        let started = starts
+        let restart = restarts
             .iter()
             .rev()
-            .find(|start| start.from <= until && from <= start.until + AFTER_STARTS_MILLIS);
-        if let Some(started) = started {
-            let count = started.weight;
+            .find(|restart| restart.from <= until && from <= restart.until + AFTER_RESTARTS_MILLIS);
+        if let Some(restart) = restart {
+            let count = restart.weight;
             text.push_str(&format!(
                 "; at the time of the restart of {count} processes"
             ));
@@ -143,8 +143,8 @@
     let most_at_once = agents > 0 && suspected * 2 >= agents && by_most;
     if most_at_once && slice.count(Column::RefusedFull) > 0 && slice.refused() * 2 >= count {
         text.push_str(
-            ": CONGESTION COLLAPSE, most agents reply late at the same time while some decline as full; \
-             offers congest the balancers' links",
+            ": CONGESTION COLLAPSE, most agents reply late at the same time while some decline \
+             as full; offers congest the balancers' links",
         );
     }
     text
@@ -216,7 +216,7 @@
         let (links, wait) = (slice.congested_links.len(), slice.link_wait);
         let text = format!(
             "links of {links} balancers became CONGESTED, {weight} times: callers send more at \
-             once than the links carry, and packets of long flows wait, {wait} ms or more"
+             once than the links carry, and packets of long flows wait {wait} ms or more"
         );
         Cause {
             from,
@@ -294,17 +294,18 @@
 }
 
 /// Groups of processes that restarted at about the same time.
-fn starts(summary: &Summary) -> Vec<Cause> {
+fn restarts(summary: &Summary) -> Vec<Cause> {
     let mut steps = summary.steps.clone();
     steps.sort();
     let mut stopped = BTreeSet::new();
-    let mut groups: Vec<Starts> = Vec::new();
+    let mut groups: Vec<RestartGroup> = Vec::new();
     for step in &steps {
         let Some(role) = &step.role else {
             stopped.insert(step.node);
             continue;
         };
         let planned = stopped.remove(&step.node);
+        // The first line of a node is its first start, not a restart.
         if summary.first_seen.get(&step.node) == Some(&step.millis) {
             continue;
         }
@@ -312,14 +313,14 @@
             Some(group) if step.millis <= group.until + JOIN_MILLIS => {
                 group.add(step, role, planned);
             }
-            _ => groups.push(Starts::new(step, role, planned)),
+            _ => groups.push(RestartGroup::new(step, role, planned)),
         }
     }
     groups.iter().map(|group| group.cause(summary)).collect()
 }
 
-/// A group of restarts.
-struct Starts {
+/// A group of restarts at about the same time.
+struct RestartGroup {
     from: u64,
     until: u64,
     /// Number of processes that had been asked to stop.
@@ -327,17 +328,17 @@
     roles: BTreeMap<String, u64>,
 }
 
-impl Starts {
-    fn new(step: &Step, role: &str, planned: bool) -> Starts {
+impl RestartGroup {
+    fn new(step: &Step, role: &str, planned: bool) -> RestartGroup {
         let (from, until) = (step.millis, step.millis);
-        let mut starts = Starts {
+        let mut group = RestartGroup {
             from,
             until,
             planned: 0,
             roles: BTreeMap::new(),
         };
-        starts.add(step, role, planned);
-        starts
+        group.add(step, role, planned);
+        group
     }
 
     fn add(&mut self, step: &Step, role: &str, planned: bool) {
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -70,16 +70,19 @@
         "the report does not fit on a screen: {text}"
     );
 
-    let one_dead = collapse().into_iter().map(|text| {
+    let one_stopped = collapse().into_iter().map(|text| {
         let (head, tail) = text.split_once("10.1.0.").unwrap_or((&text, ""));
         match tail.split_once(':') {
             Some((_, rest)) => format!("{head}10.1.0.1:{rest}"),
             None => text,
         }
     });
-    let one_dead = report(&one_dead.collect::<Vec<_>>());
-    assert_eq!(one_dead.total(Column::Suspected), 1_000);
-    assert!(!one_dead.to_string().contains("COLLAPSE"), "{one_dead}");
+    let one_stopped = report(&one_stopped.collect::<Vec<_>>());
+    assert_eq!(one_stopped.total(Column::Suspected), 1_000);
+    assert!(
+        !one_stopped.to_string().contains("COLLAPSE"),
+        "{one_stopped}"
+    );
 }
 
 #[test]
