--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -27,7 +27,7 @@
 pub struct Cause {
     /// Start in milliseconds since 1970, by the clocks of the lines.
     pub from: u64,
-    /// End, like `from`.
+    /// End in milliseconds since 1970.
     pub until: u64,
     /// Number of flows or processes concerned; the causes of the highest weight are
     /// reported.
