--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -1,4 +1,4 @@
-//! The few first causes, in the order of time.
+//! The most important causes of failures, in order of time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,55 +8,61 @@
 use super::slice::Slice;
 use super::{Step, Summary};
 
-/// Events this close belong together, in milliseconds: twice the time in which
-/// a suspected agent is asked again.
-const TOGETHER_MILLIS: u64 = 500;
-/// Single events this close are told together, in milliseconds: how long a
-/// caller looks for its flow.
-const TOLD_TOGETHER_MILLIS: u64 = 2_500;
-/// A second's refusals and suspicions, below which it is ordinary load.
-const ORDINARY_A_SECOND: u64 = 20;
-/// Refusals this soon after starts are told as theirs, in milliseconds: callers
-/// come back at once, and back ends are cold for two seconds.
-const AFTER_STARTS_MILLIS: u64 = 2_000;
-/// Causes told, at most: half a screen.
-const MOST_CAUSES: usize = 12;
+/// Slices with overload and process restarts within this time, in milliseconds, are joined
+/// into one cause: twice the time after which a suspected agent gets offers again.
+const JOIN_MILLIS: u64 = 500;
+/// Other events within this time, in milliseconds, are joined into one cause: the time
+/// for which the flow of a silent caller is searched.
+const JOIN_EVENTS_MILLIS: u64 = 2_500;
+/// Refusals and suspicions per second up to which the load counts as ordinary.
+const ORDINARY_PER_SECOND: u64 = 20;
+/// Refusals within this time after process restarts, in milliseconds, are attributed to
+/// them: callers retry at once, and back ends are cold for two seconds.
+const AFTER_RESTARTS_MILLIS: u64 = 2_000;
+/// Maximum number of reported causes: half a screen.
+const MAX_CAUSES: usize = 12;
 
-/// Something that explains what followed.
+/// An event, or a group of them, that explains the failures that followed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Cause {
-    /// When it began, in milliseconds since 1970 by the lines' clocks.
+    /// Start in milliseconds since 1970, by the clocks of the lines.
     pub from: u64,
-    /// When it ended.
+    /// End in milliseconds since 1970.
     pub until: u64,
-    /// Flows or processes that it is about; the table keeps the heaviest.
+    /// Number of flows or processes concerned; the causes of the highest weight are
+    /// reported.
     pub weight: u64,
-    /// What happened, and what it points to.
+    /// Description of the events and what they indicate.
     pub text: String,
 }
 
-/// The heaviest causes, in the order of time.
+/// The causes of the highest weight, in order of time.
 pub(super) fn causes(summary: &Summary) -> Vec<Cause> {
-    let starts = starts(summary);
-    let mut causes = pressure(summary, &starts);
-    causes.extend(silent_verdicts(summary));
-    causes.extend(full_links(summary));
+    let restarts = restarts(summary);
+    let mut causes = overloads(summary, &restarts);
+    causes.extend(inconclusive_searches(summary));
+    causes.extend(congested_links(summary));
     causes.extend(lost_elections(summary));
-    causes.extend(single(summary));
-    causes.extend(starts);
+    causes.extend(single_events(summary));
+    causes.extend(restarts);
     causes.sort_by_key(|cause| std::cmp::Reverse(cause.weight));
-    causes.truncate(MOST_CAUSES);
+    causes.truncate(MAX_CAUSES);
     causes.sort_by_key(|cause| cause.from);
     causes
 }
 
-/// Runs of slices that `is_in`, with what they count together.
-fn runs(summary: &Summary, gap: u64, is_in: impl Fn(&Slice) -> bool) -> Vec<(u64, u64, Slice)> {
+/// Runs of slices for which `is_in` holds, with gaps of at most `gap_millis`. Returns start,
+/// end and sum of each run.
+fn runs(
+    summary: &Summary,
+    gap_millis: u64,
+    is_in: impl Fn(&Slice) -> bool,
+) -> Vec<(u64, u64, Slice)> {
     let mut runs: Vec<(u64, u64, Slice)> = Vec::new();
     for (index, slice) in summary.slices.iter().filter(|(_, slice)| is_in(slice)) {
         let (from, until) = (index * summary.width, (index + 1) * summary.width);
         match runs.last_mut() {
-            Some((_, end, sum)) if from <= *end + gap => {
+            Some((_, end, sum)) if from <= *end + gap_millis => {
                 *end = until;
                 sum.merge(slice);
             }
@@ -66,10 +72,10 @@
     runs
 }
 
-/// Refusals and suspicions: too little room, or links full of questions.
-fn pressure(summary: &Summary, starts: &[Cause]) -> Vec<Cause> {
-    let ordinary = ORDINARY_A_SECOND * summary.width / 1_000;
-    let runs = runs(summary, TOGETHER_MILLIS, |slice| {
+/// Refusals and suspicions: too little capacity, or links that offers have congested.
+fn overloads(summary: &Summary, restarts: &[Cause]) -> Vec<Cause> {
+    let ordinary = ORDINARY_PER_SECOND * summary.width / 1_000;
+    let runs = runs(summary, JOIN_MILLIS, |slice| {
         slice.refused() + slice.count(Column::Suspected) > ordinary
     });
     let agents = summary.slices.values().map(|slice| slice.agents).max();
@@ -80,14 +86,14 @@
             text.push_str(&format!(", up to {cold} of {agents} agents cold"));
         }
         text.push_str(&suspicions(&slice, agents.unwrap_or(0), until - from));
-        let started = starts
+        let restart = restarts
             .iter()
             .rev()
-            .find(|start| start.from <= until && from <= start.until + AFTER_STARTS_MILLIS);
-        if let Some(started) = started {
-            let count = started.weight;
+            .find(|restart| restart.from <= until && from <= restart.until + AFTER_RESTARTS_MILLIS);
+        if let Some(restart) = restart {
+            let count = restart.weight;
             text.push_str(&format!(
-                "; beside {count} processes that had started again"
+                "; at the time of the restart of {count} processes"
             ));
         }
         Cause {
@@ -100,27 +106,28 @@
     causes.collect()
 }
 
+/// Describes the refusals of a slice by reason.
 fn refusals(slice: &Slice) -> String {
-    let told = [
-        (Column::RefusedFull, "all that answered were full"),
-        (Column::RefusedLate, "no agent answered in time"),
+    let reasons = [
+        (Column::RefusedFull, "all agents that replied were full"),
+        (Column::RefusedLate, "no agent replied in time"),
         (Column::RefusedUnknown, "no agent was known"),
-        (Column::RefusedOther, "mixed or other"),
+        (Column::RefusedOther, "mixed or other reasons"),
     ];
-    let told = told.iter().filter_map(|(column, reason)| {
+    let reasons = reasons.iter().filter_map(|(column, reason)| {
         let count = slice.count(*column);
         (count > 0).then(|| format!("{count} {reason}"))
     });
-    let told: Vec<String> = told.collect();
-    match told.is_empty() {
+    let reasons: Vec<String> = reasons.collect();
+    match reasons.is_empty() {
         true => "no flow refused".to_owned(),
-        false => format!("{} flows refused ({})", slice.refused(), told.join(", ")),
+        false => format!("{} flows refused ({})", slice.refused(), reasons.join(", ")),
     }
 }
 
-/// Suspicions, and whether they mean agents or the balancers themselves. An
-/// agent that dies is suspected alone, and others take its flows; when half of all agents are suspected at
-/// once, it is the way to them, which their answers have filled.
+/// Describes suspicions, and whether their cause is single agents or congestion. An agent
+/// that stops is suspected alone, and others accept its flows. If half of all agents are
+/// suspected at the same time, the path to them is congested by offers and replies.
 fn suspicions(slice: &Slice, agents: u64, millis: u64) -> String {
     let count = slice.count(Column::Suspected);
     if count == 0 {
@@ -129,61 +136,61 @@
     let (suspected, balancers) = (slice.suspected.len() as u64, slice.balancers.len());
     let rate = count * 1_000 / millis.max(1_000);
     let mut text = format!(
-        "; {count} suspicions ({rate} a second) of {suspected} agents at {balancers} balancers"
+        "; {count} suspicions ({rate} per second) of {suspected} agents at {balancers} balancers"
     );
-    // Most balancers suspect most agents; a single late answer says little.
+    // A single late reply says little: most balancers must suspect most agents.
     let by_most = count * 2 >= suspected * balancers as u64;
     let most_at_once = agents > 0 && suspected * 2 >= agents && by_most;
     if most_at_once && slice.count(Column::RefusedFull) > 0 && slice.refused() * 2 >= count {
         text.push_str(
-            ": CONGESTION COLLAPSE, most agents are late at once while some decline as full; \
-             the balancers' links are full of questions",
+            ": CONGESTION COLLAPSE, most agents reply late at the same time while some decline \
+             as full; offers congest the balancers' links",
         );
     }
     text
 }
 
-/// What else holds a verdict up.
-const HELD_UP: [(Column, &str); 5] = [
+/// Other reasons why a search is inconclusive.
+const BLOCKERS: [(Column, &str); 5] = [
     (
         Column::BlockedByLate,
-        "agents that should have answered, or most agents, did not",
+        "agents that were expected to reply, or most agents, did not",
     ),
     (
         Column::BlockedByUncertain,
-        "agents or back ends could not know",
+        "agents or back ends could not tell whether they own the flow",
     ),
     (
         Column::BlockedByIncompleteDirectory,
-        "the balancer's list of agents was not whole",
+        "the balancer's agent directory was incomplete",
     ),
     (
         Column::NoResponseAwaited,
-        "the caller waits for no answer (it closed the flow)",
+        "the caller awaited no response (it closed the flow)",
     ),
     (
         Column::BlockedByNone,
-        "all agents lack the flow, and the caller may have closed it first",
+        "no agent owned the flow, and the caller may have closed it first",
     ),
 ];
 
-/// Searches for flows that ended without a verdict, and who held it up.
-fn silent_verdicts(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+/// Inconclusive flow searches, and what kept them from a conclusion.
+fn inconclusive_searches(summary: &Summary) -> Vec<Cause> {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::SearchInconclusive) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
         let weight = slice.count(Column::SearchInconclusive);
-        let mut text = format!("{weight} flows sought without a verdict");
-        let held = slice.count(Column::BlockedByAbsent);
-        if held > 0 {
+        let mut text = format!("{weight} flow searches were inconclusive");
+        let blocked = slice.count(Column::BlockedByAbsent);
+        if blocked > 0 {
             text.push_str(&format!(
-                "; for {held} of them SILENCED BY A STOPPED AGENT: up to {} agents lack the flow, \
-                 all but at most {} that nobody expects to answer",
-                slice.lacks, slice.missing
+                "; {blocked} of them BLOCKED BY A STOPPED AGENT: up to {} agents did not own the \
+                 flow, and at most {} that were not expected to reply did not",
+                slice.not_owned, slice.missing
             ));
         }
-        for (column, reason) in HELD_UP {
+        for (column, reason) in BLOCKERS {
             let count = slice.count(column);
             if count > 0 {
                 text.push_str(&format!("; for {count} {reason}"));
@@ -199,17 +206,17 @@
     causes.collect()
 }
 
-/// Links of balancers that carried less than was to be sent.
-fn full_links(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+/// Congested links of balancers.
+fn congested_links(summary: &Summary) -> Vec<Cause> {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::LinkCongested) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
         let weight = slice.count(Column::LinkCongested);
-        let (links, wait) = (slice.full_links.len(), slice.link_wait);
+        let (links, wait) = (slice.congested_links.len(), slice.link_wait);
         let text = format!(
-            "links of {links} balancers became FULL, {weight} times: callers send more at once \
-             than these carry, and long flows wait, {wait} ms and more"
+            "links of {links} balancers became CONGESTED, {weight} times: callers send more at \
+             once than the links carry, and packets of long flows wait {wait} ms or more"
         );
         Cause {
             from,
@@ -221,9 +228,9 @@
     causes.collect()
 }
 
-/// Elections without a leader, close to each other.
+/// Lost elections: those that elected no leader.
 fn lost_elections(summary: &Summary) -> Vec<Cause> {
-    let runs = runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
+    let runs = runs(summary, JOIN_EVENTS_MILLIS, |slice| {
         slice.count(Column::ElectionLost) > 0
     });
     let causes = runs.into_iter().map(|(from, until, slice)| {
@@ -232,7 +239,7 @@
         let reasons: Vec<String> = reasons
             .map(|(reason, count)| format!("{count} {reason}"))
             .collect();
-        let (first, last) = slice.lost_between.unwrap_or((from, until));
+        let (first, last) = slice.election_loss_period.unwrap_or((from, until));
         let text = format!(
             "elections LOST: {weight} ({}), first {}, last {}",
             reasons.join(", "),
@@ -249,7 +256,7 @@
     causes.collect()
 }
 
-/// The seconds and milliseconds of a time.
+/// Formats a time as seconds and milliseconds within its minute.
 fn second_of_minute(millis: u64) -> String {
     const SECOND_MILLIS: u64 = 1_000;
     const MINUTE_SECONDS: u64 = 60;
@@ -257,12 +264,12 @@
     format!("{}.{millis:03}", seconds % MINUTE_SECONDS)
 }
 
-/// What counts each time that it happens.
-fn single(summary: &Summary) -> Vec<Cause> {
+/// Events that are causes by themselves, whatever their number.
+fn single_events(summary: &Summary) -> Vec<Cause> {
     let kinds = [
         (
             Column::BackendEjected,
-            "back ends left out because they fail requests",
+            "back ends ejected because their requests failed",
         ),
         (Column::BackendSilent, "back ends that fell silent"),
         (Column::WriteFailed, "writes to data folders that failed"),
@@ -270,9 +277,9 @@
     ];
     let mut causes = Vec::new();
     for (column, text) in kinds {
-        for (from, until, slice) in runs(summary, TOLD_TOGETHER_MILLIS, |slice| {
-            slice.count(column) > 0
-        }) {
+        for (from, until, slice) in
+            runs(summary, JOIN_EVENTS_MILLIS, |slice| slice.count(column) > 0)
+        {
             let weight = slice.count(column);
             let text = format!("{text}: {weight}");
             causes.push(Cause {
@@ -286,49 +293,52 @@
     causes
 }
 
-/// Processes that started again, together.
-fn starts(summary: &Summary) -> Vec<Cause> {
+/// Groups of processes that restarted at about the same time.
+fn restarts(summary: &Summary) -> Vec<Cause> {
     let mut steps = summary.steps.clone();
     steps.sort();
     let mut stopped = BTreeSet::new();
-    let mut groups: Vec<Starts> = Vec::new();
+    let mut groups: Vec<RestartGroup> = Vec::new();
     for step in &steps {
         let Some(role) = &step.role else {
             stopped.insert(step.node);
             continue;
         };
         let planned = stopped.remove(&step.node);
+        // The first line of a node is its first start, not a restart.
         if summary.first_seen.get(&step.node) == Some(&step.millis) {
             continue;
         }
         match groups.last_mut() {
-            Some(group) if step.millis <= group.until + TOGETHER_MILLIS => {
+            Some(group) if step.millis <= group.until + JOIN_MILLIS => {
                 group.add(step, role, planned);
             }
-            _ => groups.push(Starts::new(step, role, planned)),
+            _ => groups.push(RestartGroup::new(step, role, planned)),
         }
     }
     groups.iter().map(|group| group.cause(summary)).collect()
 }
 
-struct Starts {
+/// A group of restarts at about the same time.
+struct RestartGroup {
     from: u64,
     until: u64,
+    /// Number of processes that had been asked to stop.
     planned: u64,
     roles: BTreeMap<String, u64>,
 }
 
-impl Starts {
-    fn new(step: &Step, role: &str, planned: bool) -> Starts {
+impl RestartGroup {
+    fn new(step: &Step, role: &str, planned: bool) -> RestartGroup {
         let (from, until) = (step.millis, step.millis);
-        let mut starts = Starts {
+        let mut group = RestartGroup {
             from,
             until,
             planned: 0,
             roles: BTreeMap::new(),
         };
-        starts.add(step, role, planned);
-        starts
+        group.add(step, role, planned);
+        group
     }
 
     fn add(&mut self, step: &Step, role: &str, planned: bool) {
@@ -344,14 +354,14 @@
             .iter()
             .map(|(role, count)| format!("{count} {role}"));
         let roles: Vec<String> = roles.collect();
-        let mut text = format!("{weight} processes started again ({})", roles.join(", "));
+        let mut text = format!("{weight} processes restarted ({})", roles.join(", "));
         match weight - self.planned {
-            0 => text.push_str(", as asked"),
-            killed => text.push_str(&format!(", {killed} without having been asked to stop")),
+            0 => text.push_str(", all after a planned stop"),
+            killed => text.push_str(&format!(", {killed} of them without a planned stop")),
         }
         let silence = silence_before(summary, self.from);
-        if silence >= TOGETHER_MILLIS {
-            text.push_str(&format!(", after {silence} ms without a line of anyone"));
+        if silence >= JOIN_MILLIS {
+            text.push_str(&format!(", after {silence} ms without any log line"));
         }
         Cause {
             from: self.from,
@@ -362,7 +372,7 @@
     }
 }
 
-/// Milliseconds before a time in which nobody wrote a line.
+/// Milliseconds before a time in which no process wrote a line.
 fn silence_before(summary: &Summary, millis: u64) -> u64 {
     let slice = millis / summary.width;
     let last = summary.slices.range(..slice).next_back();
--- a/crates/petrellatch/src/logs/version_timeline.rs
+++ b/crates/petrellatch/src/logs/version_timeline.rs
@@ -1,4 +1,4 @@
-//! How one version of the configuration came into force.
+//! The timeline of one version of the configuration.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,41 +7,42 @@
 
 use super::log_line::LogLine;
 
-/// The lines about one version in their order, and the balancers that did not
-/// tell that they have it, or a newer one, in force.
+/// The lines about one version in order of time, and the balancers that did not log
+/// that this version, or a newer one, is active.
 #[derive(Clone, Debug)]
 pub struct VersionTimeline {
     version: u64,
     lines: Vec<LogLine>,
-    without: Vec<String>,
+    nodes_without: Vec<String>,
 }
 
 impl VersionTimeline {
-    /// Finds the story in lines that are in the order of their times.
+    /// Builds the timeline of `version` from lines that are sorted by time.
     pub fn new(lines: &[LogLine], version: u64) -> VersionTimeline {
         let is_about = |line: &&LogLine| {
             let named = line.value("version").and_then(|it| it.parse().ok());
             named == Some(version) && !line.subject.contains("flow=")
         };
-        let answered = format!("answer=accepted({version})");
-        let told = lines
+        let accepted = format!("answer=accepted({version})");
+        let included = lines
             .iter()
-            .filter(|line| is_about(line) || line.subject.contains(&answered));
+            .filter(|line| is_about(line) || line.subject.contains(&accepted));
         VersionTimeline {
             version,
-            lines: told.cloned().collect(),
-            without: without(lines, version),
+            lines: included.cloned().collect(),
+            nodes_without: nodes_without(lines, version),
         }
     }
 
-    /// Balancers without the version.
+    /// Names of the balancers that logged an older version, but neither this one nor a
+    /// newer one.
     pub fn nodes_without(&self) -> &[String] {
-        &self.without
+        &self.nodes_without
     }
 }
 
-/// Nodes that applied some version, but neither this one nor a newer one.
-fn without(lines: &[LogLine], version: u64) -> Vec<String> {
+/// Names of the nodes that applied some version, but neither this one nor a newer one.
+fn nodes_without(lines: &[LogLine], version: u64) -> Vec<String> {
     let applied: Vec<(&str, u64)> = lines
         .iter()
         .filter(|line| line.event == EventKind::ConfigurationApplied.name())
@@ -51,7 +52,7 @@
     let has = |node: &str| {
         applied
             .iter()
-            .any(|(it, held)| *it == node && *held >= version)
+            .any(|(it, applied)| *it == node && *applied >= version)
     };
     let without = nodes.into_iter().filter(|node| !has(node));
     without.map(str::to_owned).collect()
@@ -64,10 +65,13 @@
             writeln!(formatter, "  {line}")?;
         }
         if self.lines.is_empty() {
-            writeln!(formatter, "missing: every line about it")?;
+            writeln!(formatter, "missing: all lines about this version")?;
         }
-        for node in &self.without {
-            writeln!(formatter, "missing: neither it nor a newer one at {node}")?;
+        for node in &self.nodes_without {
+            writeln!(
+                formatter,
+                "missing: neither this version nor a newer one at {node}"
+            )?;
         }
         Ok(())
     }
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -1,4 +1,4 @@
-//! The process of a balancer.
+//! The event loop of a balancer.
 
 use std::net::SocketAddrV4;
 
@@ -22,32 +22,32 @@
 use super::settings::{BalancerRoleSettings, PassThroughSettings};
 use super::settings_watcher::SettingsWatcher;
 
-/// Between two questions for news.
-const FOLLOW_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long a stopping balancer goes on, at most half of the stop limit: until
-/// routers that ask twice a second have missed it twice. Longer stops overlap
-/// where balancers are stopped in turn.
+/// Interval between polls of the replicas for updates.
+const SUBSCRIBE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long a stopping balancer goes on forwarding packets: until routers that check
+/// its readiness twice a second have seen two checks fail. With a longer delay the
+/// stops of balancers that are stopped one after the other would overlap. The delay is
+/// limited to half of the stop timeout.
 const STOP_DELAY: Duration = Duration::from_millis(1_150);
-/// Receive buffer of the system for packets, in bytes.
+/// Size of the system's receive buffer for packets, in bytes.
 const PACKET_BUFFER_BYTES: usize = 1024 * 1024;
-/// Largest body of a request.
+/// Maximum size of a request body, in bytes.
 const BODY_BYTES: usize = 4 * 1024;
 
-pub(super) fn run<C: PacketCodec, I: ApiTranslator>(
+pub(super) fn run<C: PacketCodec, T: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
-    addresses: &BalancerRoleSettings,
+    role: &BalancerRoleSettings,
     codec: C,
-    interface: I,
+    translator: T,
 ) -> Result<(), ProgramError> {
     let mut event_loop = EventLoop::new(watcher, &settings.name)?;
     let registry = event_loop.poll.registry();
     let mut messages = MessageSocket::open(settings.message_address, registry, MESSAGES)?;
-    let mut packets =
-        DatagramSocket::open(addresses.packet_address, "packets", PACKET_BUFFER_BYTES)?;
+    let mut packets = DatagramSocket::open(role.packet_address, "packets", PACKET_BUFFER_BYTES)?;
     packets.register(registry, PACKETS)?;
     let mut http = EventServer::open(
-        addresses.readiness_address,
+        role.readiness_address,
         registry,
         HTTP,
         FIRST_CONNECTION,
@@ -57,17 +57,17 @@
     let now = event_loop.clock.now();
     let mut balancer = PassThroughBalancer::new(
         now,
-        balancer_settings(&settings, addresses),
+        balancer_settings(&settings, role),
         codec,
         Incarnation(rand::random()),
         KnownReplicas::new(settings.seeds.clone()),
     );
     event_loop
         .log
-        .note(now, EventKind::ProcessStarted, "balancer");
-    let mut more = false;
+        .write_always(now, EventKind::ProcessStarted, "balancer");
+    let mut has_backlog = false;
     while !balancer.is_stopped() {
-        let wakeup = event_loop.wait(balancer.poll_timeout(), more)?;
+        let wakeup = event_loop.wait(balancer.poll_timeout(), has_backlog)?;
         let now = event_loop.clock.now();
         if wakeup.begin_stop {
             balancer.begin_stop(now);
@@ -77,15 +77,20 @@
         }
         let from_messages = messages.receive(|from, body| balancer.handle_message(now, from, body));
         let from_packets = packets.receive_batch(|_, packet| balancer.handle_packet(now, packet));
-        more = from_messages == Batch::Full || from_packets == Batch::Full;
+        has_backlog = from_messages == Batch::Full || from_packets == Batch::Full;
         for token in wakeup.tokens {
             let received = http.handle_event(now, event_loop.poll.registry(), token);
             let metrics = || balancer_metrics(&balancer);
-            serve_requests(now, &mut http, &interface, received, metrics, |_, call| {
-                Some(answer(now, &balancer, &call))
-            });
+            serve_requests(
+                now,
+                &mut http,
+                &translator,
+                received,
+                metrics,
+                |_, request| Some(handle_request(now, &balancer, &request)),
+            );
         }
-        if wakeup.expire {
+        if wakeup.expire_connections {
             http.expire(now);
         }
         if balancer.poll_timeout() <= now {
@@ -95,7 +100,7 @@
             match output {
                 PassThroughOutput::Send { to, body } => messages.send(to, body),
                 PassThroughOutput::ToCaller { address, packet } => {
-                    let port = addresses.packet_address.port();
+                    let port = role.packet_address.port();
                     packets.send(SocketAddrV4::new(address, port), &packet);
                 }
                 PassThroughOutput::Event(event) => event_loop.log.write(now, &event),
@@ -114,16 +119,16 @@
     let now = event_loop.clock.now();
     event_loop
         .log
-        .note(now, EventKind::ProcessStopped, counters);
+        .write_always(now, EventKind::ProcessStopped, counters);
     Ok(())
 }
 
-fn answer<C: PacketCodec>(
+fn handle_request<C: PacketCodec>(
     now: Timestamp,
     balancer: &PassThroughBalancer<C>,
-    call: &ApiRequest,
+    request: &ApiRequest,
 ) -> ApiResponse {
-    match call {
+    match request {
         ApiRequest::Readiness => ApiResponse::Readiness {
             ready: balancer.is_ready(now),
         },
@@ -133,13 +138,13 @@
 
 fn balancer_settings(
     settings: &PassThroughSettings,
-    addresses: &BalancerRoleSettings,
+    role: &BalancerRoleSettings,
 ) -> PassThroughBalancerSettings {
     PassThroughBalancerSettings {
         zone: settings.zone.clone(),
-        subscribe_interval: FOLLOW_INTERVAL,
+        subscribe_interval: SUBSCRIBE_INTERVAL,
         flow_lifetime: settings.flow_ttl,
         stop_delay: STOP_DELAY.min(settings.stop_timeout / 2),
-        link_bytes_per_second: addresses.link_bytes_per_second,
+        link_bytes_per_second: role.link_bytes_per_second,
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -1,4 +1,4 @@
-//! What the event loops of all roles have in common.
+//! The part of the event loops that all roles share.
 
 use std::time::Duration;
 
@@ -12,37 +12,39 @@
 use crate::runtime::process::{open_poll, waited};
 
 use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
-use super::bounded_log::BoundedLog;
 use super::policy_api;
+use super::rate_limited_log::RateLimitedLog;
 use super::settings::PassThroughSettings;
 use super::settings_watcher::SettingsWatcher;
 use super::signals::Signals;
 
-/// Tokens of what a loop waits for; connections come after them.
+/// Tokens of the sockets and the waker that a loop polls.
 pub(super) const MESSAGES: Token = Token(0);
 pub(super) const PACKETS: Token = Token(1);
 pub(super) const HTTP: Token = Token(2);
 pub(super) const SECOND_HTTP: Token = Token(3);
 pub(super) const WAKE: Token = Token(4);
+/// First tokens of the connections of the two HTTP servers.
 pub(super) const FIRST_CONNECTION: usize = 1 << 8;
-pub(super) const FIRST_SECOND_CONNECTION: usize = 1 << 40;
+pub(super) const SECOND_HTTP_FIRST_CONNECTION: usize = 1 << 40;
 
-/// Where every process tells its metrics.
+/// Path of the metrics of every process.
 const METRICS_PATH: &str = "/metrics";
-/// The longest wait; a signal to another thread is noticed by then.
+/// Maximum time of one wait. A signal that was delivered to another thread does not
+/// interrupt the wait and is noticed after it.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// Most events taken in one go.
-const EVENTS: usize = 64;
-/// Connections of one HTTP address.
+/// Maximum number of events of one wait.
+const EVENT_CAPACITY: usize = 64;
+/// Maximum number of connections of one HTTP address.
 pub(super) const MAX_CONNECTIONS: usize = 128;
-/// Between two looks at idle connections.
+/// Interval between checks for idle connections.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Clock, selector, log, signals and settings of a process.
+/// Clock, poll, log, signals and settings watcher of a process.
 pub(super) struct EventLoop {
     pub(super) clock: ProcessClock,
     pub(super) poll: Poll,
-    pub(super) log: BoundedLog,
+    pub(super) log: RateLimitedLog,
     events: Events,
     signals: Signals,
     watcher: SettingsWatcher,
@@ -51,17 +53,17 @@
     expire_at: Timestamp,
 }
 
-/// What a loop has to do after a wait.
+/// The tasks of a loop after a wait.
 #[derive(Debug, Default)]
 pub(super) struct Wakeup {
-    /// Tokens with something to read or write.
+    /// Tokens that are ready to read or write.
     pub(super) tokens: Vec<Token>,
-    /// A planned stop was asked for just now.
+    /// The first request for a planned stop has arrived.
     pub(super) begin_stop: bool,
-    /// Settings that were read again.
+    /// The settings, if they were read again.
     pub(super) settings: Option<PassThroughSettings>,
-    /// Idle connections are to be closed.
-    pub(super) expire: bool,
+    /// Idle connections must be closed.
+    pub(super) expire_connections: bool,
 }
 
 impl EventLoop {
@@ -69,8 +71,8 @@
         Ok(EventLoop {
             clock: ProcessClock::start(),
             poll: open_poll()?,
-            log: BoundedLog::new(name),
-            events: Events::with_capacity(EVENTS),
+            log: RateLimitedLog::new(name),
+            events: Events::with_capacity(EVENT_CAPACITY),
             signals: Signals::register()?,
             watcher,
             stopping: false,
@@ -79,33 +81,38 @@
         })
     }
 
-    /// Waits until something happens, or until `deadline`.
-    pub(super) fn wait(&mut self, deadline: Timestamp, more: bool) -> Result<Wakeup, ProgramError> {
-        let wait = match more || (self.signals.stop_wanted() && !self.stopping) {
+    /// Waits until a token is ready, a signal arrives or `deadline` is reached. Returns
+    /// at once if `has_backlog`, since a socket then still has datagrams to read.
+    pub(super) fn wait(
+        &mut self,
+        deadline: Timestamp,
+        has_backlog: bool,
+    ) -> Result<Wakeup, ProgramError> {
+        let wait = match has_backlog || (self.signals.stop_requested() && !self.stopping) {
             true => Duration::ZERO,
             false => self.clock.until(Some(deadline), MAX_WAIT),
         };
         waited(self.poll.poll(&mut self.events, Some(wait)))?;
         let now = self.clock.now();
-        let begin_stop = self.signals.stop_wanted() && !self.stopping;
+        let begin_stop = self.signals.stop_requested() && !self.stopping;
         if begin_stop {
             self.stopping = true;
             self.log
-                .note(now, EventKind::ProcessStopping, "asked to stop");
+                .write_always(now, EventKind::ProcessStopping, "asked to stop");
         }
-        let expire = now >= self.expire_at;
-        if expire {
+        let expire_connections = now >= self.expire_at;
+        if expire_connections {
             self.expire_at = now + EXPIRE_INTERVAL;
         }
         Ok(Wakeup {
             tokens: self.events.iter().map(ReadyEvent::token).collect(),
             begin_stop,
             settings: self.reload(now),
-            expire,
+            expire_connections,
         })
     }
 
-    /// Logs a change of readiness.
+    /// Logs a change of readiness. `ready` is the present state.
     pub(super) fn note_ready(&mut self, ready: bool, subject: impl FnOnce() -> String) {
         if ready == self.was_ready {
             return;
@@ -115,33 +122,35 @@
             true => EventKind::BecameReady,
             false => EventKind::BecameUnready,
         };
-        self.log.note(self.clock.now(), kind, subject());
+        self.log.write_always(self.clock.now(), kind, subject());
     }
 
     fn reload(&mut self, now: Timestamp) -> Option<PassThroughSettings> {
-        let asked = self.signals.take_reload();
-        match self.watcher.poll(now, asked)? {
+        let force = self.signals.take_reload_request();
+        match self.watcher.poll(now, force)? {
             Ok(settings) => {
                 let seeds = settings.seeds.len();
                 let subject = format!("{seeds} seeds");
-                self.log.note(now, EventKind::SettingsReloaded, subject);
+                self.log
+                    .write_always(now, EventKind::SettingsReloaded, subject);
                 Some(settings)
             }
             Err(message) => {
-                self.log.note(now, EventKind::SettingsIgnored, message);
+                self.log
+                    .write_always(now, EventKind::SettingsIgnored, message);
                 None
             }
         }
     }
 }
 
-/// Answers the requests of one event. `handle` answers a call at once, or
-/// returns `None` if it will be answered later. Returns what was refused as it
-/// can't be understood, in a few words each.
-pub(super) fn serve_requests<I: ApiTranslator>(
+/// Serves the requests of one event. `handle` returns the response to a request, or
+/// `None` if the response will be sent later. Returns a description of each request
+/// that could not be parsed.
+pub(super) fn serve_requests<T: ApiTranslator>(
     now: Timestamp,
     server: &mut EventServer,
-    interface: &I,
+    translator: &T,
     received: Vec<ReceivedRequest>,
     metrics: impl Fn() -> HttpResponse,
     mut handle: impl FnMut(&ReceivedRequest, ApiRequest) -> Option<ApiResponse>,
@@ -149,22 +158,22 @@
     let mut refusals = Vec::new();
     let mut queue = received;
     while let Some(received) = queue.pop() {
-        let call = match received.request.path.as_str() {
+        let request = match received.request.path.as_str() {
             METRICS_PATH => Err(metrics()),
-            _ => match policy_api::read(&received.request) {
-                Some(read) => read.map(ApiRequest::Policies),
-                None => interface.translate_request(&received.request),
+            _ => match policy_api::parse_request(&received.request) {
+                Some(parsed) => parsed.map(ApiRequest::Policies),
+                None => translator.translate_request(&received.request),
             },
         };
-        let response: Option<HttpResponse> = match call {
-            Err(answer) if answer.status == 200 => Some(answer),
+        let response: Option<HttpResponse> = match request {
+            Err(metrics) if metrics.status == 200 => Some(metrics),
             Err(refusal) => {
                 refusals.push(describe_refusal(&received.request, &refusal));
                 Some(refusal)
             }
-            Ok(call) => {
-                let answer = handle(&received, call);
-                answer.map(|answer| interface.translate_response(&received.request, &answer))
+            Ok(request) => {
+                let response = handle(&received, request);
+                response.map(|response| translator.translate_response(&received.request, &response))
             }
         };
         if let Some(response) = response {
--- a/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
+++ b/crates/petrellatch/src/runtime/pass_through/flow_record_writer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests with a real folder.
+//! Tests with a real folder and thread.
 
 use std::fs;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 
 use super::*;
 
-/// By then the thread has written, or never will.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for one write by the thread.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Bench {
+struct WriterHarness {
     poll: Poll,
     writer: FlowRecordWriter,
 }
 
-fn start(path: &std::path::Path) -> Bench {
-    let poll = Poll::new().expect("a poll");
-    let waker = Waker::new(poll.registry(), Token(0)).expect("a waker");
+fn start(path: &std::path::Path) -> WriterHarness {
+    let poll = Poll::new().expect("a poll is created");
+    let waker = Waker::new(poll.registry(), Token(0)).expect("a waker is created");
     let file = RecordFile::open(path).file;
-    let writer = FlowRecordWriter::start(file, Arc::new(waker)).expect("it starts");
-    Bench { poll, writer }
+    let writer = FlowRecordWriter::start(file, Arc::new(waker)).expect("the writer starts");
+    WriterHarness { poll, writer }
 }
 
-impl Bench {
+impl WriterHarness {
     /// Writes, and waits until the thread wakes the event loop.
     fn write(&mut self, request: FlowRecordWrite) -> Result<(), StorageError> {
         self.writer.write(request);
@@ -32,41 +32,44 @@
             if let Some(result) = self.writer.poll() {
                 return result;
             }
-            let polled = self.poll.poll(&mut events, Some(PATIENCE));
-            polled.expect("it polls");
-            assert!(!events.is_empty(), "nobody woke the event loop");
+            let polled = self.poll.poll(&mut events, Some(WRITE_TIMEOUT));
+            polled.expect("the poll succeeds");
+            assert!(!events.is_empty(), "the thread did not wake the event loop");
         }
     }
 }
 
 #[test]
-fn what_is_written_is_found_by_the_next_life() {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+fn written_records_are_loaded_after_a_restart() {
+    let scratch = tempfile::tempdir().expect("a temporary folder is created");
     let path = flow_record_path(scratch.path());
-    let mut bench = start(&path);
+    let mut harness = start(&path);
     let append = |number| FlowRecordWrite::Append(vec![vec![number]]);
-    bench.write(append(1)).expect("it appends");
-    bench.write(append(2)).expect("it appends");
+    harness.write(append(1)).expect("the append succeeds");
+    harness.write(append(2)).expect("the append succeeds");
     assert_eq!(RecordFile::open(&path).records, [[1], [2]]);
     let replace = FlowRecordWrite::Replace(vec![vec![3]]);
-    bench.write(replace).expect("it replaces");
+    harness.write(replace).expect("the replacement succeeds");
     assert_eq!(RecordFile::open(&path).records, [[3]]);
 }
 
 #[test]
-fn a_folder_that_is_gone_is_told_and_written_again_once_it_is_back() {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+fn a_missing_folder_is_an_error_and_a_replacement_succeeds_once_it_exists_again() {
+    let scratch = tempfile::tempdir().expect("a temporary folder is created");
     let folder = scratch.path().join("data");
-    fs::create_dir(&folder).expect("it is new");
+    fs::create_dir(&folder).expect("the folder is created");
     let path = flow_record_path(&folder);
-    let mut bench = start(&path);
-    fs::remove_dir_all(&folder).expect("it is there");
+    let mut harness = start(&path);
+    fs::remove_dir_all(&folder).expect("the folder is removed");
     let append = || FlowRecordWrite::Append(vec![vec![1]]);
     let replace = || FlowRecordWrite::Replace(vec![vec![1]]);
-    assert!(bench.write(append()).is_err());
-    assert!(bench.write(append()).is_err(), "it stays unusable");
-    assert!(bench.write(replace()).is_err());
-    fs::create_dir(&folder).expect("it is gone");
-    bench.write(replace()).expect("it replaces");
+    assert!(harness.write(append()).is_err());
+    assert!(
+        harness.write(append()).is_err(),
+        "the file stays unusable until it is replaced"
+    );
+    assert!(harness.write(replace()).is_err());
+    fs::create_dir(&folder).expect("the folder is created again");
+    harness.write(replace()).expect("the replacement succeeds");
     assert_eq!(RecordFile::open(&path).records, [[1]]);
 }
--- a/crates/petrellatch/src/runtime/pass_through/message_socket.rs
+++ b/crates/petrellatch/src/runtime/pass_through/message_socket.rs
@@ -1,7 +1,8 @@
-//! Messages between processes, in datagrams that are not sealed.
+//! Messages between processes, in datagrams without authentication.
 //!
-//! The tier runs where no secret is handed out. The mark in front keeps stray
-//! datagrams out; it does not protect against a forger inside the network.
+//! The tier runs where processes have no shared secret. The magic bytes at the start
+//! of each datagram filter out stray datagrams; they don't protect against forged
+//! messages from inside the network.
 
 use std::net::SocketAddrV4;
 
@@ -12,12 +13,12 @@
 use crate::error::ProgramError;
 use crate::runtime::datagram_socket::{Batch, DatagramSocket};
 
-/// In front of every datagram.
-const MARK: [u8; 4] = *b"PLP1";
-/// Receive buffer of the system, in bytes.
+/// Magic bytes at the start of every datagram.
+const MAGIC: [u8; 4] = *b"PLP1";
+/// Size of the system's receive buffer, in bytes.
 const SYSTEM_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The socket.
+/// The UDP socket for messages between processes.
 #[derive(Debug)]
 pub(super) struct MessageSocket {
     socket: DatagramSocket,
@@ -40,7 +41,7 @@
         })
     }
 
-    /// Hands out the messages that have arrived.
+    /// Passes the messages that have arrived, up to one batch, to `handle`.
     pub(super) fn receive(
         &mut self,
         mut handle: impl FnMut(SocketAddrV4, PassThroughBody),
@@ -48,7 +49,7 @@
         let malformed = &mut self.malformed;
         self.socket.receive_batch(|from, datagram| {
             let message = datagram
-                .strip_prefix(&MARK)
+                .strip_prefix(&MAGIC)
                 .and_then(|bytes| PassThroughMessage::decode(bytes).ok());
             match message.and_then(|message| message.body) {
                 Some(body) => handle(from, body),
@@ -59,14 +60,14 @@
 
     pub(super) fn send(&mut self, to: SocketAddrV4, body: PassThroughBody) {
         self.buffer.clear();
-        self.buffer.extend_from_slice(&MARK);
+        self.buffer.extend_from_slice(&MAGIC);
         let message = PassThroughMessage { body: Some(body) };
         if message.encode(&mut self.buffer).is_ok() {
             self.socket.send(to, &self.buffer);
         }
     }
 
-    /// Datagrams that could not be read.
+    /// Number of datagrams that could not be decoded.
     pub(super) fn malformed(&self) -> u64 {
         self.malformed
     }
--- a/crates/petrellatch/src/settings/resolve.rs
+++ b/crates/petrellatch/src/settings/resolve.rs
@@ -1,4 +1,4 @@
-//! Puts flags over the file, adds defaults, and checks what holds together.
+//! Combines the settings file with flags and defaults, and checks the result.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::ops::RangeInclusive;
@@ -6,22 +6,22 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use super::flags::put_flags;
+use super::flags::apply_flags;
 use super::keys;
 use super::problem::SettingsProblem;
 use super::settings_file::{ReplicaSettings, SettingsFile};
 use crate::command_line::DaemonOptions;
 use crate::logging::{LogFormat, LogLevel};
 
-/// The longest name of a node or zone, in characters.
+/// Maximum length of the name of a node or zone, in characters.
 const MAX_NAME_CHARACTERS: usize = 64;
-/// The sizes that a control group may have.
+/// Permitted numbers of replicas in the control group.
 const REPLICA_COUNTS: [usize; 3] = [1, 3, 5];
-/// How many heartbeats a lease lasts at least, so that one lost heartbeat does
-/// not end it.
+/// Minimum duration of a lease in heartbeats, so that one lost heartbeat does not end
+/// it.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 3;
 
-/// The job of a process.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A control replica.
@@ -47,62 +47,67 @@
     }
 }
 
-/// Intervals and bounds that hold.
+/// Effective intervals and timeouts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// An agent's admission lease.
+    /// Duration of an agent's admission lease.
     pub lease: Duration,
-    /// The shortest time without a leader before an election.
+    /// Minimum time without a leader before an election.
     pub election: Duration,
-    /// The longest that a planned stop waits for open flows.
+    /// Maximum time for which a planned stop waits for open flows.
     pub stop: Duration,
 }
 
-/// The settings that hold for one process.
+/// The effective settings of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node name.
     pub name: String,
     /// The zone.
     pub zone: String,
-    /// The folder for all files.
+    /// The folder for all files of the process.
     pub data_folder: PathBuf,
     /// The file with the cluster key.
     pub key_file: PathBuf,
     /// The control replicas.
     pub replicas: Vec<ReplicaSettings>,
-    /// Control messages (UDP).
+    /// Address for control messages (UDP).
     pub control: SocketAddrV4,
-    /// Caller packets (UDP).
+    /// Address for callers' packets (UDP).
     pub data: SocketAddrV4,
-    /// Health and metrics (HTTP).
+    /// Address that serves health and metrics (HTTP).
     pub admin: SocketAddrV4,
-    /// Operators (HTTP).
+    /// Address that serves operators (HTTP).
     pub operator: SocketAddrV4,
-    /// Whether the data folder is formatted as that of a first voter.
+    /// Whether the data folder is formatted as that of a founding voter.
     pub bootstrap: bool,
-    /// The fabric; the unspecified address when there is none.
+    /// Address of the fabric; the unspecified address if there is none.
     pub fabric: SocketAddrV4,
-    /// Where the platform's list of machines is read, if anywhere.
+    /// URL of the platform's list of machines, if there is one.
     pub platform_list_url: Option<String>,
-    /// The path at which back ends say whether they are draining, if they do.
+    /// Path of the request that asks a back end whether it is draining, if back ends
+    /// serve it.
     pub health_path: Option<String>,
-    /// Intervals and bounds.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// Operator requests worked on or waiting at once.
+    /// Maximum number of operator requests in progress or queued.
     pub operator_requests: usize,
-    /// The kernel's receive buffer of each UDP socket, in bytes.
+    /// Size of the kernel's receive buffer of each UDP socket, in bytes.
     pub receive_buffer_bytes: usize,
-    /// The log's format.
+    /// Format of the log.
     pub log_format: LogFormat,
-    /// The lowest level logged.
+    /// Lowest level that is logged.
     pub log_level: LogLevel,
 }
 
-/// Puts the flags over the file and checks the result for `role`. Without a
-/// role nothing counts as missing.
+/// Overrides the file with the flags, adds defaults and checks the result for `role`.
+/// Without a role, missing keys are no problem.
+///
+/// # Errors
+///
+/// Returns all problems of the flags and of the resulting values.
 pub fn resolve(
     file_name: &str,
     mut file: SettingsFile,
@@ -110,7 +115,7 @@
     role: Option<Role>,
 ) -> Result<Settings, Vec<SettingsProblem>> {
     let mut problems = Vec::new();
-    put_flags(&mut file, flags, &mut problems);
+    apply_flags(&mut file, flags, &mut problems);
     let mut resolver = Resolver {
         file_name,
         role,
@@ -125,7 +130,7 @@
     }
 }
 
-/// Takes values out of the file and notes what is wrong with them.
+/// Reads values of the file and collects their problems.
 struct Resolver<'a> {
     file_name: &'a str,
     role: Option<Role>,
@@ -209,7 +214,7 @@
         );
         if lease < heartbeat.saturating_mul(MIN_HEARTBEATS_PER_LEASE) {
             let message = format!("is shorter than three heartbeats of {heartbeat} ms");
-            self.wrong("timing.lease_milliseconds", lease.to_string(), message);
+            self.report("timing.lease_milliseconds", lease.to_string(), message);
         }
         Timing {
             heartbeat: Duration::from_millis(heartbeat),
@@ -222,39 +227,39 @@
     fn name(&mut self, key: &str, value: &Option<String>) -> String {
         let name = self.required(key, value);
         if value.is_some() && !is_name(&name) {
-            self.wrong(key, format!("{name:?}"), "is not a name".to_string());
+            self.report(key, format!("{name:?}"), "is not a name".to_string());
         }
         name
     }
 
     fn replicas(&mut self, replicas: &[ReplicaSettings]) -> Vec<ReplicaSettings> {
         let count = replicas.len();
-        let missing = count == 0 && self.role.is_none();
-        if !missing && !REPLICA_COUNTS.contains(&count) {
+        let is_optional = count == 0 && self.role.is_none();
+        if !is_optional && !REPLICA_COUNTS.contains(&count) {
             let message = format!("names {count} replicas");
-            self.wrong("cluster.replicas", String::new(), message);
+            self.report("cluster.replicas", String::new(), message);
         }
         for (index, replica) in replicas.iter().enumerate() {
             if !is_name(&replica.name) {
                 let value = format!("{:?}", replica.name);
-                self.wrong("cluster.replicas.name", value, "is not a name".to_string());
+                self.report("cluster.replicas.name", value, "is not a name".to_string());
             }
             let earlier = &replicas[..index];
             if earlier.iter().any(|other| other.name == replica.name) {
                 let value = format!("{:?}", replica.name);
-                let message = "stands there twice".to_string();
-                self.wrong("cluster.replicas.name", value, message);
+                let message = "is used twice".to_string();
+                self.report("cluster.replicas.name", value, message);
             }
             if earlier.iter().any(|other| other.control == replica.control) {
                 let value = replica.control.to_string();
                 let message = "is the address of two replicas".to_string();
-                self.wrong("cluster.replicas.control", value, message);
+                self.report("cluster.replicas.control", value, message);
             }
         }
         replicas.to_vec()
     }
 
-    /// The entry of this process, which tells its addresses.
+    /// The entry of this process among the replicas, which contains its addresses.
     fn own_replica<'a>(&self, file: &'a SettingsFile) -> Option<&'a ReplicaSettings> {
         let name = file.node.name.as_ref();
         let mut replicas = file.cluster.replicas.iter();
@@ -263,6 +268,7 @@
             .filter(|_| self.role == Some(Role::Control))
     }
 
+    /// Reports a control replica that is not in the list of replicas.
     fn check_own_replica(&mut self, settings: &Settings) {
         if self.role != Some(Role::Control) || settings.replicas.is_empty() {
             return;
@@ -271,10 +277,11 @@
         if !replicas.any(|replica| replica.name == settings.name) {
             let value = format!("{:?}", settings.name);
             let message = "is not among cluster.replicas".to_string();
-            self.wrong("node.name", value, message);
+            self.report("node.name", value, message);
         }
     }
 
+    /// Checks that the value, if set, begins with `beginning`.
     fn beginning_with(
         &mut self,
         key: &str,
@@ -285,21 +292,21 @@
             && !text.starts_with(beginning)
         {
             let message = format!("does not begin with {beginning}");
-            self.wrong(key, format!("{text:?}"), message);
+            self.report(key, format!("{text:?}"), message);
         }
         value.clone()
     }
 
     fn fabric(&mut self, address: Option<SocketAddrV4>) -> SocketAddrV4 {
         if self.role == Some(Role::Agent) && address.is_none() {
-            self.wrong("addresses.fabric", String::new(), "is missing".to_string());
+            self.report("addresses.fabric", String::new(), "is missing".to_string());
         }
         address.unwrap_or(SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0))
     }
 
     fn required<T: Clone + Default>(&mut self, key: &str, value: &Option<T>) -> T {
         if value.is_none() && self.role.is_some() {
-            self.wrong(key, String::new(), "is missing".to_string());
+            self.report(key, String::new(), "is missing".to_string());
         }
         value.clone().unwrap_or_default()
     }
@@ -313,12 +320,12 @@
     ) -> u64 {
         let number = value.unwrap_or(default);
         if !range.contains(&number) {
-            self.wrong(key, number.to_string(), "is out of range".to_string());
+            self.report(key, number.to_string(), "is out of range".to_string());
         }
         number
     }
 
-    fn wrong(&mut self, key: &str, value: String, message: String) {
+    fn report(&mut self, key: &str, value: String, message: String) {
         self.problems.push(SettingsProblem {
             file: self.file_name.to_string(),
             line: None,
