--- a/crates/petrellatch-proto/src/pass_through/configuration.rs
+++ b/crates/petrellatch-proto/src/pass_through/configuration.rs
@@ -1,4 +1,4 @@
-//! Records and changes of the configuration, as they are kept, replicated and handed on.
+//! Configuration records and changes, as stored, replicated and sent to balancers.
 
 use super::{PolicyChange, ZoneCommand};
 
@@ -8,122 +8,118 @@
     /// The service's name.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Its weight among the shares of the route.
+    /// Weight relative to the route's other shares.
     #[prost(uint32, tag = "2")]
     pub weight: u32,
 }
 
-/// Where new flows of one address go.
+/// Assigns the new flows of one address to services.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct RouteRecord {
-    /// The address and port that callers name.
+    /// Address and port that callers connect to, see [`super::pack_address`].
     #[prost(fixed64, tag = "1")]
     pub address: u64,
-    /// The services.
+    /// Services, with their shares of the new flows.
     #[prost(message, repeated, tag = "2")]
     pub shares: Vec<RouteShare>,
-    /// What the operator's interface keeps with the route. Balancers don't
-    /// get it.
+    /// Opaque data that the operator's API translator stores with the route. It isn't sent to
+    /// balancers.
     #[prost(bytes = "vec", tag = "3")]
     pub annotation: Vec<u8>,
-    /// Place in the operator's list: the greater, the later. Places have gaps,
-    /// so that a route can be put between two others without moving them.
+    /// Sort key in the operator's list, ascending. Keys have gaps, so that a route can be
+    /// inserted between two others without renumbering them.
     #[prost(fixed64, tag = "4")]
     pub position: u64,
-    /// By when a request should be answered, in milliseconds; zero if that is
-    /// not known.
+    /// Latency objective (SLO) of a request, in milliseconds; zero if unknown.
     #[prost(uint32, tag = "5")]
     pub latency_objective_millis: u32,
-    /// How urgent its requests are among those that compete for a place: zero is the
-    /// most urgent.
+    /// Priority of its requests when they compete for slots; zero is the highest.
     #[prost(uint32, tag = "6")]
     pub priority: u32,
-    /// When callers give a request up, in milliseconds after they sent it; zero if
-    /// that is not known.
+    /// Deadline after which callers give up a request, in milliseconds after sending it; zero
+    /// if unknown.
     #[prost(uint32, tag = "7")]
     pub deadline_millis: u32,
 }
 
-/// What the configuration says of a service.
+/// Per-service settings of the configuration.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ServiceRecord {
     /// The service's name.
     #[prost(string, tag = "1")]
     pub service: String,
-    /// Requests that one of its back ends bears in 1,000 s while it warms up; zero
-    /// if that is not known.
+    /// Requests that one back end can take per 1,000 s while it warms up; zero if unknown.
     #[prost(uint32, tag = "2")]
     pub warm_up_millirequests_per_second: u32,
 }
 
-/// A replacement of the configuration, as records that differ from the one
-/// with `base_version`.
+/// A new version of the configuration, as the records that differ from `base_version`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigurationChange {
-    /// The version that it is based on; zero for the empty configuration.
+    /// Version that the change is based on; zero for the empty configuration.
     #[prost(uint64, tag = "1")]
     pub base_version: u64,
-    /// The version that it makes.
+    /// Version that the change creates.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Routes that are new or differ.
+    /// New and changed routes.
     #[prost(message, repeated, tag = "3")]
     pub put: Vec<RouteRecord>,
-    /// Addresses of routes that are gone.
+    /// Addresses of removed routes.
     #[prost(fixed64, repeated, tag = "4")]
     pub removed: Vec<u64>,
-    /// What the operator's interface keeps with the configuration as a whole,
-    /// if it differs.
+    /// Opaque data that the operator's API translator stores with the configuration; none if
+    /// unchanged.
     #[prost(bytes, optional, tag = "5")]
     pub annotation: Option<Vec<u8>>,
-    /// Services that are new or differ, of those that something is said of.
+    /// New and changed service records.
     #[prost(message, repeated, tag = "6")]
     pub put_services: Vec<ServiceRecord>,
-    /// Names of services that nothing is said of any more.
+    /// Names of services whose records are removed.
     #[prost(string, repeated, tag = "7")]
     pub removed_services: Vec<String>,
 }
 
-/// One command of the log: a part of an encoded and compressed
-/// [`ConfigurationChange`], an order about a zone, or a change of the policies.
+/// One command of the replicated log: a part of an encoded and compressed
+/// [`ConfigurationChange`], a zone command, or a change of the placement policies.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LogCommand {
-    /// Same for all parts of a change, and drawn at random for it.
+    /// Random identifier of a change, the same in all its parts.
     #[prost(fixed64, tag = "1")]
     pub change_id: u64,
-    /// Number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "2")]
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     #[prost(uint32, tag = "3")]
     pub parts: u32,
-    /// The bytes.
+    /// Bytes of this part.
     #[prost(bytes = "vec", tag = "4")]
     pub bytes: Vec<u8>,
-    /// The order. The other fields are zero then.
+    /// Zone command. If set, the other fields are zero.
     #[prost(message, optional, tag = "5")]
     pub zone_command: Option<ZoneCommand>,
-    /// The change of the policies. The other fields are zero then.
+    /// Change of the placement policies. If set, the other fields are zero.
     #[prost(message, optional, tag = "6")]
     pub policy_change: Option<PolicyChange>,
 }
 
-/// A part of an encoded and compressed [`ConfigurationChange`] for balancers.
+/// A part of an encoded and compressed [`ConfigurationChange`], as sent to balancers.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigurationPart {
-    /// The version that the change is based on.
+    /// Version that the change is based on.
     #[prost(uint64, tag = "1")]
     pub base_version: u64,
-    /// The version that it makes.
+    /// Version that the change creates.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// Number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "3")]
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     #[prost(uint32, tag = "4")]
     pub parts: u32,
-    /// The bytes.
+    /// Bytes of this part.
     #[prost(bytes = "vec", tag = "5")]
     pub bytes: Vec<u8>,
 }
--- a/crates/petrellatch-proto/src/pass_through/directory.rs
+++ b/crates/petrellatch-proto/src/pass_through/directory.rs
@@ -1,58 +1,59 @@
-//! Messages about agents: what each reports, and what replicas tell balancers of all.
+//! Messages about agents: the report of each agent, and the directory of all agents that
+//! replicas send to balancers.
 
 use super::{BackendDescription, LoadMessage};
 
-/// State of the back end beside an agent.
+/// State of an agent and its back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum AgentState {
-    /// No back end has registered in this life of the agent, or it is silent, or the
+    /// No back end has registered since the agent started, or the back end is silent, or the
     /// agent has stopped and its back end certainly has no open flow.
     Unavailable = 0,
-    /// New flows are welcome.
+    /// The back end takes new flows.
     Ready = 1,
-    /// No new flows; open ones stay.
+    /// The back end takes no new flows; open ones continue.
     Draining = 2,
-    /// The agent has just started, and nothing was heard of its back end yet.
-    /// It offers it flows that nobody else takes.
+    /// The agent has just started and has received nothing from its back end yet. It offers
+    /// the back end only flows that no other agent takes.
     Starting = 3,
 }
 
-/// What an agent serves.
+/// An agent's periodic report: its service, state and load.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Report {
-    /// Where balancers send packets.
+    /// Address of the agent, to which balancers forward packets.
     #[prost(fixed64, tag = "1")]
     pub address: u64,
-    /// Life of the agent.
+    /// Incarnation of the agent.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Rises with each report of a life.
+    /// Sequence number of the report, ascending within an incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
     /// The service's name.
     #[prost(string, tag = "4")]
     pub service: String,
-    /// The agent's zone.
+    /// Zone of the agent.
     #[prost(string, tag = "5")]
     pub zone: String,
     /// An [`AgentState`].
     #[prost(enumeration = "AgentState", tag = "6")]
     pub state: i32,
-    /// The load.
+    /// Load of the back end.
     #[prost(message, required, tag = "7")]
     pub load: LoadMessage,
-    /// Digests of back ends that said that they leave, the latest last.
+    /// Digests of the back end incarnations that announced that they drain, the latest last.
     #[prost(fixed64, repeated, tag = "9")]
     pub draining_backends: Vec<u64>,
-    /// The time until the next report without news, in milliseconds; zero if this is
-    /// the last one, as the agent has stopped.
+    /// Time until the next report if nothing changes, in milliseconds; zero in the final
+    /// report of an agent that has stopped.
     #[prost(uint32, tag = "10")]
     pub next_report_millis: u32,
-    /// [`super::ZoneStatuses::index`] as the agent knows it.
+    /// Latest [`super::ZoneStatuses::index`] that the agent has received.
     #[prost(uint64, tag = "11")]
     pub evacuations_index: u64,
-    /// The back end, if one has registered.
+    /// Description of the back end, if one has registered.
     #[prost(message, optional, tag = "12")]
     pub backend: Option<BackendDescription>,
 }
@@ -60,21 +61,21 @@
 /// One agent of a [`DirectoryPart`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DirectoryEntry {
-    /// What it reported last.
+    /// Latest report of the agent.
     #[prost(message, required, tag = "1")]
     pub report: Report,
-    /// How long ago that was, in milliseconds.
+    /// Age of the report, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_millis: u32,
 }
 
-/// How a replica's directory differs from an earlier revision.
+/// Difference between a replica's directory and an earlier revision of it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DirectoryChange {
-    /// Agents that are new or reported something else.
+    /// New agents, and agents whose report has changed.
     #[prost(message, repeated, tag = "1")]
     pub agents: Vec<DirectoryEntry>,
-    /// Addresses of agents that are not heard any more.
+    /// Addresses of agents that no longer report.
     #[prost(fixed64, repeated, tag = "2")]
     pub removed: Vec<u64>,
 }
@@ -82,19 +83,19 @@
 /// A part of an encoded and compressed [`DirectoryChange`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DirectoryPart {
-    /// The revision that the change is based on; zero for none.
+    /// Revision that the change is based on; zero for none.
     #[prost(uint64, tag = "1")]
     pub base_revision: u64,
-    /// The revision that it makes.
+    /// Revision that the change creates.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "3")]
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     #[prost(uint32, tag = "4")]
     pub parts: u32,
-    /// The bytes.
+    /// Bytes of this part.
     #[prost(bytes = "vec", tag = "5")]
     pub bytes: Vec<u8>,
 }
--- a/crates/petrellatch-proto/src/pass_through/flow_record.rs
+++ b/crates/petrellatch-proto/src/pass_through/flow_record.rs
@@ -1,114 +1,115 @@
-//! Messages about the record of open flows that replicas keep for agents, so that it
-//! outlives them.
+//! Messages about flow records: copies of the agents' open flows, which replicas keep so
+//! that they survive a restart of the agent.
 //!
-//! An agent tells a few replicas how its open flows change, and after a start it asks
-//! them for what its former life told.
+//! An agent sends changes of its open flows to a few replicas. After a start it requests
+//! the flow record of its previous incarnation from them.
 
-/// Steps of [`FlowColumns::acknowledged_steps`], in bytes: a quarter of the smallest
-/// usual receive window, within which a caller takes a reset.
+/// Unit of [`FlowColumns::acknowledged_steps`], in bytes. A caller accepts a reset within
+/// its receive window, and this is a quarter of the smallest usual one.
 pub const ACKNOWLEDGED_STEP_BYTES: u32 = 16 * 1024;
 
-/// Open flows of one agent, a column for each property.
+/// Open flows of one agent, in columnar form.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FlowColumns {
-    /// Addresses of the routes that the flows name.
+    /// Distinct route addresses of the flows.
     #[prost(fixed64, repeated, tag = "1")]
     pub routes: Vec<u64>,
-    /// Address of each flow's caller.
+    /// Caller address of each flow.
     #[prost(fixed64, repeated, tag = "2")]
     pub callers: Vec<u64>,
-    /// Place of each flow's route in `routes`.
+    /// Index of each flow's route in `routes`.
     #[prost(uint32, repeated, tag = "3")]
     pub route_indexes: Vec<u32>,
-    /// First sequence number of the back end in each flow.
+    /// Initial sequence number of the back end in each flow.
     #[prost(fixed32, repeated, tag = "4")]
     pub sequences: Vec<u32>,
-    /// How far each caller's acknowledgement was ahead of that, in steps of
+    /// Distance from the initial sequence number to the caller's acknowledgement, in units of
     /// [`ACKNOWLEDGED_STEP_BYTES`], rounded down.
     #[prost(uint32, repeated, tag = "5")]
     pub acknowledged_steps: Vec<u32>,
 }
 
-/// Agent to replica: how its open flows differ from what it told before.
+/// Agent to replica: the difference between two revisions of the agent's flow record.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FlowRecordChange {
-    /// The agent.
+    /// Address of the agent.
     #[prost(fixed64, tag = "1")]
     pub agent: u64,
-    /// Its life.
+    /// Incarnation of the agent.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Digest of the life of the back end that has the flows; zero if it has not called.
+    /// Digest of the back end incarnation that owns the flows; zero if it has not registered.
     #[prost(fixed64, tag = "3")]
     pub backend_incarnation: u64,
-    /// Number of the record that this is based on; zero if it is the whole record.
+    /// Revision that the change is based on; zero if it is the complete record.
     #[prost(uint64, tag = "4")]
     pub base_revision: u64,
-    /// Number of the record that it makes.
+    /// Revision that the change creates.
     #[prost(uint64, tag = "5")]
     pub revision: u64,
-    /// Number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "6")]
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     #[prost(uint32, tag = "7")]
     pub parts: u32,
-    /// Flows that are new, or whose acknowledgement has moved on.
+    /// New flows, and flows whose acknowledgement has advanced.
     #[prost(message, required, tag = "8")]
     pub put: FlowColumns,
-    /// Flows that have ended, by callers and routes only.
+    /// Closed flows, as callers and routes only.
     #[prost(message, required, tag = "9")]
     pub removed: FlowColumns,
-    /// Packets of callers without data, of some of the flows. The back end returns them
-    /// once the life that had the flows is over.
+    /// Data-less packets from callers of some of the flows. A back end returns them once the
+    /// incarnation that owned the flows has ended.
     #[prost(bytes = "vec", repeated, tag = "10")]
     pub probe_packets: Vec<Vec<u8>>,
 }
 
-/// Replica to agent: what it keeps of the agent's record.
+/// Replica to agent: the revision of the flow record that the replica has.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct FlowRecordAck {
-    /// The agent's life.
+    /// Incarnation of the agent.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// Number of the record; zero if it has none of this life and wants it whole.
+    /// Revision of the record; zero if the replica has none of this incarnation and needs the
+    /// complete record.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// It has no room for the rest.
+    /// Whether the replica has no capacity for the rest of the record.
     #[prost(bool, tag = "3")]
     pub is_full: bool,
 }
 
-/// Agent to replica: asks for the record of its former life.
+/// Agent to replica: requests the flow record of the agent's previous incarnation.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct FlowRecordRequest {
-    /// The agent.
+    /// Address of the agent.
     #[prost(fixed64, tag = "1")]
     pub agent: u64,
-    /// Its present life.
+    /// Current incarnation of the agent.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
 }
 
-/// Replica to agent: the record of a former life.
+/// Replica to agent: a part of the flow record of a previous incarnation.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct FlowRecordResponse {
-    /// The life that asked.
+    /// Incarnation that sent the request.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
     /// [`FlowRecordChange::backend_incarnation`] of the record.
     #[prost(fixed64, tag = "2")]
     pub backend_incarnation: u64,
-    /// Number of the record. Numbers of later lives are higher.
+    /// Revision of the record. Later incarnations use higher revisions.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "4")]
     pub part: u32,
-    /// How many parts there are; zero if the replica has no record.
+    /// Number of parts; zero if the replica has no record.
     #[prost(uint32, tag = "5")]
     pub parts: u32,
-    /// Flows.
+    /// Flows of this part.
     #[prost(message, required, tag = "6")]
     pub flows: FlowColumns,
     /// See [`FlowRecordChange::probe_packets`].
--- a/crates/petrellatch-proto/src/pass_through/group.rs
+++ b/crates/petrellatch-proto/src/pass_through/group.rs
@@ -1,140 +1,139 @@
-//! Messages between replicas and daemons: who is a member, and who asks for news.
+//! Messages between replicas and daemons: membership of the replica group, and
+//! subscriptions to updates.
 
 use super::{PolicySet, ZoneStatuses};
 
-/// Where a replica runs. The leader chooses members of the group by it.
+/// Zone of a replica. The leader takes it into account when it selects members.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ReplicaZone {
-    /// The zone.
+    /// Name of the zone.
     #[prost(string, tag = "1")]
     pub zone: String,
 }
 
-/// A balancer asks for news.
+/// A balancer's poll for updates.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Subscribe {
-    /// Life of the balancer.
+    /// Incarnation of the balancer.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// The configuration that it has; zero for none.
+    /// Configuration version that the balancer has; zero for none.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// If not zero, asks the leader for a [`VersionConfirmed`] with this number.
+    /// If not zero, requests a [`VersionConfirmed`] with this identifier from the leader.
     #[prost(uint64, tag = "3")]
     pub confirmation_id: u64,
-    /// The balancer leaves and wants no more news.
+    /// Ends the subscription.
     #[prost(bool, tag = "4")]
     pub unsubscribe: bool,
-    /// The revision of the directory that it has from this replica.
+    /// Revision of this replica's directory that the balancer has.
     #[prost(uint64, tag = "5")]
     pub directory_revision: u64,
-    /// It wants what it lacks of the configuration. It asks one replica only.
+    /// Requests missing parts of the configuration. A balancer requests them from one replica
+    /// only.
     #[prost(bool, tag = "6")]
     pub wants_configuration: bool,
-    /// It wants the directory and each change of it and of the configuration
-    /// from now on.
+    /// Requests the directory, and each further change of it and of the configuration.
     #[prost(bool, tag = "7")]
     pub wants_updates: bool,
-    /// [`super::ZoneStatuses::index`] as the balancer knows it.
+    /// Latest [`super::ZoneStatuses::index`] that the balancer has received.
     #[prost(uint64, tag = "8")]
     pub evacuations_index: u64,
-    /// Another replica asks which agents the receiver remembers.
+    /// Set by another replica: requests the receiver's saved agents.
     #[prost(bool, tag = "9")]
     pub wants_saved_agents: bool,
-    /// [`PolicySet::index`] as the balancer knows it.
+    /// Latest [`PolicySet::index`] that the balancer has received.
     #[prost(uint64, tag = "10")]
     pub policies_index: u64,
 }
 
-/// The replicas of the group.
+/// Members of the replica group, and the state of the sending replica.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GroupStatus {
-    /// Their addresses.
+    /// Addresses of the members.
     #[prost(fixed64, repeated, tag = "1")]
     pub replicas: Vec<u64>,
-    /// Index of the membership, which only grows.
+    /// Log index of the membership; it never decreases.
     #[prost(uint64, tag = "2")]
     pub membership_index: u64,
-    /// The version of the configuration that the sender has.
+    /// Configuration version of the sender.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// The revision of the sender's directory. Revisions of different lives
-    /// and replicas differ.
+    /// Revision of the sender's directory. Revisions of different replicas and incarnations
+    /// differ.
     #[prost(uint64, tag = "4")]
     pub directory_revision: u64,
-    /// To an agent: what former lives of it reported as
-    /// [`super::Report::draining_backends`].
+    /// To an agent: [`super::Report::draining_backends`] of its previous incarnations.
     #[prost(fixed64, repeated, tag = "5")]
     pub draining_backends: Vec<u64>,
-    /// Whether the sender hears a leader, or is one, and so has news in time.
+    /// Whether the sender is the leader or has contact to it, and so receives updates in time.
     #[prost(bool, tag = "6")]
     pub has_leader: bool,
-    /// The leader as the sender knows it; zero for none.
+    /// Address of the leader, if the sender knows it; otherwise zero.
     #[prost(fixed64, tag = "7")]
     pub leader: u64,
-    /// To an agent: the time between two reports that the sender bears, in
-    /// milliseconds. It grows with the number of agents.
+    /// To an agent: the interval between reports that the sender can handle, in milliseconds.
+    /// It grows with the number of agents.
     #[prost(uint32, tag = "8")]
     pub report_interval_millis: u32,
-    /// Whether the sender's directory has every agent that runs: it has listened
-    /// for as long as agents take to report, or took a whole directory over.
+    /// Whether the sender's directory contains every running agent: the sender has waited for
+    /// as long as agents take to report, or has copied a complete directory.
     #[prost(bool, tag = "9")]
     pub directory_is_complete: bool,
-    /// To an agent: whether the sender has heard of a former life at its address.
+    /// To an agent: whether the sender knows a previous incarnation at the agent's address.
     #[prost(bool, tag = "10")]
     pub knows_previous_incarnation: bool,
-    /// To an agent: whether the sender has heard a report of its present life.
+    /// To an agent: whether the sender has received a report of its current incarnation.
     #[prost(bool, tag = "11")]
     pub has_report: bool,
-    /// The orders about zones, if the receiver may not know of the latest one.
+    /// Zone statuses, if the receiver may not have the latest ones.
     #[prost(message, optional, tag = "12")]
     pub zones: Option<ZoneStatuses>,
-    /// To an agent: the number of the report that is answered.
+    /// To an agent: sequence number of the report that this message acknowledges.
     #[prost(uint64, tag = "13")]
     pub acknowledged_report: u64,
-    /// To an agent: whether the sender has saved for its next lives that there is
-    /// this agent.
+    /// To an agent: whether the sender has saved the agent's address on disk.
     #[prost(bool, tag = "14")]
     pub agent_is_saved: bool,
-    /// To an agent: the sender has not heard it in its present life.
+    /// To an agent: the sender has received no report since its own start.
     #[prost(bool, tag = "15")]
     pub wants_report: bool,
-    /// To a replica that asked for it: some of the agents that the sender remembers.
+    /// To a replica that requested it: some of the sender's saved agents.
     #[prost(fixed64, repeated, tag = "16")]
     pub saved_agents: Vec<u64>,
-    /// How many these are in all.
+    /// Total number of the sender's saved agents.
     #[prost(uint32, tag = "17")]
     pub saved_agent_count: u32,
-    /// To a balancer: the placement policies, if it may not know of the latest change.
+    /// To a balancer: the placement policies, if it may not have the latest ones.
     #[prost(message, optional, tag = "18")]
     pub policies: Option<PolicySet>,
 }
 
-/// The daemons that a replica remembers from one life to the next, to tell them
-/// where the group is. It may be old, and is never more than a hint.
+/// Daemons that a replica saves on disk, to send them the group's addresses after a
+/// restart. The list may be outdated and is used only as a hint.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct SavedDaemons {
-    /// Addresses of balancers that were attached to the replica.
+    /// Addresses of balancers that were subscribed to the replica.
     #[prost(fixed64, repeated, tag = "1")]
     pub balancers: Vec<u64>,
-    /// Addresses of agents that reported to it.
+    /// Addresses of agents that reported to the replica.
     #[prost(fixed64, repeated, tag = "2")]
     pub agents: Vec<u64>,
 }
 
-/// A quorum confirmed that this was the newest version after the question.
+/// Result of a quorum read: the newest version at a time after the request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct VersionConfirmed {
-    /// Number of the question.
+    /// See [`Subscribe::confirmation_id`].
     #[prost(uint64, tag = "1")]
     pub confirmation_id: u64,
-    /// The version.
+    /// Configuration version.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The orders about zones at that time, if there was ever one.
+    /// Zone statuses at that time, if any zone command was ever applied.
     #[prost(message, optional, tag = "3")]
     pub zones: Option<ZoneStatuses>,
-    /// The placement policies at that time, if there was ever one.
+    /// Placement policies at that time, if any change was ever applied.
     #[prost(message, optional, tag = "4")]
     pub policies: Option<PolicySet>,
 }
--- a/crates/petrellatch-proto/src/pass_through/policies.rs
+++ b/crates/petrellatch-proto/src/pass_through/policies.rs
@@ -1,65 +1,65 @@
-//! Placement policies: the changes of operators, and who knows of these.
+//! Messages about placement policies: changes by operators, and the current set.
 
-/// A policy with the services and routes whose new flows it places.
+/// A placement policy, with the services and routes whose new flows it places.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PlacementPolicy {
-    /// The operator's name for it.
+    /// Name given by the operator.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Whether a back end may receive new flows: an expression for a boolean.
+    /// Whether a back end may receive new flows: an expression of type boolean.
     #[prost(string, tag = "2")]
     pub eligible: String,
-    /// How many it receives in relation to others: an expression for a number of at
-    /// least zero.
+    /// Weight of a back end relative to others: an expression of type number, at least zero.
     #[prost(string, tag = "3")]
     pub weight: String,
-    /// Names of the services.
+    /// Names of the services that it applies to.
     #[prost(string, repeated, tag = "4")]
     pub services: Vec<String>,
-    /// Addresses of the routes. A policy of a route goes before that of its service.
+    /// Addresses of the routes that it applies to. A route's policy takes precedence over its
+    /// service's.
     #[prost(fixed64, repeated, tag = "5")]
     pub routes: Vec<u64>,
 }
 
-/// An operator's change of the policies. It is one command of the log.
+/// An operator's change of the placement policies: one command of the replicated log.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PolicyChange {
-    /// Drawn at random for the change.
+    /// Random identifier of the change.
     #[prost(fixed64, tag = "1")]
     pub change_id: u64,
-    /// [`PolicySet::index`] that it is based on; none if it holds in any case.
+    /// [`PolicySet::index`] that the change is based on; none if it applies unconditionally.
     #[prost(uint64, optional, tag = "2")]
     pub base_index: Option<u64>,
-    /// The policy that is put in place of one of the same name.
+    /// Policy to add, or to replace the one of the same name.
     #[prost(message, optional, tag = "3")]
     pub put: Option<PlacementPolicy>,
-    /// Name of the policy that is removed, if none is put.
+    /// Name of the policy to remove, if `put` isn't set.
     #[prost(string, tag = "4")]
     pub removed: String,
 }
 
-/// All policies.
+/// All placement policies.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct PolicySet {
-    /// Index of the latest change in the log that had an effect; zero if there was
-    /// none. The greater one of two is the newer one.
+    /// Log index of the latest change that had an effect; zero if there was none. A set with a
+    /// higher index is newer.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The policies, by name.
+    /// Policies, sorted by name.
     #[prost(message, repeated, tag = "2")]
     pub policies: Vec<PlacementPolicy>,
 }
 
-/// What policies read of a back end and its agent can't observe.
+/// Properties of a back end that policies may use and that its agent can't observe.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct BackendDescription {
-    /// The name under which it registered itself.
+    /// Name under which the back end has registered.
     #[prost(string, tag = "1")]
     pub name: String,
     /// Free-form labels.
     #[prost(btree_map = "string, string", tag = "2")]
     pub labels: std::collections::BTreeMap<String, String>,
-    /// For how long it has run, as far as its agent has seen, in milliseconds.
+    /// Time since the back end's start, as far as its agent has observed, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub age_millis: u64,
 }
--- a/crates/petrellatch-proto/src/pass_through/search.rs
+++ b/crates/petrellatch-proto/src/pass_through/search.rs
@@ -1,92 +1,94 @@
-//! Messages about flows that a balancer does not know: who has them, and who does not.
+//! Messages of flow searches: a balancer looks for the owners of flows that it doesn't
+//! know.
 
 use super::FlowMessage;
 
-/// A flow whose agent is not known.
+/// A flow whose owner is unknown.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct QueriedFlow {
     /// The flow.
     #[prost(message, required, tag = "1")]
     pub flow: FlowMessage,
-    /// What its caller acknowledges.
+    /// Latest acknowledgement number of its caller.
     #[prost(fixed32, tag = "2")]
     pub acknowledged: u32,
 }
 
-/// Asks for the agents whose back ends have these flows. Each agent answers
-/// for each flow, with [`FlowsOwned`] or [`FlowsNotOwned`].
+/// Searches for the agents whose back ends own these flows. Each agent replies for each
+/// flow, with [`FlowsOwned`] or [`FlowsNotOwned`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowQuery {
     /// The flows.
     #[prost(message, repeated, tag = "1")]
     pub flows: Vec<QueriedFlow>,
-    /// Other agents that the receiver asks too. It gathers what they lack into
-    /// [`AggregatedReplies`], so that a balancer with a thin link sends one question
-    /// and gets few answers.
+    /// Other agents to which the receiver relays the query. It collects their replies into
+    /// [`AggregatedReplies`], so that a balancer with a slow link sends one query and receives
+    /// few replies.
     #[prost(fixed64, repeated, tag = "2")]
     pub relay_to: Vec<u64>,
-    /// Number of a question with others; its answers repeat it.
+    /// Identifier of a query with `relay_to`; the replies repeat it.
     #[prost(uint64, tag = "3")]
     pub query_id: u64,
-    /// The balancer, if another agent passed the question on; otherwise zero.
+    /// Address of the balancer if another agent relayed the query; otherwise zero.
     #[prost(fixed64, tag = "4")]
     pub origin_balancer: u64,
 }
 
-/// What the agents of one question have answered so far.
+/// The agents' replies to one query so far.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AggregatedReplies {
-    /// Number of the question.
+    /// See [`FlowQuery::query_id`].
     #[prost(uint64, tag = "1")]
     pub query_id: u64,
-    /// The flows of the question.
+    /// Replies, by flow of the query.
     #[prost(message, repeated, tag = "2")]
     pub flows: Vec<AggregatedFlowReply>,
 }
 
-/// What agents answered for a flow. Bit `n` of each set, the lowest of each byte first,
-/// stands for agent `n` of [`FlowQuery::relay_to`], and the one after the last for the
-/// agent that was asked to ask them.
+/// The agents' replies for one flow. Each set is a bitmap, the lowest bit of each byte
+/// first. Bit `n` stands for agent `n` of [`FlowQuery::relay_to`], and the bit after the
+/// last of them for the agent that relayed the query.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AggregatedFlowReply {
     /// The flow.
     #[prost(message, required, tag = "1")]
     pub flow: FlowMessage,
-    /// Agents whose back ends do not have it for certain.
+    /// Agents whose back ends certainly don't own the flow.
     #[prost(bytes = "vec", tag = "2")]
     pub not_owned: Vec<u8>,
-    /// Agents that do not know it, but whose back ends may have it.
+    /// Agents that don't know the flow, but whose back ends may own it.
     #[prost(bytes = "vec", tag = "3")]
     pub possibly_owned: Vec<u8>,
-    /// Agents whose back ends have it; they tell the balancer themselves.
+    /// Agents whose back ends own the flow; they also reply to the balancer directly.
     #[prost(bytes = "vec", tag = "4")]
     pub owned: Vec<u8>,
 }
 
-/// Flows that an agent does not know. An answer to [`FlowQuery`].
+/// Reply to a [`FlowQuery`]: flows that an agent doesn't know.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowsNotOwned {
-    /// Flows that its back end does not have for certain.
+    /// Flows that its back end certainly doesn't own.
     #[prost(message, repeated, tag = "1")]
     pub not_owned: Vec<FlowMessage>,
-    /// Flows that its back end may have: the agent has started beside a back
-    /// end that may have had flows before.
+    /// Flows that its back end may own: the back end may have had flows before the agent
+    /// started.
     #[prost(message, repeated, tag = "2")]
     pub possibly_owned: Vec<FlowMessage>,
 }
 
-/// One flow that an agent's back end has.
+/// A flow that an agent's back end owns.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OwnedFlow {
     /// The flow.
     #[prost(message, required, tag = "1")]
     pub flow: FlowMessage,
-    /// First sequence number of the back end, if it is known.
+    /// Initial sequence number of the back end, if known.
     #[prost(fixed32, optional, tag = "2")]
     pub sequence: Option<u32>,
 }
 
-/// Flows that an agent's back end has. An answer to [`FlowQuery`], or what an agent leaves behind when it stops.
+/// Flows that an agent's back end owns: the reply to a [`FlowQuery`], or an announcement of
+/// an agent that stops.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowsOwned {
     /// The flows.
@@ -94,20 +96,19 @@
     pub flows: Vec<OwnedFlow>,
 }
 
-/// The back end returned a packet of a flow.
+/// The back end has returned a packet of a flow.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReturnedPacket {
     /// The flow.
     #[prost(message, required, tag = "1")]
     pub flow: FlowMessage,
-    /// What the packet acknowledged.
+    /// Acknowledgement number of the packet.
     #[prost(fixed32, tag = "2")]
     pub acknowledged: u32,
-    /// Whether the packet carried data, so that its caller waits for an
-    /// answer.
+    /// Whether the packet carried data, so that its caller awaits a response.
     #[prost(bool, tag = "3")]
     pub carried_data: bool,
-    /// Whether the back end has had the flow, so that no other one has it.
+    /// Whether the back end had owned the flow before, so that no other back end owns it.
     #[prost(bool, tag = "4")]
     pub was_open: bool,
 }
--- a/crates/petrellatch-proto/src/pass_through/zones.rs
+++ b/crates/petrellatch-proto/src/pass_through/zones.rs
@@ -1,37 +1,36 @@
-//! Zones out of service: the orders about them, and who knows of these.
+//! Messages about evacuated zones: commands by operators, and their acknowledgements.
 
-/// An operator's order that takes a zone out of service, or back into it. It is
-/// one command of the log.
+/// An operator's command to evacuate or restore a zone: one command of the replicated log.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ZoneCommand {
-    /// Drawn at random for the order.
+    /// Random identifier of the command.
     #[prost(fixed64, tag = "1")]
     pub command_id: u64,
-    /// The zone.
+    /// Name of the zone.
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Whether it goes out of service.
+    /// Whether to evacuate the zone, rather than restore it.
     #[prost(bool, tag = "3")]
     pub evacuated: bool,
-    /// When the leader took the order, in milliseconds of Unix time by its
-    /// clock. Only operators read it.
+    /// Time at which the leader received the command, in milliseconds of Unix time by its
+    /// clock. For operators only.
     #[prost(uint64, tag = "4")]
     pub issued_at_millis: u64,
 }
 
-/// The latest order about a zone.
+/// Latest command for a zone.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ZoneStatus {
-    /// The zone.
+    /// Name of the zone.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// Whether it is out of service.
+    /// Whether the zone is evacuated.
     #[prost(bool, tag = "2")]
     pub evacuated: bool,
     /// See [`ZoneCommand::command_id`].
     #[prost(fixed64, tag = "3")]
     pub command_id: u64,
-    /// Index of the order in the log.
+    /// Log index of the command.
     #[prost(uint64, tag = "4")]
     pub index: u64,
     /// See [`ZoneCommand::issued_at_millis`].
@@ -39,11 +38,11 @@
     pub issued_at_millis: u64,
 }
 
-/// All zones that there was ever an order about.
+/// Zones for which there was ever a command.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct ZoneStatuses {
-    /// Index of the latest order in the log that changed them; zero if there was
-    /// none. The greater one of two is the newer one.
+    /// Log index of the latest command that changed a zone; zero if there was none. Statuses
+    /// with a higher index are newer.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// The zones.
@@ -51,13 +50,13 @@
     pub zones: Vec<ZoneStatus>,
 }
 
-/// An agent has taken [`ZoneStatuses`].
+/// Agent to replica: acknowledges [`ZoneStatuses`].
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EvacuationsAck {
     /// Address of the agent.
     #[prost(fixed64, tag = "1")]
     pub address: u64,
-    /// [`ZoneStatuses::index`].
+    /// [`ZoneStatuses::index`] that the agent has received.
     #[prost(uint64, tag = "2")]
     pub index: u64,
 }
