--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -1,4 +1,4 @@
-//! The flows that pass through an agent.
+//! Flow table of an agent: connection states, in-flight requests and busy slots.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -11,93 +11,93 @@
 use super::restart_probe::ProbedFlow;
 use crate::pass_through::packet::{FlowId, PacketView};
 
-/// How far a caller's acknowledgement may be ahead of the first sequence
-/// number of the back end that it belongs to.
+/// Distance from the back end's initial sequence number within which a caller's
+/// acknowledgement number belongs to the same connection, in bytes.
 pub(crate) const SEQUENCE_WINDOW: u32 = 1 << 22;
-/// An opening packet that the back end has not answered by then is forgotten.
+/// A SYN that the back end hasn't accepted is forgotten after this time.
 const OPENING_LIMIT: Duration = Duration::from_millis(1_600);
-/// A flow that its caller has not opened by then takes no slot any more.
+/// A flow whose caller hasn't completed the handshake by then no longer counts as an
+/// in-flight request.
 const HALF_OPEN_LIMIT: Duration = Duration::from_millis(100);
-/// A flow that its back end has ended is forgotten after resting for this: by then the
-/// back end has sent copies of the end, unless it was acknowledged. One that only its
-/// caller has ended is kept: data before the end may be lost, and the back end waits for
-/// it. If it were forgotten, a copy of that data would be tried at strange back ends.
+/// Idle time after which a flow closed by its back end is forgotten. By then the back end
+/// has retransmitted its FIN, unless that was acknowledged. A flow that only its caller has
+/// closed is kept: if data before the FIN was lost, the back end still waits for it, and
+/// without the entry its retransmission would be delivered speculatively to other back ends.
 const ENDED_LIMIT: Duration = Duration::from_secs(3);
-/// A request without an answer counts as busy for at most this long.
+/// Idle time after which a request without a response no longer counts as in flight.
 const BUSY_LIMIT: Duration = Duration::from_secs(10);
 
-/// One flow.
+/// State of one flow.
 #[derive(Clone, Debug)]
 pub(crate) struct AgentFlow {
-    /// Who sent its packets last.
+    /// Balancer that forwarded the latest packet.
     pub(crate) last_balancer: Option<SocketAddrV4>,
-    /// First sequence number of the back end, if it answered here.
+    /// Initial sequence number of the back end, if its SYN-ACK was seen or a flow record has it.
     pub(crate) sequence: Option<u32>,
-    /// The caller has acknowledged the back end's answer.
+    /// Whether the handshake is complete.
     pub(crate) open: bool,
-    /// What the caller acknowledged last, if it has acknowledged anything.
+    /// Latest acknowledgement number of the caller, if any.
     pub(crate) acknowledged: Option<u32>,
-    /// The caller's latest packet without data. The back end returns it if it does not
-    /// have the flow.
+    /// Latest data-less packet of the caller. A back end that doesn't own the flow returns it.
     pub(crate) probe_packet: Option<Vec<u8>>,
-    /// The back end has spoken on it in this life of the agent.
+    /// Whether this incarnation of the agent has seen a packet of the back end.
     backend_has_spoken: bool,
-    /// A request waits for its answer.
+    /// Whether the flow counts as an in-flight request.
     busy: bool,
     caller_has_ended: bool,
     backend_has_ended: bool,
     pub(crate) created_at: Timestamp,
-    /// What its request waits for.
+    /// State of its request at the back end.
     request: RequestState,
     pub(crate) last_active_at: Timestamp,
 }
 
-/// Where the request of a flow is at the back end, as far as its agent can tell: a
-/// back end works on as many as it has slots, in the order in which they came.
+/// State of a flow's request at the back end, as far as the agent can tell: a back end
+/// processes as many requests as it has slots, in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// There is none, or its answer has begun.
+    /// There is none, or its response has started.
     None,
-    /// It waits for a slot.
+    /// Queued for a slot.
     Waiting,
-    /// It has a slot since then.
+    /// In a slot since this time.
     Working { since: Timestamp },
 }
 
 impl AgentFlow {
-    /// Whether the back end has a request of it that it has not begun to answer.
+    /// Whether the back end has a request of this flow and hasn't started its response.
     pub(crate) fn has_pending_request(&self) -> bool {
         self.request != RequestState::None && !self.has_ended()
     }
 
-    /// Whether its caller has opened it, and neither end has ended it.
+    /// Whether the handshake is complete and neither end has closed the flow.
     pub(crate) fn is_open(&self) -> bool {
         self.open && !self.has_ended()
     }
 
-    /// Whether it is open and the back end has shown that it has it, or had: balancers may
-    /// hand over packets of a flow that lives at another back end.
+    /// Whether the flow is open and the back end has shown that it owns it, or did once.
+    /// Balancers may forward packets of flows that another back end owns.
     pub(crate) fn is_confirmed_open(&self) -> bool {
         self.is_open() && (self.sequence.is_some() || self.backend_has_spoken)
     }
 
-    /// Whether an acknowledgement goes on from what is known of the flow.
+    /// Whether an acknowledgement number continues those seen on the flow so far.
     fn goes_on(&self, acknowledged: u32) -> bool {
         let known = self.acknowledged.or(self.sequence);
         known.is_none_or(|known| acknowledged.wrapping_sub(known) < SEQUENCE_WINDOW)
     }
 
-    /// Whether one of its ends has ended it: no new request comes.
+    /// Whether either end has closed the flow, so that no new request follows.
     fn has_ended(&self) -> bool {
         self.caller_has_ended || self.backend_has_ended
     }
 
-    /// Whether it is this flow, and was not opened anew since.
+    /// Whether this is the recorded connection, and not a later one between the same endpoints.
     pub(crate) fn is_same_connection(&self, flow: &RecordedFlow) -> bool {
         self.sequence.is_none_or(|known| known == flow.sequence)
     }
 
-    /// Whether a packet with this acknowledgement belongs to the back end.
+    /// Whether a packet with this acknowledgement number belongs to the back end's connection.
     pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
         match self.sequence {
             Some(sequence) => acknowledged.wrapping_sub(sequence) < SEQUENCE_WINDOW,
@@ -106,21 +106,20 @@
     }
 }
 
-/// All flows of one agent, with the number of those that wait for an answer.
+/// All flows of one agent, with counts of in-flight requests and busy slots.
 #[derive(Debug, Default)]
 pub(crate) struct AgentFlows {
     flows: HashMap<FlowId, AgentFlow>,
     busy: u32,
-    /// Flows that are open and have not ended.
+    /// Number of open flows.
     open_flows: u32,
     demand: FlowDemand,
-    /// Requests that have a slot.
+    /// Number of requests that have a slot.
     working: u32,
-    /// Flows with requests that wait for one, in the order in which they came. Some
-    /// may wait no more.
+    /// Flows whose requests are queued for a slot, in order of arrival. Some may no longer be
+    /// queued.
     waiting: VecDeque<FlowId>,
-    /// Flows whose callers have not opened them, with the end of their claim
-    /// to a slot, in that order.
+    /// Half-open flows with the ends of their handshake timeouts, in that order.
     half_open: VecDeque<(Timestamp, FlowId)>,
 }
 
@@ -133,17 +132,18 @@
         self.busy
     }
 
-    /// Flows that are open and have not ended, also those that rest.
+    /// Number of open flows, including idle ones.
     pub(crate) fn open_flows(&self) -> u32 {
         self.open_flows
     }
 
-    /// Slots that the flows kept busy in the last seconds, in thousandths of a slot.
+    /// Mean number of slots that the flows kept busy in the last seconds, in thousandths of a
+    /// slot.
     pub(crate) fn demand_millislots(&self, now: Timestamp) -> u32 {
         self.demand.millislots(now)
     }
 
-    /// Frees the slots of flows that their callers did not open in time.
+    /// Stops counting flows as in flight whose callers didn't complete the handshake in time.
     pub(crate) fn release_half_open(&mut self, now: Timestamp) {
         while let Some((limit, id)) = self.half_open.front().copied() {
             if now < limit {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// How many flows their back end has not ended.
+    /// Number of flows that their back end hasn't closed.
     pub(crate) fn unclosed(&self) -> usize {
         let has_ended = |flow: &&AgentFlow| flow.backend_has_ended;
         self.flows.len() - self.flows.values().filter(has_ended).count()
@@ -166,8 +166,7 @@
         self.flows.iter()
     }
 
-    /// Notes a packet from the caller's side. The back end works on `capacity`
-    /// requests at once.
+    /// Records a packet of the caller. The back end processes up to `slots` requests at once.
     pub(crate) fn note_from_caller(
         &mut self,
         now: Timestamp,
@@ -199,9 +198,10 @@
         }
     }
 
-    /// Keeps what a reset of the flow, or a question to its back end, needs later.
-    /// `packet` is of the caller, and not an opening one. Old copies, and packets of a flow
-    /// that another back end answered under the same address and port, change nothing.
+    /// Records the acknowledgement number and the probe packet, which a later reset or restart
+    /// probe of the flow needs. `packet` is a caller's packet other than a SYN. Old duplicates,
+    /// and packets of a connection between the same endpoints that another back end accepted,
+    /// have no effect.
     pub(crate) fn note_acknowledged(&mut self, id: FlowId, view: &PacketView, packet: &[u8]) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
@@ -215,8 +215,8 @@
         }
     }
 
-    /// Notes a packet from the back end. Returns how long it worked on a request,
-    /// with the packet of its answer that comes first.
+    /// Records a packet of the back end. If it is the first packet of a response, returns the
+    /// processing time of the request.
     pub(crate) fn note_from_backend(
         &mut self,
         now: Timestamp,
@@ -239,7 +239,7 @@
                 return time;
             }
             BackendPacket::Fin => {
-                // The last packet of an answer often overtakes the others.
+                // The last packet of a response often arrives before the others.
                 let time = self.finish_request(now, id);
                 self.end(now, id, |flow| flow.backend_has_ended = true);
                 return time;
@@ -248,8 +248,8 @@
         None
     }
 
-    /// Forgets what was known of an earlier flow under the same address and port, as the back
-    /// end answers an opening packet, and not with the number of that flow.
+    /// Forgets an earlier connection between the same endpoints when the back end accepts a SYN
+    /// with another initial sequence number.
     fn begin_anew(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
         let is_another = |flow: &AgentFlow| {
             let was_opened = flow.sequence.is_some() || flow.open || flow.has_ended();
@@ -264,7 +264,7 @@
         self.half_open.push_back((now + HALF_OPEN_LIMIT, id));
     }
 
-    /// Notes that the back end has a request. Further packets of it change nothing.
+    /// Records that the back end has a request. Further packets of it have no effect.
     fn begin_request(&mut self, now: Timestamp, id: FlowId, capacity: u32) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
@@ -282,8 +282,8 @@
         }
     }
 
-    /// Notes that the back end is done with a request: the one that has waited
-    /// longest takes its slot. Returns how long it was worked on.
+    /// Records that the back end has finished a request and gives its slot to the request that
+    /// has been queued longest. Returns the processing time.
     fn finish_request(&mut self, now: Timestamp, id: FlowId) -> Option<Duration> {
         let flow = self.flows.get_mut(&id)?;
         let request = std::mem::replace(&mut flow.request, RequestState::None);
@@ -304,8 +304,8 @@
         Some(now.saturating_since(since))
     }
 
-    /// Open flows of the back end that are younger than `lifetime`, with packets that the back end returns
-    /// if it does not have them.
+    /// Open flows of the back end that were first seen less than `flow_ttl` ago, with their
+    /// probe packets.
     pub(crate) fn flows_to_probe(&self, now: Timestamp, lifetime: Duration) -> Vec<ProbedFlow> {
         let is_young = |flow: &AgentFlow| now.saturating_since(flow.created_at) < lifetime;
         let open = self
@@ -327,8 +327,8 @@
         open.filter_map(probed).collect()
     }
 
-    /// Takes over a flow that a former life of the agent recorded. Returns whether it was
-    /// not known.
+    /// Takes over a flow from the record of the agent's previous incarnation. Returns whether
+    /// the flow was unknown.
     pub(crate) fn take_over(&mut self, now: Timestamp, recorded: RecordedFlow) -> bool {
         if self.flows.contains_key(&recorded.id) {
             return false;
@@ -340,8 +340,8 @@
         true
     }
 
-    /// Keeps a packet without data that the caller of a flow has sent to a former life of
-    /// the agent, unless there is a later one.
+    /// Sets the probe packet of a flow to one that the agent's previous incarnation received,
+    /// unless there is a later one.
     pub(crate) fn note_probe_packet(&mut self, id: FlowId, packet: &[u8]) {
         if let Some(flow) = self.flows.get_mut(&id) {
             flow.probe_packet.get_or_insert_with(|| packet.to_vec());
@@ -356,7 +356,8 @@
         Some(flow)
     }
 
-    /// Forgets flows that are over, or that rested for `idle_limit`.
+    /// Forgets flows that are closed, that were never opened, or that were idle for
+    /// `idle_limit`.
     pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
         let rest = |flow: &AgentFlow| now.saturating_since(flow.last_active_at);
         let limit = |flow: &AgentFlow| match flow {
@@ -414,7 +415,7 @@
         }
     }
 
-    /// Notes that an end of a flow has ended it, the one that `note_end` says.
+    /// Closes a flow; `mark_closed` sets which end has closed it.
     fn end(&mut self, now: Timestamp, id: FlowId, note_end: impl FnOnce(&mut AgentFlow)) {
         self.finish_request(now, id);
         self.set_busy(id, false);
@@ -440,18 +441,18 @@
     }
 }
 
-/// What a packet from the caller's side means for its flow.
+/// Meaning of a caller's packet for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerPacket {
     Syn,
     Established,
     Request,
     Fin,
-    /// The caller gives it up: its back end forgets it at once.
+    /// The caller aborts the flow, and its back end forgets it at once.
     Reset,
 }
 
-/// What a packet from the back end means for its flow.
+/// Meaning of a back end's packet for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BackendPacket {
     SynAck { sequence: u32 },
--- a/crates/petrellatch-core/src/pass_through/flows/agent_set.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_set.rs
@@ -1,20 +1,20 @@
-//! A set of agents, by their places in a list that both ends have.
+//! Set of agents, as a bitmap over an ordered list that both sides have.
 
-/// One bit for each agent, the lowest of each byte first.
+/// One bit per agent, the lowest bit of each byte first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AgentSet {
     bytes: Vec<u8>,
 }
 
 impl AgentSet {
-    /// Reads what [`AgentSet::to_bytes`] made.
+    /// Reads the output of [`AgentSet::to_bytes`].
     pub(crate) fn from_bytes(bytes: &[u8]) -> AgentSet {
         AgentSet {
             bytes: bytes.to_vec(),
         }
     }
 
-    /// Adds an agent. Returns whether it was not in the set.
+    /// Adds the agent with this index. Returns whether it wasn't in the set.
     pub(crate) fn insert(&mut self, agent: usize) -> bool {
         let (byte, bit) = (agent / 8, 1 << (agent % 8));
         if self.bytes.len() <= byte {
@@ -25,7 +25,7 @@
         is_new
     }
 
-    /// The places of the agents in the set.
+    /// Indexes of the agents in the set.
     pub(crate) fn iter(&self) -> impl Iterator<Item = usize> + '_ {
         let bits = self.bytes.len() * 8;
         (0..bits).filter(|bit| self.bytes[bit / 8] & (1 << (bit % 8)) != 0)
--- a/crates/petrellatch-core/src/pass_through/flows/closed_flow_columns.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/closed_flow_columns.rs
@@ -1,11 +1,11 @@
-//! Flows that have ended, in columns: callers and routes only.
+//! Closed flows in columnar form: callers and routes only.
 
 use petrellatch_proto::pass_through::{FlowColumns, unpack_address};
 
 use super::recorded_flow::{RecordedFlow, to_columns};
 use crate::pass_through::packet::FlowId;
 
-/// Puts flows that ended into columns.
+/// Encodes closed flows as columns.
 pub(crate) fn to_closed_columns(flows: &[FlowId]) -> FlowColumns {
     let flows = flows.iter().map(|id| RecordedFlow {
         id: *id,
@@ -18,7 +18,7 @@
     columns
 }
 
-/// Takes flows that ended out of columns. Incomplete ones are left out.
+/// Decodes closed flows from columns, skipping incomplete ones.
 pub(crate) fn closed_flows(columns: &FlowColumns) -> Vec<FlowId> {
     let flow = |(caller, place): (&u64, &u32)| {
         let route = *columns.routes.get(*place as usize)?;
--- a/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
@@ -1,4 +1,4 @@
-//! What a balancer remembers of flows: hints that may be lost.
+//! A balancer's cache of flows. Lost entries are rebuilt by a flow search.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -9,20 +9,19 @@
 
 use crate::pass_through::packet::FlowId;
 
-/// How far a caller's acknowledgement may be ahead of the first sequence
-/// number of the back end that it belongs to.
+/// Distance from the back end's initial sequence number within which a caller's
+/// acknowledgement number belongs to the same connection, in bytes.
 const SEQUENCE_WINDOW: u32 = 1 << 22;
-/// Most flows that are remembered. More would be a flood, or need more
-/// balancers.
+/// Maximum number of cached flows. More than this is a flood, or needs more balancers.
 const MAX_HINTS: usize = 1 << 19;
-/// A flow that its caller has ended, or never opened, is forgotten after this.
+/// Idle time after which a flow without an owner, or one closed by its caller, is forgotten.
 const ENDED_LIMIT: Duration = Duration::from_secs(3);
 
-/// How an agent answered the opening packet of a flow.
+/// State of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferState {
     Pending,
-    /// The flow waits there for a place.
+    /// The flow is in the agent's admission queue.
     Queued,
     TimedOut,
     Accepted {
@@ -31,22 +30,22 @@
     Declined,
 }
 
-/// An agent that was asked to take a flow.
+/// An offer of a new flow to an agent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer {
     pub(crate) agent: SocketAddrV4,
     pub(crate) state: OfferState,
-    /// When it was asked; none if it answered unasked.
+    /// Time of the offer; none if the agent replied without one.
     pub(crate) offered_at: Option<Timestamp>,
 }
 
-/// How often agents were asked to take a flow, and what they answered.
+/// Number of a flow's offers, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OfferCounts {
     pub(crate) offered: u32,
-    /// Declined because they had no room.
+    /// Declined because all slots were taken.
     pub(crate) full: u32,
-    /// Did not answer in time.
+    /// Not replied to in time.
     pub(crate) timed_out: u32,
     /// Declined for another reason.
     pub(crate) other: u32,
@@ -67,21 +66,21 @@
     }
 }
 
-/// What is known of one flow.
+/// Cached state of a flow.
 #[derive(Debug)]
 pub(crate) struct CachedFlow {
     pub(crate) service: u64,
     pub(crate) offers: Vec<Offer>,
     pub(crate) offer_counts: OfferCounts,
-    /// The opening packet, as long as nobody has accepted it.
+    /// The SYN, until a back end has accepted it.
     pub(crate) syn: Option<Vec<u8>>,
     pub(crate) owner: Option<SocketAddrV4>,
-    /// Whether full agents were asked to queue it.
+    /// Whether the flow is offered to full agents, which may queue it.
     pub(crate) offered_to_queue: bool,
-    /// How long the caller had waited, at least, when its first packet came here.
+    /// Minimum time since the first SYN when the flow's first packet arrived here.
     pub(crate) syn_age: Duration,
     pub(crate) closed: bool,
-    /// The owner was suspected at the latest packet.
+    /// Whether the owner was suspected at the latest packet.
     pub(crate) stalled: bool,
     pub(crate) created_at: Timestamp,
     pub(crate) last_used_at: Timestamp,
@@ -112,8 +111,8 @@
         self.offers.iter().any(|it| it.agent == agent)
     }
 
-    /// How many agents were asked that have answered, or still may in time: the silence of
-    /// the others says nothing of the room that there is.
+    /// Number of offers that were replied to, or whose reply may still arrive in time. An agent
+    /// that didn't reply in time gives no information about its capacity.
     pub(crate) fn replied_offers(&self) -> usize {
         let is_heard = |it: &&Offer| it.state != OfferState::TimedOut;
         self.offers.iter().filter(is_heard).count()
@@ -124,13 +123,13 @@
         self.offers.iter().find(accepted).map(|it| it.agent)
     }
 
-    /// Whether an answer to the opening packet is expected. A late one is not.
+    /// Whether a reply to an offer is expected, other than a late one.
     pub(crate) fn awaits_reply(&self) -> bool {
         let awaited = |it: &Offer| matches!(it.state, OfferState::Pending | OfferState::Queued);
         self.offers.iter().any(awaited)
     }
 
-    /// Whether it waits for a place at an agent.
+    /// Whether the flow is in an agent's admission queue.
     pub(crate) fn is_queued(&self) -> bool {
         let waits = |it: &Offer| it.state == OfferState::Queued;
         self.offers.iter().any(waits)
@@ -147,7 +146,7 @@
         self.offers.iter().find(matches).map(|it| it.agent)
     }
 
-    /// The only agent that can have the flow, if there is only one.
+    /// The agent whose back end may own the flow, if there is only one.
     pub(crate) fn sole_offer(&self) -> Option<SocketAddrV4> {
         let mut possible = self
             .offers
@@ -158,7 +157,7 @@
     }
 }
 
-/// All hints of a balancer.
+/// All cached flows of a balancer.
 #[derive(Debug, Default)]
 pub(crate) struct FlowCache {
     hints: HashMap<FlowId, CachedFlow>,
@@ -186,13 +185,12 @@
         self.hints.len()
     }
 
-    /// Whether no more flows can be remembered.
+    /// Whether no more flows can be cached.
     pub(crate) fn is_full(&self) -> bool {
         self.hints.len() >= MAX_HINTS
     }
 
-    /// Forgets flows that are over or never opened, and those that rested for
-    /// `idle_limit`.
+    /// Forgets closed flows, flows without an owner, and flows that were idle for `idle_limit`.
     pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
         self.hints.retain(|_, hint| {
             let rest = now.saturating_since(hint.last_used_at);
--- a/crates/petrellatch-core/src/pass_through/flows/flow_demand.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_demand.rs
@@ -1,14 +1,14 @@
-//! How much of a back end the open flows need.
+//! Mean number of slots that the open flows of a back end keep busy.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Seconds until a change of the load counts for 63 % in the demand: longer than
-/// callers pause between two requests, and short beside the time that flows live.
+/// Time after which a change of the load counts for 63 % in the mean: longer than callers
+/// pause between two requests, and short compared with the lifetime of flows.
 const MEMORY: Duration = Duration::from_secs(3);
 
-/// Busy slots in the mean of the last seconds.
+/// Exponentially weighted mean of the number of busy slots.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FlowDemand {
     mean: f64,
@@ -17,14 +17,14 @@
 }
 
 impl FlowDemand {
-    /// Notes that so many slots are busy from now on.
+    /// Sets the number of slots that are busy from now on.
     pub(crate) fn note_busy(&mut self, now: Timestamp, slots: u32) {
         self.mean = self.mean_at(now);
         self.slots = slots;
         self.noted_at = Some(now);
     }
 
-    /// The demand, in thousandths of a slot.
+    /// The mean, in thousandths of a slot.
     pub(crate) fn millislots(&self, now: Timestamp) -> u32 {
         (self.mean_at(now) * 1_000.0).round() as u32
     }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
@@ -1,4 +1,4 @@
-//! Asks replicas for the flows of an agent's former life.
+//! Recovery of the flow record of an agent's previous incarnation from the replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -9,41 +9,41 @@
 use super::recorded_flow::{PreviousFlowRecord, from_columns};
 use crate::time::Timestamp;
 
-/// Between two questions to a replica that has not answered, in the first seconds.
+/// Interval between requests to a replica that hasn't responded, in the initial period.
 const ASK_INTERVAL: Duration = Duration::from_millis(100);
 const FIRST_SECONDS: Duration = Duration::from_secs(3);
-/// The same later: replicas that take long to start must not be flooded.
+/// The interval after the initial period. It is longer so as not to flood replicas that
+/// take long to start.
 const LATE_ASK_INTERVAL: Duration = Duration::from_millis(500);
-/// After the first whole record others that may be newer are waited for.
+/// After the first complete record, time to wait for others that may be newer.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// So long replicas that are not known yet may be told of, if those that are known have
-/// no record.
+/// If the known replicas have no record, time to wait for further replicas to become known.
 const LEARNING_TIME: Duration = Duration::from_secs(1);
-/// Replicas that do not answer are waited for after the first answer of another one.
+/// After the first response, time to wait for replicas that haven't responded.
 const SILENCE_LIMIT: Duration = Duration::from_secs(3);
-/// The end if nobody answers.
+/// Total time after which the recovery ends, also without any response.
 const RECALL_LIMIT: Duration = Duration::from_secs(30);
-/// The most parts of a record: what is larger is no record that an agent made.
+/// Maximum number of parts of a record. Agents don't create larger ones.
 const MAX_PARTS: u32 = 1_024;
 
-/// How a recall ended.
+/// Outcome of a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryOutcome {
     /// A replica had a record.
     Recalled,
-    /// Replicas answered, and none had a record.
+    /// Replicas responded, but none had a record.
     NoRecord,
-    /// No replica answered.
+    /// No replica responded.
     Unanswered,
 }
 
-/// The end of a recall.
+/// Result of a recovery.
 #[derive(Debug)]
 pub(crate) struct RecoveryEnd {
     pub(crate) outcome: RecoveryOutcome,
-    /// Number of the record.
+    /// Revision of the record; zero if there was none.
     pub(crate) revision: u64,
-    /// Flows in it.
+    /// Number of flows in the record.
     pub(crate) flows: usize,
 }
 
@@ -56,7 +56,7 @@
     Complete,
 }
 
-/// The state machine.
+/// State machine of a recovery.
 #[derive(Debug)]
 pub(crate) struct FlowRecordRecovery {
     started_at: Timestamp,
@@ -65,7 +65,7 @@
     first_record_at: Option<Timestamp>,
     answers: BTreeMap<SocketAddrV4, Answer>,
     best: Option<(u64, PreviousFlowRecord)>,
-    /// Number of the record that was handed over last.
+    /// Revision that [`FlowRecordRecovery::take_newer`] returned last.
     handed_over: u64,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Replicas to ask, if that is due.
+    /// Replicas to send requests to now.
     pub(crate) fn poll_requests(
         &mut self,
         now: Timestamp,
@@ -105,7 +105,7 @@
         self.ask_at
     }
 
-    /// Takes an answer to a question of this life.
+    /// Handles a response to a request of this incarnation.
     pub(crate) fn handle_response(
         &mut self,
         now: Timestamp,
@@ -147,8 +147,8 @@
         }
     }
 
-    /// The newest record so far, if it is newer than the one that was handed over before:
-    /// whoever waits for it need not wait for the end.
+    /// The newest record so far, if it is newer than the one returned before. The agent can use
+    /// it before the recovery ends.
     pub(crate) fn take_newer(&mut self) -> Option<PreviousFlowRecord> {
         let (number, record) = self.best.as_ref()?;
         if *number <= self.handed_over {
@@ -162,7 +162,7 @@
         matches!(self.answers.get(address), Some(Answer::Complete))
     }
 
-    /// What came of it, once it is over. `known` are the replicas that may answer.
+    /// The result, once the recovery has ended. `known` are the replicas that may respond.
     pub(crate) fn poll_end(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -1,5 +1,4 @@
-//! Which open flows of an agent are recorded at replicas, and what each of these has
-//! still to be told.
+//! Keeps the flow record of an agent at its record replicas up to date.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -13,43 +12,46 @@
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
-/// Packets that show whether the life of a back end is over: all must come back, so one
-/// more than that shortens the proof by little, and one alone may get lost.
+/// Number of probe packets in the record. All of them must be returned to show that a back
+/// end incarnation has ended: a fourth would shorten the restart probe little, and a single
+/// one may get lost.
 const WITNESSES: usize = 3;
-/// An acknowledgement that moved on by this is told: a caller takes a reset within its
-/// window, and half of the smallest usual one is left for what is under way.
+/// A flow is sent again once its acknowledgement has advanced by this many bytes. A caller
+/// accepts a reset within its receive window, and this leaves half of the smallest usual
+/// window for data in flight.
 const RENEWAL_BYTES: u32 = 2 * ACKNOWLEDGED_STEP_BYTES;
-/// Flows in one part of a change: with all columns at their longest a part stays below
+/// Flows per part of a change. With the longest encoding of all columns, a part stays below
 /// [`petrellatch_proto::pass_through::MAX_PART_BYTES`].
 const FLOWS_PER_PART: usize = 170;
-/// What a keeper is sent in a second, in bytes, so that a whole record leaves room on
-/// thin links.
+/// Rate limit of changes to one record replica, in bytes per second, so that a complete
+/// record leaves bandwidth on slow links.
 const BYTES_PER_SECOND: usize = 3 * 1024;
-/// A change that a keeper has not acknowledged is made anew after this, and then after
-/// twice as long each time, up to the limit.
+/// Delay after which an unacknowledged change is built and sent again. It doubles with each
+/// attempt, up to `MAX_RESEND`.
 const FIRST_RESEND: Duration = Duration::from_millis(500);
 const MAX_RESEND: Duration = Duration::from_secs(8);
-/// A keeper that has the newest record is asked so often whether it still does: one that
-/// was replaced by an empty machine does not know that it lacks a record, and one that is
-/// no keeper any more notices that nobody asks.
+/// Interval of checks whether a record replica still has the newest record. A replica that
+/// was replaced by an empty machine doesn't know that it lacks the record, and a replica
+/// that no longer keeps the record notices that the checks stop.
 const CHECK_INTERVAL: Duration = Duration::from_secs(20);
-/// A keeper without room is asked again after this, and then after twice as long each time,
-/// up to the limit: where many agents find no room, their tries must cost little.
+/// Delay after which the record is sent again to a record replica without capacity. It
+/// doubles with each attempt, up to `MAX_FULL_RETRY`: where many agents find no capacity,
+/// their retries must cost little.
 const FULL_RETRY: Duration = Duration::from_secs(10);
 const MAX_FULL_RETRY: Duration = Duration::from_secs(320);
-/// Ends of flows that are remembered for keepers which have missed them. One that has
-/// missed more is told the whole record.
+/// Closed flows that are kept for record replicas that missed their removal. A replica that
+/// missed more is sent the complete record.
 const MAX_ENDS: usize = 4_096;
 
-/// Settings of the record of open flows at an agent.
+/// Settings of an agent's flow record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlowRecordSettings {
-    /// Flows that have been open for so long are recorded; none if it is zero. Shorter
-    /// ones end before their record is written.
+    /// Minimum age of recorded flows; zero disables the record. Shorter flows would end before
+    /// their record is written.
     pub min_flow_age: Duration,
-    /// The most flows that are recorded.
+    /// Maximum number of recorded flows.
     pub max_flows: usize,
-    /// Replicas that keep the record.
+    /// Number of replicas that keep the record.
     pub record_replicas: usize,
 }
 
@@ -63,59 +65,59 @@
     }
 }
 
-/// What an agent has recorded, as numbers.
+/// Statistics of an agent's flow record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FlowRecorderStats {
-    /// Flows that are recorded.
+    /// Number of recorded flows.
     pub recorded: usize,
-    /// Flows that are old enough, but beyond the most that are recorded.
+    /// Number of flows that are old enough but exceed [`FlowRecordSettings::max_flows`].
     pub over_limit: usize,
-    /// Keepers that have not acknowledged the newest record.
+    /// Number of record replicas that haven't acknowledged the newest revision.
     pub unacknowledged: usize,
-    /// Keepers that have no room.
+    /// Number of record replicas without capacity for the record.
     pub full_replicas: usize,
 }
 
 #[derive(Debug)]
 struct Recorded {
     flow: RecordedFlow,
-    /// Number of the record that it is in since it was last changed.
+    /// Revision in which the flow was last changed.
     number: u64,
 }
 
-/// What one replica has been told.
+/// State of one record replica.
 #[derive(Debug, Default)]
 struct Keeper {
-    /// The record that it has; zero for none.
+    /// Revision that it has acknowledged; zero for none.
     kept: u64,
-    /// Parts under way.
+    /// Parts of a change that are still to be sent.
     parts: VecDeque<FlowRecordChange>,
-    /// Nothing is sent before.
+    /// Earliest time of the next message.
     next_at: Timestamp,
-    /// What was sent counts as lost from then on.
+    /// Time from which the sent change counts as lost.
     resend_at: Timestamp,
     resends: u32,
-    /// When it is asked whether it still has the newest record.
+    /// Time of the next check whether it still has the newest revision.
     check_at: Timestamp,
     is_full: bool,
-    /// How often it said so in a row.
+    /// Number of consecutive refusals.
     refusals: u32,
 }
 
-/// The state machine.
+/// State machine that sends an agent's flow record to its record replicas.
 #[derive(Debug)]
 pub(crate) struct FlowRecorder {
     settings: FlowRecordSettings,
     number: u64,
-    /// Whether this life has had anything to record. Until then there is nothing to tell,
-    /// and what is kept of a former life stays.
+    /// Whether this incarnation has had anything to record. Until then nothing is sent, so that
+    /// the record of the previous incarnation stays.
     has_record: bool,
     backend: u64,
     recorded: HashMap<FlowId, Recorded>,
     beyond_limit: usize,
-    /// Flows that ended, with the numbers of the records that lack them, in that order.
+    /// Closed flows with the revisions that removed them, in that order.
     ended: VecDeque<(u64, FlowId)>,
-    /// Keepers of an older record are told the whole.
+    /// A replica with an older revision is sent the complete record.
     ends_since: u64,
     witnesses: BTreeMap<FlowId, Vec<u8>>,
     witness_number: u64,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Goes on above the number of a former life's record.
+    /// Continues above the revision of the previous incarnation's record.
     pub(crate) fn continue_from(&mut self, number: u64) {
         if number >= self.number {
             self.number = number;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Replaces the replicas that keep the record. A new one is told the whole.
+    /// Sets the replicas that keep the record. A new one is sent the complete record.
     pub(crate) fn set_record_replicas(&mut self, keepers: BTreeSet<SocketAddrV4>) {
         self.keepers.retain(|address, _| keepers.contains(address));
         for address in keepers {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Compares the flows with the record. What differs makes the next record.
+    /// Compares the flows with the record, and creates a new revision if they differ.
     pub(crate) fn note_flows(&mut self, now: Timestamp, backend: u64, flows: &AgentFlows) {
         if self.settings.min_flow_age.is_zero() {
             return;
@@ -220,8 +222,8 @@
         changed
     }
 
-    /// Finds witnesses in place of those whose flows ended, first among flows that rest:
-    /// they are the ones that stay.
+    /// Replaces the probe packets of closed flows. Prefers the flows that have been idle
+    /// longest, since these tend to stay open.
     fn choose_witnesses(&mut self, number: u64, flows: &AgentFlows) -> bool {
         let recorded = &self.recorded;
         let before = self.witnesses.len();
@@ -249,7 +251,7 @@
         changed
     }
 
-    /// Forgets ends that all keepers know, and the oldest beyond a limit.
+    /// Forgets closed flows that all replicas have removed, and the oldest ones above the limit.
     fn forget_ends(&mut self) {
         let kept_by_all = self.keepers.values().map(|keeper| keeper.kept).min();
         let kept_by_all = kept_by_all.unwrap_or(self.number);
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Takes what a keeper says that it has.
+    /// Handles a replica's acknowledgement.
     pub(crate) fn handle_ack(
         &mut self,
         now: Timestamp,
@@ -270,7 +272,7 @@
         kept: &FlowRecordAck,
     ) {
         if kept.incarnation != own_life {
-            // It has a record of another life under a number that is as high.
+            // The replica may have another incarnation's record with a revision that isn't lower.
             self.continue_above(kept.revision);
         }
         let newest = self.number;
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Messages that are due, one a keeper at most.
+    /// Messages to send now, at most one per replica.
     pub(crate) fn poll_messages(
         &mut self,
         now: Timestamp,
@@ -358,7 +360,7 @@
         Some(part)
     }
 
-    /// The parts of what leads from a record that a keeper has to the newest one.
+    /// Parts of the change from a replica's revision to the newest one.
     fn change_since(&self, kept: u64, agent: u64, life: u64) -> VecDeque<FlowRecordChange> {
         let lost_witnesses = self.witnesses.is_empty() && self.witness_number > kept;
         let needs_whole = kept < self.ends_since || lost_witnesses;
@@ -392,8 +394,8 @@
         (0..parts).map(part).collect()
     }
 
-    /// All witnesses, if one has changed: a replica replaces all that it has. That of a flow
-    /// which has ended must not stay: a back end that lives returns it.
+    /// All probe packets, if any has changed: a replica replaces all that it has. The packet of
+    /// a closed flow must not stay, since a back end returns it although it hasn't restarted.
     fn witnesses_since(&self, base: u64) -> Vec<Vec<u8>> {
         match self.witness_number > base {
             true => self.witnesses.values().cloned().collect(),
@@ -402,8 +404,9 @@
     }
 }
 
-/// A flow as it is told. Where this life has not seen the first sequence number, what the
-/// caller acknowledged first stands for it: later packets are ahead of both.
+/// A flow as it is recorded. If this incarnation hasn't seen the back end's initial sequence
+/// number, the caller's first acknowledgement number takes its place: later packets are
+/// ahead of both.
 fn recorded_flow(
     id: FlowId,
     flow: &AgentFlow,
@@ -420,7 +423,7 @@
     })
 }
 
-/// Whether a flow differs so much from its record that it is told anew.
+/// Whether a flow differs so much from its record that it is sent again.
 fn is_renewed(known: &RecordedFlow, flow: &RecordedFlow) -> bool {
     let ahead = flow.acknowledged.wrapping_sub(known.acknowledged);
     let has_moved = (RENEWAL_BYTES..1 << 31).contains(&ahead);
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -1,13 +1,12 @@
-//! The search for the agent whose back end has a flow that the balancer does
-//! not know.
+//! Search for the agent whose back end owns a flow that the balancer doesn't know.
 //!
-//! A flow is open at one back end only, and packets that reach others are a
-//! fault. So the agents are asked first: those of the service that the route names
-//! now, if there are many, and then the others, since an open flow stays where it
-//! is when its route moves. Those that may have forgotten flows get the packet only
-//! if the flow's own agent is certainly among them: all agents have answered, and
-//! all get it at the same moment. A flow is given up, and its caller told, once
-//! every back end is known not to have it.
+//! Only one back end owns a flow, and its packets must not reach others. So the balancer
+//! queries the agents first: those of the service that the route currently names, if there
+//! are many, and then the others, since an open flow stays at its back end when its route
+//! changes. Agents that may have lost their flow state get a packet as a speculative
+//! delivery, but only if the owner is certainly among them: all agents have replied, and
+//! all of these get the packet at the same time. A flow is orphaned, and its caller is sent
+//! a reset, once every back end is known not to own it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -19,37 +18,38 @@
 
 use crate::pass_through::packet::PacketView;
 
-/// Packets of one flow that wait; a caller has so many under way.
+/// Maximum number of buffered packets of one flow; a caller has this many in flight.
 const MAX_WAITING: usize = 16;
-/// Back ends that may get a packet of a flow while its own agent is missing.
+/// Maximum number of speculative deliveries of a flow while some agents haven't replied, so
+/// that the owner may be among those.
 const MAX_STRANGERS: usize = 2;
-/// Agents that have not answered by then are missing.
+/// Duration of a round. Agents that haven't replied by then count as missing.
 pub(super) const QUERY_ROUND: Duration = Duration::from_millis(60);
-/// The time between two rounds doubles so often at most.
+/// Maximum number of times that the interval between rounds doubles.
 const MAX_ROUND_DOUBLINGS: u32 = 3;
-/// A search for a flow that its caller has ended waits for so many rounds for a whole
-/// directory. Its back end may wait for the end; if it is not found, the caller says the
-/// end again.
+/// Number of rounds for which the search for a flow closed by its caller waits for a
+/// complete directory. Its back end may wait for the FIN; if the owner isn't found, the
+/// caller retransmits the FIN.
 const ENDED_ROUNDS: u32 = 3;
-/// Agents that are missing and named in the log.
+/// Maximum number of missing agents that are named in the log.
 const MAX_NAMED: usize = 3;
-/// A search whose caller was silent for so long is over.
+/// A search ends when its caller has been silent for this time.
 const SEARCH_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// What one agent said of a flow.
+/// Reply of one agent for a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SearchAnswer {
-    /// It was asked and has not answered.
+    /// Queried, no reply yet.
     Missing,
-    /// Its back end may have the flow.
+    /// Its back end may own the flow.
     Uncertain,
-    /// Its back end got a packet.
+    /// Its back end got a speculative delivery.
     Tried,
-    /// Its back end does not have the flow.
+    /// Its back end doesn't own the flow.
     Lacks,
 }
 
-/// An agent as a search sees it.
+/// An agent that was queried.
 #[derive(Clone, Copy, Debug)]
 struct AskedAgent {
     answer: SearchAnswer,
@@ -59,73 +59,72 @@
     has_backend: bool,
 }
 
-/// An agent that may be asked for flows.
+/// An agent that may be queried.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SearchTarget {
     pub(crate) address: SocketAddrV4,
-    /// Whether it answers questions, and has heard of its back end in its
-    /// present life. Otherwise its back end is taken for gone if it does not
-    /// answer.
+    /// Whether the agent replies to queries and has received packets or a registration of its
+    /// back end since it started. Otherwise a missing reply means that its back end is gone.
     pub(crate) is_expected: bool,
-    /// Whether it has heard of its back end in its present life. As long as
-    /// replicas hear of it and it has not answered, no flow is given up.
+    /// Whether the agent has received packets or a registration of its back end since it
+    /// started. While replicas receive its reports and it hasn't replied, no flow is given up.
     pub(crate) has_backend: bool,
 }
 
-/// What to do next for a flow.
+/// Next step of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum SearchStep {
-    /// Nothing yet.
+    /// Nothing to do yet.
     Wait,
-    /// Ask the agents of other services as well.
+    /// Query the agents of other services as well.
     QueryAll,
-    /// Hand the waiting packets to these agents, all at once.
+    /// Deliver the packet speculatively through these agents, all at once.
     DeliverSpeculatively(Vec<SocketAddrV4>),
-    /// No back end has the flow.
+    /// No back end owns the flow.
     Orphaned,
-    /// Its caller has ended the flow, and nobody who answers has it: nobody waits to be
-    /// told.
+    /// The caller has closed the flow, and no agent that replies owns it. The caller awaits no
+    /// reset.
     CallerClosed,
 }
 
-/// Whom a search asks.
+/// Agents that a search queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SearchScope {
-    /// The agents of one service, which have most of the flows that are sought.
+    /// The agents of one service, which own most of the searched flows.
     Service,
-    /// All from the next round on.
+    /// All agents, from the next round on.
     AllNext,
-    /// All have been asked: what they say is the whole truth.
+    /// All agents. Their replies are conclusive.
     All,
 }
 
-/// The search for one flow.
+/// Search for one flow.
 #[derive(Debug)]
 pub(crate) struct FlowSearch {
-    /// The service that is asked first.
+    /// Service whose agents are queried first.
     service: u64,
     scope: SearchScope,
-    /// What its caller acknowledged last.
+    /// Latest acknowledgement number of the caller.
     acknowledged: u32,
-    /// Packets that wait, the oldest first.
+    /// Buffered packets, oldest first.
     waiting: VecDeque<Vec<u8>>,
-    /// The caller has sent data and waits for an answer.
+    /// Whether the caller has sent data and awaits a response.
     awaits_answer: bool,
-    /// The caller has ended the flow.
+    /// Whether the caller has closed the flow.
     ended: bool,
     started_at: Timestamp,
     packet_at: Timestamp,
     rounds: u32,
-    /// When the round began.
+    /// Start of the latest round.
     pub(super) asked_at: Timestamp,
-    /// How many agents the directory had got by then.
+    /// Total number of agents that the directory had added by then.
     asked_of: u64,
-    /// When the next round begins.
+    /// Start of the next round.
     pub(super) due_at: Timestamp,
     agents: BTreeMap<SocketAddrV4, AskedAgent>,
-    /// Packets that were handed to back ends to try.
+    /// Number of speculative deliveries.
     tries: usize,
-    /// The oldest packet that waits was tried.
+    /// Whether the oldest buffered packet was delivered speculatively.
     first_is_tried: bool,
 }
 
@@ -154,19 +153,19 @@
         self.service
     }
 
-    /// Whether agents of other services are asked as well.
+    /// Whether agents of other services are queried as well.
     pub(crate) fn queries_all(&self) -> bool {
         self.scope != SearchScope::Service
     }
 
-    /// Lets the next round go to the agents of all services.
+    /// Makes the next round query the agents of all services.
     pub(crate) fn query_all(&mut self) {
         if self.scope == SearchScope::Service {
             self.scope = SearchScope::AllNext;
         }
     }
 
-    /// How many agents the directory had got when the round began.
+    /// Total number of agents that the directory had added when the latest round began.
     pub(crate) fn agents_known_when_queried(&self) -> u64 {
         self.asked_of
     }
@@ -180,7 +179,7 @@
         !self.waiting.is_empty()
     }
 
-    /// Whether the caller waits for an answer, and has not ended the flow.
+    /// Whether the caller awaits a response and hasn't closed the flow.
     pub(crate) fn caller_awaits_response(&self) -> bool {
         self.awaits_answer && !self.ended
     }
@@ -193,13 +192,13 @@
         self.started_at
     }
 
-    /// The packet to try: the oldest one that waits.
+    /// Packet for speculative deliveries: the oldest buffered one.
     pub(crate) fn packet_to_deliver(&self) -> Option<&Vec<u8>> {
         self.waiting.front()
     }
 
-    /// The packets that wait and were not tried. The one that was tried has
-    /// reached the back end if the flow was found by it.
+    /// Buffered packets that weren't delivered. The one that was delivered speculatively has
+    /// reached the back end, if the owner was found by it.
     pub(crate) fn into_undelivered(mut self) -> VecDeque<Vec<u8>> {
         if self.first_is_tried {
             self.waiting.pop_front();
@@ -223,7 +222,7 @@
         self.waiting.push_back(packet.to_vec());
     }
 
-    /// Notes that the back end beside an agent returned a packet of the flow.
+    /// Records that the back end of an agent returned a packet of the flow.
     pub(super) fn note_returned(
         &mut self,
         now: Timestamp,
@@ -241,7 +240,7 @@
         self.agents.insert(agent, known);
     }
 
-    /// Those of `agents` that have not said that they lack the flow.
+    /// Those of `agents` that haven't replied that they don't own the flow.
     pub(super) fn undecided(&self, agents: &[SearchTarget]) -> Vec<SocketAddrV4> {
         let lacks = |agent: &&SearchTarget| {
             let known = self.agents.get(&agent.address);
@@ -251,9 +250,9 @@
         unsettled.map(|agent| agent.address).collect()
     }
 
-    /// Begins a round. Returns whom to ask of `agents`: those that have not said
-    /// that they lack the flow. That a back end lacks an open flow stays true.
-    /// `added` is how many agents the directory has got so far.
+    /// Begins a round. Returns which of `agents` to query: those that haven't replied that they
+    /// don't own the flow, since that reply stays true for an open flow. `total_added` is the
+    /// total number of agents that the directory has added.
     pub(crate) fn begin_round(
         &mut self,
         now: Timestamp,
@@ -296,8 +295,8 @@
         }
     }
 
-    /// What to do now. `whole_directory` says whether the balancer knew every agent
-    /// that runs when the round began.
+    /// Returns the next step. `directory_is_complete` says whether the balancer knew every
+    /// running agent when the round began.
     pub(crate) fn next_step(&mut self, now: Timestamp, whole_directory: bool) -> SearchStep {
         if self.rounds == 0 {
             return SearchStep::Wait;
@@ -336,7 +335,7 @@
         }
     }
 
-    /// Whether nobody who answers has a flow that its caller has ended.
+    /// Whether no agent that replies owns a flow that its caller has closed.
     fn is_end_settled(&self, whole_directory: bool) -> bool {
         let has_waited = whole_directory || self.rounds >= ENDED_ROUNDS;
         let some_lack = self.count(SearchAnswer::Lacks) > 0;
@@ -344,26 +343,26 @@
         has_waited && some_lack && none_tried && self.most_have_answered()
     }
 
-    /// How many agents have given this answer.
+    /// Number of agents with this reply.
     fn count(&self, answer: SearchAnswer) -> usize {
         let agents = self.agents.values();
         agents.filter(|agent| agent.answer == answer).count()
     }
 
-    /// Whether an agent that has not answered may have the flow.
+    /// Whether an agent that hasn't replied may own the flow.
     fn may_be_at_silent_agent(&self) -> bool {
         let mut agents = self.agents.values();
         agents.any(|it| it.has_backend && it.answer == SearchAnswer::Missing)
     }
 
-    /// Whether more than half of the agents have answered. If not, it is the
-    /// balancer that does not hear them.
+    /// Whether more than half of the agents have replied. Otherwise the fault is likely to be on
+    /// the balancer's side.
     fn most_have_answered(&self) -> bool {
         let missing = self.count(SearchAnswer::Missing);
         missing * 2 < self.agents.len()
     }
 
-    /// Agents that have not answered and are expected to.
+    /// Number of agents that are expected to reply and haven't.
     fn expected(&self) -> usize {
         let is_awaited = |it: &&AskedAgent| it.is_expected && it.answer == SearchAnswer::Missing;
         self.agents.values().filter(is_awaited).count()
@@ -382,7 +381,7 @@
         tried
     }
 
-    /// What the agents said, for the log.
+    /// Replies of the agents, for the log.
     pub(crate) fn summary(&self) -> String {
         let missing = self.count(SearchAnswer::Missing);
         let uncertain = self.count(SearchAnswer::Uncertain);
@@ -396,7 +395,7 @@
         )
     }
 
-    /// The first agents that are missing: those that hold a verdict up before others.
+    /// Some of the missing agents, for the log. Those that can block a decision come first.
     fn missing_names(&self) -> String {
         let is_missing = |agent: &AskedAgent| agent.answer == SearchAnswer::Missing;
         let missing = self.agents.iter().filter(|(_, agent)| is_missing(agent));
@@ -410,13 +409,13 @@
         }
     }
 
-    /// What the caller waits for, for the log: without an answer to wait for,
-    /// or once it has ended the flow, nobody is told that the flow is gone.
+    /// State of the caller, for the log. A caller that awaits no response, or that has closed
+    /// the flow, is sent no reset for an orphaned flow.
     pub(crate) fn caller_summary(&self) -> String {
         format!("awaits={} ended={}", self.awaits_answer, self.ended)
     }
 
-    /// Whether the caller has been silent for so long that it gave up.
+    /// Whether the caller has been silent for so long that it has given up.
     pub(crate) fn has_timed_out(&self, now: Timestamp) -> bool {
         now.saturating_since(self.packet_at) >= SEARCH_LIMIT
     }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
@@ -1,5 +1,5 @@
-//! All searches of a balancer: which flows are sought, and when agents are asked for
-//! them. Flows are gathered, so that one message asks for many.
+//! All flow searches of a balancer, and the times of their queries. Queries are batched, so
+//! that one message covers many flows.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -12,9 +12,9 @@
 use super::flow_search::{FlowSearch, QUERY_ROUND, SearchTarget};
 use crate::pass_through::packet::{FlowId, PacketView};
 
-/// Flows that are sought at once. More are not sought: their callers repeat.
+/// Maximum number of concurrent searches. Further ones aren't started: callers retransmit.
 const MAX_SEARCHES: usize = 8_192;
-/// How long flows are gathered, so that one message asks for many.
+/// How long flows are batched, so that one message covers many.
 const GATHERING: Duration = Duration::from_millis(3);
 
 /// All searches of a balancer.
@@ -23,15 +23,14 @@
     searches: HashMap<FlowId, FlowSearch>,
     /// Flows with the ends of their rounds.
     due: BTreeSet<(Timestamp, FlowId)>,
-    /// Flows whose round begins with the next questions.
+    /// Flows whose round begins with the next queries.
     unasked: Vec<FlowId>,
-    /// Before this no questions go out. Flows are gathered for them.
+    /// Earliest time of the next queries; until then flows are batched.
     ask_at: Timestamp,
 }
 
 impl FlowSearches {
-    /// Notes a packet of a flow that is not known. Returns whether its search
-    /// begins with it.
+    /// Adds a packet of an unknown flow. Returns whether its search begins with it.
     pub(crate) fn note_packet(
         &mut self,
         now: Timestamp,
@@ -47,13 +46,13 @@
         let is_settled = now.saturating_since(search.asked_at) >= QUERY_ROUND;
         let due = (search.due_at, flow);
         if !is_new && is_settled && self.due.remove(&due) {
-            // The caller still waits.
+            // The caller has sent again, so the next round begins early.
             self.unasked.push(flow);
         }
         is_new
     }
 
-    /// Notes that a back end returned a packet of a flow.
+    /// Records that a back end returned a packet of a flow.
     pub(crate) fn note_returned(
         &mut self,
         now: Timestamp,
@@ -87,12 +86,13 @@
         self.searches.get_mut(&flow)
     }
 
-    /// All flows that are sought, in order.
+    /// All searched flows, in order.
     pub(crate) fn flows(&self) -> BTreeSet<FlowId> {
         self.searches.keys().copied().collect()
     }
 
-    /// Lets the next round of a flow begin now, unless it is about to.
+    /// Begins the next round of a flow with the next queries, unless it is already queued for
+    /// them.
     pub(crate) fn query_now(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get(&flow) else {
             return;
@@ -112,15 +112,14 @@
         Some(search)
     }
 
-    /// When something is due.
+    /// Time of the next queries or of the next end of a round.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         let round_end = self.due.first().map(|(due_at, _)| *due_at);
         let ask_at = (!self.unasked.is_empty()).then_some(self.ask_at);
         ask_at.into_iter().chain(round_end).min()
     }
 
-    /// The flows whose rounds have ended. They are asked for again unless they
-    /// are removed.
+    /// Takes the flows whose rounds have ended. They are queried again unless they are removed.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<FlowId> {
         let mut due = Vec::new();
         while let Some((due_at, flow)) = self.due.first().copied()
@@ -132,12 +131,12 @@
         due
     }
 
-    /// Lets the next round of a flow begin.
+    /// Begins the next round of a flow with the next queries.
     pub(crate) fn query_again(&mut self, flow: FlowId) {
         self.unasked.push(flow);
     }
 
-    /// Lets the next round of a flow begin now, with the agents of all services.
+    /// Begins the next round of a flow with the next queries, for the agents of all services.
     pub(crate) fn query_all(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get_mut(&flow) else {
             return;
@@ -148,7 +147,7 @@
         }
     }
 
-    /// The flows to ask for now, if questions are due.
+    /// Takes the flows to query now, if queries are due.
     pub(crate) fn take_unqueried(&mut self, now: Timestamp) -> Vec<FlowId> {
         if now < self.ask_at || self.unasked.is_empty() {
             return Vec::new();
@@ -157,8 +156,8 @@
         std::mem::take(&mut self.unasked)
     }
 
-    /// Begins a round of one flow, unless `take_budget` does not allow to ask its
-    /// agents. Returns whom to ask.
+    /// Begins a round of one flow, unless `try_spend` denies the budget to query its agents.
+    /// Returns the agents to query.
     pub(crate) fn begin_round(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/flows/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/mod.rs
@@ -1,5 +1,5 @@
-//! The truth about flows: what agents and balancers remember of them, and how a
-//! balancer finds the back end of one that it does not know, or learns that none has it.
+//! State of flows at agents and balancers, and the search for the back end that owns a flow
+//! which the balancer doesn't know.
 
 pub(crate) mod agent_flows;
 pub(crate) mod agent_set;
--- a/crates/petrellatch-core/src/pass_through/flows/orphaned_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/orphaned_flows.rs
@@ -1,4 +1,4 @@
-//! Flows of lives of a back end that are over, until their callers know it.
+//! Orphaned flows of ended back end incarnations, until their callers are notified.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,22 +8,22 @@
 
 use super::recorded_flow::RecordedFlow;
 
-/// The callers that wait for nothing are told within this time, not all at once: they
-/// return to back ends that may be cold.
+/// Callers that await no response are notified over this time, not all at once, since they
+/// reconnect to back ends that may be cold.
 const TELLING_SPREAD: Duration = Duration::from_millis(400);
-/// Between two times at which some of them are told.
+/// Interval between two batches of notifications.
 const TELLING_INTERVAL: Duration = Duration::from_millis(20);
-/// Most flows that are remembered.
+/// Maximum number of stored flows.
 const MAX_GONE: usize = 1 << 16;
 
-/// Flows that are gone for certain.
+/// Flows that are certainly orphaned.
 #[derive(Debug, Default)]
 pub(crate) struct OrphanedFlows {
     flows: HashMap<FlowId, GoneFlow>,
-    /// Those whose callers are told at a pace.
+    /// Flows whose callers are notified gradually.
     untold: VecDeque<FlowId>,
     tell_at: Timestamp,
-    /// How many are told at a time.
+    /// Number of notifications per batch.
     share: usize,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl OrphanedFlows {
-    /// Notes that a flow is gone. Returns whether that is new, and remembered.
+    /// Adds an orphaned flow. Returns whether it is new and was stored.
     pub(crate) fn add(&mut self, now: Timestamp, flow: RecordedFlow) -> bool {
         if self.flows.len() >= MAX_GONE || self.contains(flow.id, flow.acknowledged) {
             return false;
@@ -56,31 +56,31 @@
         true
     }
 
-    /// Whether the flow of a packet that acknowledges `acknowledged` is gone.
+    /// Whether the flow of a packet with this acknowledgement number is orphaned.
     pub(crate) fn contains(&self, id: FlowId, acknowledged: u32) -> bool {
         let gone = self.flows.get(&id);
         gone.is_some_and(|gone| gone.flow.owns_ack(acknowledged))
     }
 
-    /// For how long it has been known that a flow is gone.
+    /// How long the flow has been known to be orphaned; zero if it isn't known.
     pub(crate) fn known_for(&self, now: Timestamp, id: FlowId) -> Duration {
         let known_at = self.flows.get(&id).map_or(now, |gone| gone.known_at);
         now.saturating_since(known_at)
     }
 
-    /// Notes that the caller of a flow is told, or has ended it.
+    /// Records that the caller of a flow was notified or has closed the flow.
     pub(crate) fn note_notified(&mut self, id: FlowId) {
         if let Some(gone) = self.flows.get_mut(&id) {
             gone.is_told = true;
         }
     }
 
-    /// Forgets a flow, as its caller opens another one under its address and port.
+    /// Forgets a flow whose caller opens a new one between the same endpoints.
     pub(crate) fn forget(&mut self, id: FlowId) {
         self.flows.remove(&id);
     }
 
-    /// The flows whose callers are to be told now.
+    /// Takes the flows whose callers are to be notified now.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<RecordedFlow> {
         if self.untold.is_empty() || now < self.tell_at {
             return Vec::new();
@@ -100,13 +100,13 @@
         due
     }
 
-    /// When [`OrphanedFlows::take_due`] has something.
+    /// When [`OrphanedFlows::take_due`] returns flows next.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         (!self.untold.is_empty()).then_some(self.tell_at)
     }
 
-    /// Forgets flows that are older than any may be. Until then a reset may have been
-    /// lost, and balancers may ask.
+    /// Forgets flows that have been known for `flow_ttl`, which no flow outlives. Until then a
+    /// reset may have been lost, and balancers may query the flow.
     pub(crate) fn expire(&mut self, now: Timestamp, lifetime: Duration) {
         let is_kept = |gone: &GoneFlow| now.saturating_since(gone.known_at) < lifetime;
         self.flows.retain(|_, gone| is_kept(gone));
--- a/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
@@ -1,21 +1,21 @@
-//! How many questions for unknown flows a balancer may ask.
+//! Rate limit of a balancer's flow queries.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// The part of a balancer's link, in percent, that questions may take. After a
-/// loss of power all callers repeat packets of flows that nobody has any more,
-/// while the link is needed to open others: at 2.1 Mbit/s, with 163 agents, half
-/// of the link went into questions and new flows were held up for two seconds.
+/// Part of a balancer's link that queries may use, in percent. After a power loss all
+/// callers retransmit packets of flows that no back end owns any more, while the link is
+/// needed for new flows: at 2.1 Mbit/s with 163 agents, queries took half of the link and
+/// delayed new flows by two seconds.
 const LINK_PERCENT: u64 = 10;
-/// Most bytes of questions a second, whatever the link: agents have to answer.
-/// It is what 1,000 questions to one agent each take.
+/// Limit of queries in bytes per second, whatever the link, since agents have to reply. It
+/// corresponds to 1,000 queries to one agent each.
 const MAX_BYTES_PER_SECOND: u64 = 76_000;
-/// Questions of so long may be asked at once after a rest.
+/// Capacity of the bucket, as the time in which it fills.
 const BURST: Duration = Duration::from_millis(500);
 
-/// A token bucket; one token is one byte of a question.
+/// Token bucket; one token is one byte of a query.
 #[derive(Debug)]
 pub(crate) struct QueryBudget {
     bytes_per_second: u64,
@@ -24,7 +24,7 @@
 }
 
 impl QueryBudget {
-    /// Starts with the tokens of a rest. The link's speed is in bytes a second.
+    /// Creates a full bucket. `link_bytes_per_second` is none if the link has no limit.
     pub(crate) fn new(now: Timestamp, link_bytes_per_second: Option<u64>) -> Self {
         let share = link_bytes_per_second.map(|bytes| bytes / 100 * LINK_PERCENT);
         let bytes_per_second =
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Takes a token for each of `bytes`, if there are so many. A question that
-    /// is larger than all tokens of a rest takes these.
+    /// Spends one token for each of `bytes`. Returns false if there are too few. A query larger
+    /// than the bucket takes a full bucket.
     pub(crate) fn try_spend(&mut self, now: Timestamp, bytes: usize) -> bool {
         self.refill(now);
         let burst = tokens_of(self.bytes_per_second, BURST);
--- a/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
@@ -1,4 +1,4 @@
-//! Flows that a former life of an agent or of its back end had.
+//! Flows of a previous incarnation of an agent or of its back end.
 
 use std::net::SocketAddrV4;
 
@@ -9,19 +9,19 @@
 use super::agent_flows::SEQUENCE_WINDOW;
 use crate::pass_through::packet::FlowId;
 
-/// An open flow as it is recorded.
+/// An open flow in a flow record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RecordedFlow {
     pub(crate) id: FlowId,
-    /// First sequence number of the back end.
+    /// Initial sequence number of the back end.
     pub(crate) sequence: u32,
-    /// What the caller had acknowledged, at least.
+    /// Lower bound of the caller's latest acknowledgement number.
     pub(crate) acknowledged: u32,
 }
 
 impl RecordedFlow {
-    /// Whether a packet with this acknowledgement belongs to the flow, and not to another one
-    /// under its address and port.
+    /// Whether a packet with this acknowledgement number belongs to the flow, and not to another
+    /// one between the same endpoints.
     pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
         let known = self.acknowledged.wrapping_sub(self.sequence);
         let ahead = acknowledged.wrapping_sub(self.sequence);
@@ -29,18 +29,18 @@
     }
 }
 
-/// The flows that one life of a back end had.
+/// Flows that one incarnation of a back end owned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PreviousFlowRecord {
-    /// Digest of that life; zero if it is not known.
+    /// Digest of that incarnation; zero if unknown.
     pub(crate) backend_incarnation: u64,
     pub(crate) flows: Vec<RecordedFlow>,
-    /// Packets of callers without data, of some of the flows: the back end returns them
-    /// once that life is over.
+    /// Data-less packets from callers of some of the flows. A back end returns them once that
+    /// incarnation has ended.
     pub(crate) probe_packets: Vec<Vec<u8>>,
 }
 
-/// Puts flows into columns.
+/// Encodes flows as columns.
 pub(crate) fn to_columns(flows: impl IntoIterator<Item = RecordedFlow>) -> FlowColumns {
     let mut columns = FlowColumns::default();
     for flow in flows {
@@ -61,7 +61,7 @@
     columns
 }
 
-/// Takes flows out of columns. Incomplete ones are left out.
+/// Decodes flows from columns, skipping incomplete ones.
 pub(crate) fn from_columns(columns: &FlowColumns) -> Vec<RecordedFlow> {
     let flow = |place: usize| {
         let route = *columns.route_indexes.get(place)?;
--- a/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -1,4 +1,4 @@
-//! A question for flows that one agent asks many others on behalf of a balancer.
+//! Flow queries that this agent relays to other agents for balancers.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -14,18 +14,18 @@
 use super::agent_set::AgentSet;
 use crate::pass_through::packet::FlowId;
 
-/// Answers are gathered for so long at first: agents of other zones answer
-/// within a few milliseconds, and a balancer's round takes 60 ms.
+/// How long the first replies are aggregated: agents of other zones reply within a few
+/// milliseconds, and a balancer's round takes 60 ms.
 const FIRST_GATHERING: Duration = Duration::from_millis(12);
-/// The same for answers that come later.
+/// How long later replies are aggregated.
 const LATER_GATHERING: Duration = Duration::from_millis(25);
-/// Answers that come after this are not told: the balancer has asked again.
+/// Later replies are dropped: the balancer has queried again.
 const QUESTION_LIMIT: Duration = Duration::from_millis(600);
-/// Most questions at once. Each balancer has a few under way, and questions are
-/// spread over all agents; older ones give way.
+/// Maximum number of concurrent queries. Each balancer has a few of them and spreads them
+/// over all agents. Above the limit the oldest query is dropped.
 const MAX_QUESTIONS: usize = 512;
 
-/// One flow of a question.
+/// Replies for one flow of a query.
 #[derive(Debug)]
 struct FlowAnswers {
     flow: FlowId,
@@ -34,7 +34,7 @@
     held: AgentSet,
 }
 
-/// What an agent answers for a flow.
+/// Reply of one agent for a flow.
 #[derive(Clone, Copy, Debug)]
 enum Answer {
     Certain,
@@ -42,30 +42,30 @@
     Held,
 }
 
-/// One question of a balancer, with what was answered so far.
+/// A balancer's query, with the replies so far.
 #[derive(Debug)]
 struct GatheredQuestion {
     balancer: SocketAddrV4,
     number: u64,
-    /// In the order of the question, this agent last.
+    /// Agents in the order of the query, this agent last.
     agents: Vec<SocketAddrV4>,
     flows: Vec<FlowAnswers>,
-    /// How many agents have not answered.
+    /// Number of agents that haven't replied.
     awaited: usize,
-    /// When the balancer is told what is new.
+    /// Time at which new replies are sent to the balancer.
     tell_at: Option<Timestamp>,
     ends_at: Timestamp,
 }
 
-/// All questions that an agent asks others.
+/// All queries that this agent relays.
 #[derive(Debug, Default)]
 pub(crate) struct RelayedQueries {
     questions: VecDeque<GatheredQuestion>,
 }
 
 impl RelayedQueries {
-    /// Begins to gather the answers to a question of a balancer. `own` is the
-    /// address of this agent, which answers like the others.
+    /// Begins to aggregate the replies to a balancer's query. `own` is the address of this
+    /// agent, which replies like the others.
     pub(crate) fn begin(
         &mut self,
         now: Timestamp,
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Takes the flows that an agent lacks.
+    /// Handles an agent's reply about flows that it doesn't know.
     pub(crate) fn handle_flows_not_owned(
         &mut self,
         now: Timestamp,
@@ -110,7 +110,7 @@
         self.handle_answers(now, from, certain.chain(uncertain));
     }
 
-    /// Takes the flows that an agent has, as the balancer does.
+    /// Handles an agent's reply about flows that its back end owns. The balancer gets it too.
     pub(crate) fn handle_flows_owned(
         &mut self,
         now: Timestamp,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// What balancers are to be told now.
+    /// Takes the messages to send to balancers now.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, AggregatedReplies)> {
         let mut due = Vec::new();
         for question in &mut self.questions {
@@ -148,7 +148,7 @@
         due
     }
 
-    /// When [`RelayedQueries::take_due`] is wanted.
+    /// When [`RelayedQueries::take_due`] returns messages next, or a query expires.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         let told = self.questions.iter().filter_map(|it| it.tell_at).min();
         let ended = self.questions.iter().map(|it| it.ends_at).min();
@@ -189,7 +189,7 @@
         self.tell_at = Some(self.tell_at.map_or(tell_at, |at| at.min(tell_at)));
     }
 
-    /// Whether everybody has answered and the balancer was told.
+    /// Whether all agents have replied and the balancer was sent all replies.
     fn is_complete(&self) -> bool {
         self.awaited == 0 && self.tell_at.is_none()
     }
--- a/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -1,12 +1,13 @@
-//! The proof that a life of a back end is over, from packets that the back end returns.
+//! Restart probe: finds out whether an incarnation of a back end has ended, from the packets
+//! that the back end returns.
 //!
-//! Some flows are picked as *witnesses*: a packet without data that their callers have
-//! sent goes to the back end once more. A back end that has the flow drops it as an old
-//! copy, and one that does not have it returns it; silence proves nothing. As a flow may
-//! have ended unseen, and a new life may have flows already, a returned packet proves
-//! that its own flow is gone. So as long as packets come back, those of further flows are
-//! handed over, the oldest flow first. Flows without a packet, all of one life, are gone
-//! if all witnesses of that life came back.
+//! A probe sends a data-less packet that the caller of a flow has sent before to the back
+//! end again. A back end that owns the flow drops it as an old duplicate, and one that
+//! doesn't own it returns it; silence proves nothing. As a flow may have been closed
+//! unnoticed, and a new incarnation may already have flows, a returned packet proves only
+//! that its own flow is orphaned. So while packets are returned, those of further flows are
+//! sent, the oldest flow first. Flows without a probe packet, all of one incarnation, are
+//! orphaned if all probes of that incarnation were returned.
 
 use std::time::Duration;
 
@@ -15,73 +16,73 @@
 
 use super::recorded_flow::RecordedFlow;
 
-/// As many witnesses are handed over first. As many must come back, of so many flows or
-/// more, until others are taken for gone with them.
+/// Number of probes in the first round. This many (or all, if there are fewer flows) must be
+/// returned before flows that weren't probed count as orphaned.
 const WITNESSES: usize = 3;
-/// While all come back, each time so many times more are handed over.
+/// Factor by which the number of new probes grows after a round with returned packets.
 const GROWTH: usize = 4;
-/// Most packets in a round: more may overflow the queue of the back end.
+/// Maximum number of new probes in a round: more may overflow the back end's queue.
 const MAX_BATCH: usize = 64;
-/// A back end that lacks a flow returns its packet by then.
+/// Duration of a round. A back end that doesn't own a flow returns its packet by then.
 const ROUND: Duration = Duration::from_millis(200);
-/// After so many rounds in which nothing came back the proof ends.
+/// Number of consecutive rounds without a returned packet after which the probe ends.
 const MAX_SILENT_ROUNDS: u32 = 3;
-/// How often the packet of one flow is handed to the back end. Its caller may have opened
-/// another flow under the same address and port, at another back end.
+/// Maximum number of times that the packet of one flow is sent. Its caller may have opened
+/// another flow between the same endpoints, at another back end.
 const MAX_HANDINGS: u32 = 2;
 
-/// A flow of a life that may be over.
+/// A flow of an incarnation that may have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ProbedFlow {
     pub(crate) flow: RecordedFlow,
-    /// When it was first seen; the oldest are asked for first.
+    /// When it was first seen; the oldest flows are probed first.
     pub(crate) seen_at: Timestamp,
-    /// A packet of its caller without data.
+    /// Data-less packet of its caller.
     pub(crate) probe_packet: Option<Vec<u8>>,
 }
 
-/// What the back end has shown of a flow.
+/// Evidence about a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
     None,
-    /// It got a packet of the flow so often and has not returned it.
+    /// The flow's packet was sent this many times and wasn't returned.
     Handed(u32),
-    /// It returned a packet of the flow.
+    /// The back end returned a packet of the flow.
     Returned,
-    /// It spoke on the flow.
+    /// The back end sent a packet of the flow.
     Alive,
 }
 
-/// What a proof wants.
+/// Next step of a restart probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RestartProbeStep {
-    /// Nothing before the round has ended.
+    /// Nothing to do until the round ends.
     Wait,
-    /// Hand these packets to the back end.
+    /// Send these packets to the back end.
     Send(Vec<Vec<u8>>),
-    /// It has ended with this verdict.
+    /// The probe has ended with this result.
     End(RestartProbeResult),
 }
 
-/// How a proof has ended.
+/// Result of a restart probe.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RestartProbeResult {
-    /// Whether so many packets came back that a life is over.
+    /// Whether enough packets were returned to show that an incarnation has ended.
     pub(crate) has_ended: bool,
-    /// Flows without a witness, if all witnesses came back.
+    /// Flows that weren't probed, if all probes were returned.
     pub(crate) orphaned: Vec<RecordedFlow>,
-    /// Flows whose packets the back end got.
+    /// Number of flows that were probed.
     pub(crate) probes: usize,
-    /// Flows whose packets it returned.
+    /// Number of flows whose packets were returned.
     pub(crate) returned: usize,
 }
 
-/// A proof under way.
+/// A restart probe in progress.
 #[derive(Debug)]
 pub(crate) struct RestartProbe {
-    /// Flows, the oldest first.
+    /// Flows, oldest first.
     flows: Vec<(ProbedFlow, Evidence)>,
-    /// How many fresh witnesses the next round takes.
+    /// Number of new probes in the next round.
     batch: usize,
     silent_rounds: u32,
     returned_in_round: usize,
@@ -102,25 +103,25 @@
         }
     }
 
-    /// When [`RestartProbe::next_step`] is wanted.
+    /// When [`RestartProbe::next_step`] is to be called.
     pub(crate) fn poll_timeout(&self) -> Timestamp {
         self.round_ends_at
     }
 
-    /// Leaves out a flow: it has ended, or is opened anew.
+    /// Removes a flow that was closed or is opened anew.
     pub(crate) fn forget(&mut self, id: FlowId) {
         self.flows.retain(|(it, _)| it.flow.id != id);
     }
 
-    /// Notes that the back end returned a packet of a flow that acknowledges `acknowledged`.
-    /// Returns the flow, which is gone, if it is one of the proof.
+    /// Records that the back end returned a packet of a flow with this acknowledgement number.
+    /// Returns the flow, which is orphaned, if it belongs to this probe.
     pub(crate) fn note_returned(&mut self, id: FlowId, acknowledged: u32) -> Option<RecordedFlow> {
         let (probed, evidence) = self.entry(id)?;
         let flow = probed.flow;
         if !flow.owns_ack(acknowledged) {
             return None;
         }
-        // One on which it has spoken has ended since, and shows nothing of others.
+        // A flow with traffic of the back end was closed since, and proves nothing about others.
         if matches!(evidence, Evidence::None | Evidence::Handed(_)) {
             *evidence = Evidence::Returned;
             self.returned_in_round += 1;
@@ -128,14 +129,14 @@
         Some(flow)
     }
 
-    /// Notes that the back end spoke on a flow.
+    /// Records that the back end sent a packet of a flow.
     pub(crate) fn note_alive(&mut self, id: FlowId) {
         if let Some((_, evidence)) = self.entry(id) {
             *evidence = Evidence::Alive;
         }
     }
 
-    /// What to do now.
+    /// Returns the next step.
     pub(crate) fn next_step(&mut self, now: Timestamp) -> RestartProbeStep {
         let is_awaited = |it: &(ProbedFlow, Evidence)| matches!(it.1, Evidence::Handed(_));
         let is_awaited = self.flows.iter().any(is_awaited);
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Places of the flows whose packets the back end gets next: again those that did not
-    /// come back, and some fresh ones.
+    /// Indexes of the flows to probe next: again those whose packets weren't returned, and some
+    /// new ones.
     fn pick_witnesses(&self) -> Vec<usize> {
         let places = |wanted: fn(&(ProbedFlow, Evidence)) -> bool| {
             let flows = self.flows.iter().enumerate();
--- a/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
@@ -1,5 +1,5 @@
-//! Flows that an agent does not know, whose packets it handed to its back end
-//! to find out whether that has them.
+//! Speculative deliveries: packets of unknown flows that an agent sends to its back end to
+//! find out whether it owns them.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,36 +9,36 @@
 
 use crate::pass_through::packet::FlowId;
 
-/// Between two packets of one flow that are tried.
+/// Minimum interval between speculative deliveries of one flow.
 const REPEAT_PAUSE: Duration = Duration::from_millis(200);
-/// A back end that neither answered nor returned a packet by then did not get
-/// it.
+/// A back end that neither responded nor returned the packet by then hasn't received it.
 const TRY_LIMIT: Duration = Duration::from_secs(3);
-/// Most flows that are remembered of each kind. More are tried again.
+/// Maximum number of stored flows of each kind. Packets of further flows may be delivered
+/// repeatedly.
 const MAX_REMEMBERED: usize = 1 << 16;
 
 /// A flow whose packet is at the back end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingDelivery {
-    /// The balancer that wants to know whether the back end has the flow.
+    /// Balancer that requested the delivery.
     pub(crate) balancer: SocketAddrV4,
-    /// Whether it wants to know at once that the back end does not.
+    /// Whether the balancer is to be notified at once if the packet is returned.
     pub(crate) report_return: bool,
     tried_at: Timestamp,
 }
 
-/// Which flows were tried, and which of them the back end does not have.
+/// Flows that were delivered speculatively, and those that the back end doesn't own.
 #[derive(Debug, Default)]
 pub(crate) struct SpeculativeDeliveries {
-    /// Flows without an answer.
+    /// Flows whose packet was neither answered nor returned yet.
     pending: HashMap<FlowId, PendingDelivery>,
-    /// Flows whose packets came back.
+    /// Flows whose packets were returned.
     returned: HashMap<FlowId, Timestamp>,
 }
 
 impl SpeculativeDeliveries {
-    /// Notes that a balancer wants a packet to be tried. Returns whether it goes
-    /// to the back end: not if another one went there a moment ago.
+    /// Records a balancer's request for a speculative delivery. Returns whether the packet goes
+    /// to the back end: not if another one of the flow was delivered a moment ago.
     pub(crate) fn note_delivered(
         &mut self,
         now: Timestamp,
@@ -59,29 +59,29 @@
         repeated.is_none()
     }
 
-    /// Takes what is known of a flow whose packet is at the back end.
+    /// Takes the state of a flow whose packet is at the back end.
     pub(crate) fn take_pending(&mut self, flow: FlowId) -> Option<PendingDelivery> {
         self.pending.remove(&flow)
     }
 
-    /// Notes that the back end does not have a flow.
+    /// Records that the back end doesn't own a flow.
     pub(crate) fn note_returned(&mut self, now: Timestamp, flow: FlowId) {
         if self.returned.len() < MAX_REMEMBERED {
             self.returned.insert(flow, now);
         }
     }
 
-    /// Whether the back end said that it does not have a flow.
+    /// Whether the back end returned a packet of the flow.
     pub(crate) fn was_returned(&self, flow: FlowId) -> bool {
         self.returned.contains_key(&flow)
     }
 
-    /// Forgets what was known of a flow, since it opens anew.
+    /// Forgets that a packet of the flow was returned, as the flow is opened anew.
     pub(crate) fn forget(&mut self, flow: FlowId) {
         self.returned.remove(&flow);
     }
 
-    /// Forgets old flows; `lifetime` is that of a flow.
+    /// Forgets old flows; `flow_ttl` is the maximum lifetime of a flow.
     pub(crate) fn expire(&mut self, now: Timestamp, lifetime: Duration) {
         let age = |at: Timestamp| now.saturating_since(at);
         self.pending
