--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -15,17 +15,17 @@
 /// acknowledgement number belongs to the same connection, in bytes.
 pub(crate) const SEQUENCE_WINDOW: u32 = 1 << 22;
 /// A SYN that the back end hasn't accepted is forgotten after this time.
-const OPENING_LIMIT: Duration = Duration::from_millis(1_600);
+const SYN_TTL: Duration = Duration::from_millis(1_600);
 /// A flow whose caller hasn't completed the handshake by then no longer counts as an
 /// in-flight request.
-const HALF_OPEN_LIMIT: Duration = Duration::from_millis(100);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Idle time after which a flow closed by its back end is forgotten. By then the back end
 /// has retransmitted its FIN, unless that was acknowledged. A flow that only its caller has
 /// closed is kept: if data before the FIN was lost, the back end still waits for it, and
 /// without the entry its retransmission would be delivered speculatively to other back ends.
-const ENDED_LIMIT: Duration = Duration::from_secs(3);
+const CLOSED_TTL: Duration = Duration::from_secs(3);
 /// Idle time after which a request without a response no longer counts as in flight.
-const BUSY_LIMIT: Duration = Duration::from_secs(10);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// State of one flow.
 #[derive(Clone, Debug)]
@@ -41,11 +41,11 @@
     /// Latest data-less packet of the caller. A back end that doesn't own the flow returns it.
     pub(crate) probe_packet: Option<Vec<u8>>,
     /// Whether this incarnation of the agent has seen a packet of the back end.
-    backend_has_spoken: bool,
+    has_backend_packet: bool,
     /// Whether the flow counts as an in-flight request.
-    busy: bool,
-    caller_has_ended: bool,
-    backend_has_ended: bool,
+    in_flight: bool,
+    closed_by_caller: bool,
+    closed_by_backend: bool,
     pub(crate) created_at: Timestamp,
     /// State of its request at the back end.
     request: RequestState,
@@ -59,37 +59,37 @@
     /// There is none, or its response has started.
     None,
     /// Queued for a slot.
-    Waiting,
+    Queued,
     /// In a slot since this time.
-    Working { since: Timestamp },
+    Processing { since: Timestamp },
 }
 
 impl AgentFlow {
     /// Whether the back end has a request of this flow and hasn't started its response.
     pub(crate) fn has_pending_request(&self) -> bool {
-        self.request != RequestState::None && !self.has_ended()
+        self.request != RequestState::None && !self.is_closed()
     }
 
     /// Whether the handshake is complete and neither end has closed the flow.
     pub(crate) fn is_open(&self) -> bool {
-        self.open && !self.has_ended()
+        self.open && !self.is_closed()
     }
 
     /// Whether the flow is open and the back end has shown that it owns it, or did once.
     /// Balancers may forward packets of flows that another back end owns.
     pub(crate) fn is_confirmed_open(&self) -> bool {
-        self.is_open() && (self.sequence.is_some() || self.backend_has_spoken)
+        self.is_open() && (self.sequence.is_some() || self.has_backend_packet)
     }
 
     /// Whether an acknowledgement number continues those seen on the flow so far.
-    fn goes_on(&self, acknowledged: u32) -> bool {
-        let known = self.acknowledged.or(self.sequence);
-        known.is_none_or(|known| acknowledged.wrapping_sub(known) < SEQUENCE_WINDOW)
+    fn continues_acks(&self, acknowledged: u32) -> bool {
+        let known_ack = self.acknowledged.or(self.sequence);
+        known_ack.is_none_or(|known_ack| acknowledged.wrapping_sub(known_ack) < SEQUENCE_WINDOW)
     }
 
     /// Whether either end has closed the flow, so that no new request follows.
-    fn has_ended(&self) -> bool {
-        self.caller_has_ended || self.backend_has_ended
+    fn is_closed(&self) -> bool {
+        self.closed_by_caller || self.closed_by_backend
     }
 
     /// Whether this is the recorded connection, and not a later one between the same endpoints.
@@ -110,15 +110,15 @@
 #[derive(Debug, Default)]
 pub(crate) struct AgentFlows {
     flows: HashMap<FlowId, AgentFlow>,
-    busy: u32,
+    in_flight_requests: u32,
     /// Number of open flows.
     open_flows: u32,
     demand: FlowDemand,
     /// Number of requests that have a slot.
-    working: u32,
+    busy_slots: u32,
     /// Flows whose requests are queued for a slot, in order of arrival. Some may no longer be
     /// queued.
-    waiting: VecDeque<FlowId>,
+    queued: VecDeque<FlowId>,
     /// Half-open flows with the ends of their handshake timeouts, in that order.
     half_open: VecDeque<(Timestamp, FlowId)>,
 }
@@ -129,7 +129,7 @@
     }
 
     pub(crate) fn in_flight_requests(&self) -> u32 {
-        self.busy
+        self.in_flight_requests
     }
 
     /// Number of open flows, including idle ones.
@@ -145,21 +145,21 @@
 
     /// Stops counting flows as in flight whose callers didn't complete the handshake in time.
     pub(crate) fn release_half_open(&mut self, now: Timestamp) {
-        while let Some((limit, id)) = self.half_open.front().copied() {
-            if now < limit {
+        while let Some((timeout, id)) = self.half_open.front().copied() {
+            if now < timeout {
                 return;
             }
             self.half_open.pop_front();
             if self.flows.get(&id).is_some_and(|flow| !flow.open) {
-                self.set_busy(id, false);
+                self.set_in_flight(id, false);
             }
         }
     }
 
     /// Number of flows that their back end hasn't closed.
     pub(crate) fn unclosed(&self) -> usize {
-        let has_ended = |flow: &&AgentFlow| flow.backend_has_ended;
-        self.flows.len() - self.flows.values().filter(has_ended).count()
+        let is_closed = |flow: &&AgentFlow| flow.closed_by_backend;
+        self.flows.len() - self.flows.values().filter(is_closed).count()
     }
 
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&FlowId, &AgentFlow)> {
@@ -173,27 +173,27 @@
         id: FlowId,
         balancer: SocketAddrV4,
         packet: CallerPacket,
-        capacity: u32,
+        slots: u32,
     ) {
         let flow = self.entry(now, id);
         flow.last_active_at = now;
         flow.last_balancer = Some(balancer);
         match packet {
             CallerPacket::Syn => {
-                self.set_busy(id, true);
-                self.half_open.push_back((now + HALF_OPEN_LIMIT, id));
+                self.set_in_flight(id, true);
+                self.half_open.push_back((now + HANDSHAKE_TIMEOUT, id));
             }
-            CallerPacket::Established => self.open(id),
+            CallerPacket::Established => self.mark_open(id),
             CallerPacket::Request => {
-                self.open(id);
-                self.set_busy(id, true);
-                self.begin_request(now, id, capacity);
+                self.mark_open(id);
+                self.set_in_flight(id, true);
+                self.start_request(now, id, slots);
             }
             CallerPacket::Fin => {
-                self.end(now, id, |flow| flow.caller_has_ended = true);
+                self.close(now, id, |flow| flow.closed_by_caller = true);
             }
             CallerPacket::Reset => {
-                self.end(now, id, |flow| flow.backend_has_ended = true);
+                self.close(now, id, |flow| flow.closed_by_backend = true);
             }
         }
     }
@@ -206,7 +206,7 @@
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
-        if !view.ack || !flow.goes_on(view.ack_number) {
+        if !view.ack || !flow.continues_acks(view.ack_number) {
             return;
         }
         flow.acknowledged = Some(view.ack_number);
@@ -224,25 +224,25 @@
         packet: BackendPacket,
     ) -> Option<Duration> {
         if let BackendPacket::SynAck { sequence } = packet {
-            self.begin_anew(now, id, sequence);
+            self.forget_if_reopened(now, id, sequence);
         }
         let flow = self.entry(now, id);
         flow.last_active_at = now;
-        flow.backend_has_spoken = true;
+        flow.has_backend_packet = true;
         match packet {
             BackendPacket::SynAck { sequence } => flow.sequence = Some(sequence),
-            BackendPacket::Established => self.open(id),
+            BackendPacket::Established => self.mark_open(id),
             BackendPacket::Response => {
-                self.open(id);
-                let time = self.finish_request(now, id);
-                self.set_busy(id, false);
-                return time;
+                self.mark_open(id);
+                let processing_time = self.finish_request(now, id);
+                self.set_in_flight(id, false);
+                return processing_time;
             }
             BackendPacket::Fin => {
                 // The last packet of a response often arrives before the others.
-                let time = self.finish_request(now, id);
-                self.end(now, id, |flow| flow.backend_has_ended = true);
-                return time;
+                let processing_time = self.finish_request(now, id);
+                self.close(now, id, |flow| flow.closed_by_backend = true);
+                return processing_time;
             }
         }
         None
@@ -250,35 +250,35 @@
 
     /// Forgets an earlier connection between the same endpoints when the back end accepts a SYN
     /// with another initial sequence number.
-    fn begin_anew(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
-        let is_another = |flow: &AgentFlow| {
-            let was_opened = flow.sequence.is_some() || flow.open || flow.has_ended();
+    fn forget_if_reopened(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
+        let is_other_connection = |flow: &AgentFlow| {
+            let was_opened = flow.sequence.is_some() || flow.open || flow.is_closed();
             was_opened && flow.sequence != Some(sequence)
         };
-        if !self.flows.get(&id).is_some_and(is_another) {
+        if !self.flows.get(&id).is_some_and(is_other_connection) {
             return;
         }
         let balancer = self.remove(now, id).and_then(|flow| flow.last_balancer);
         self.entry(now, id).last_balancer = balancer;
-        self.set_busy(id, true);
-        self.half_open.push_back((now + HALF_OPEN_LIMIT, id));
+        self.set_in_flight(id, true);
+        self.half_open.push_back((now + HANDSHAKE_TIMEOUT, id));
     }
 
     /// Records that the back end has a request. Further packets of it have no effect.
-    fn begin_request(&mut self, now: Timestamp, id: FlowId, capacity: u32) {
+    fn start_request(&mut self, now: Timestamp, id: FlowId, slots: u32) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
-        if flow.request != RequestState::None || !flow.busy {
+        if flow.request != RequestState::None || !flow.in_flight {
             return;
         }
-        if self.working < capacity {
-            flow.request = RequestState::Working { since: now };
-            self.working += 1;
-            self.demand.note_busy(now, self.working);
+        if self.busy_slots < slots {
+            flow.request = RequestState::Processing { since: now };
+            self.busy_slots += 1;
+            self.demand.note_busy(now, self.busy_slots);
         } else {
-            flow.request = RequestState::Waiting;
-            self.waiting.push_back(id);
+            flow.request = RequestState::Queued;
+            self.queued.push_back(id);
         }
     }
 
@@ -287,32 +287,32 @@
     fn finish_request(&mut self, now: Timestamp, id: FlowId) -> Option<Duration> {
         let flow = self.flows.get_mut(&id)?;
         let request = std::mem::replace(&mut flow.request, RequestState::None);
-        let RequestState::Working { since } = request else {
+        let RequestState::Processing { since } = request else {
             return None;
         };
-        self.working -= 1;
-        while let Some(next) = self.waiting.pop_front() {
+        self.busy_slots -= 1;
+        while let Some(next) = self.queued.pop_front() {
             if let Some(flow) = self.flows.get_mut(&next)
-                && flow.request == RequestState::Waiting
+                && flow.request == RequestState::Queued
             {
-                flow.request = RequestState::Working { since: now };
-                self.working += 1;
+                flow.request = RequestState::Processing { since: now };
+                self.busy_slots += 1;
                 break;
             }
         }
-        self.demand.note_busy(now, self.working);
+        self.demand.note_busy(now, self.busy_slots);
         Some(now.saturating_since(since))
     }
 
     /// Open flows of the back end that were first seen less than `flow_ttl` ago, with their
     /// probe packets.
-    pub(crate) fn flows_to_probe(&self, now: Timestamp, lifetime: Duration) -> Vec<ProbedFlow> {
-        let is_young = |flow: &AgentFlow| now.saturating_since(flow.created_at) < lifetime;
-        let open = self
+    pub(crate) fn flows_to_probe(&self, now: Timestamp, flow_ttl: Duration) -> Vec<ProbedFlow> {
+        let is_recent = |flow: &AgentFlow| now.saturating_since(flow.created_at) < flow_ttl;
+        let confirmed = self
             .flows
             .iter()
-            .filter(|(_, flow)| flow.is_confirmed_open() && is_young(flow));
-        let probed = |(id, flow): (&FlowId, &AgentFlow)| {
+            .filter(|(_, flow)| flow.is_confirmed_open() && is_recent(flow));
+        let to_probed = |(id, flow): (&FlowId, &AgentFlow)| {
             let acknowledged = flow.acknowledged?;
             Some(ProbedFlow {
                 flow: RecordedFlow {
@@ -324,7 +324,7 @@
                 probe_packet: Some(flow.probe_packet.clone()?),
             })
         };
-        open.filter_map(probed).collect()
+        confirmed.filter_map(to_probed).collect()
     }
 
     /// Takes over a flow from the record of the agent's previous incarnation. Returns whether
@@ -336,7 +336,7 @@
         let flow = self.entry(now, recorded.id);
         flow.sequence = Some(recorded.sequence);
         flow.acknowledged = Some(recorded.acknowledged);
-        self.open(recorded.id);
+        self.mark_open(recorded.id);
         true
     }
 
@@ -350,7 +350,7 @@
 
     pub(crate) fn remove(&mut self, now: Timestamp, id: FlowId) -> Option<AgentFlow> {
         self.finish_request(now, id);
-        self.set_busy(id, false);
+        self.set_in_flight(id, false);
         let flow = self.flows.remove(&id)?;
         self.open_flows -= u32::from(flow.is_open());
         Some(flow)
@@ -359,35 +359,35 @@
     /// Forgets flows that are closed, that were never opened, or that were idle for
     /// `idle_limit`.
     pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
-        let rest = |flow: &AgentFlow| now.saturating_since(flow.last_active_at);
-        let limit = |flow: &AgentFlow| match flow {
-            flow if flow.backend_has_ended => ENDED_LIMIT,
-            flow if !flow.open => OPENING_LIMIT,
+        let idle_time = |flow: &AgentFlow| now.saturating_since(flow.last_active_at);
+        let ttl = |flow: &AgentFlow| match flow {
+            flow if flow.closed_by_backend => CLOSED_TTL,
+            flow if !flow.open => SYN_TTL,
             _ => idle_limit,
         };
-        let stuck = |flow: &AgentFlow| flow.busy && rest(flow) >= BUSY_LIMIT;
-        let is_over = |flow: &AgentFlow| rest(flow) >= limit(flow);
-        let over: Vec<FlowId> = self.ids(is_over).collect();
-        let stuck: Vec<FlowId> = self.ids(stuck).collect();
+        let is_stuck = |flow: &AgentFlow| flow.in_flight && idle_time(flow) >= REQUEST_TIMEOUT;
+        let is_expired = |flow: &AgentFlow| idle_time(flow) >= ttl(flow);
+        let expired: Vec<FlowId> = self.ids(is_expired).collect();
+        let stuck: Vec<FlowId> = self.ids(is_stuck).collect();
         for id in stuck {
             self.finish_request(now, id);
-            self.set_busy(id, false);
+            self.set_in_flight(id, false);
         }
-        for id in over {
+        for id in expired {
             self.remove(now, id);
         }
         let flows = &self.flows;
-        let waits = |id: &FlowId| {
+        let is_queued = |id: &FlowId| {
             let flow = flows.get(id);
-            flow.is_some_and(|flow| flow.request == RequestState::Waiting)
+            flow.is_some_and(|flow| flow.request == RequestState::Queued)
         };
-        self.waiting.retain(waits);
+        self.queued.retain(is_queued);
     }
 
-    fn ids(&self, wanted: impl Fn(&AgentFlow) -> bool) -> impl Iterator<Item = FlowId> {
+    fn ids(&self, is_selected: impl Fn(&AgentFlow) -> bool) -> impl Iterator<Item = FlowId> {
         let flows = self.flows.iter();
-        let wanted = flows.filter(move |(_, flow)| wanted(flow));
-        wanted.map(|(id, _)| *id)
+        let selected = flows.filter(move |(_, flow)| is_selected(flow));
+        selected.map(|(id, _)| *id)
     }
 
     fn entry(&mut self, now: Timestamp, id: FlowId) -> &mut AgentFlow {
@@ -397,17 +397,17 @@
             open: false,
             acknowledged: None,
             probe_packet: None,
-            backend_has_spoken: false,
-            busy: false,
-            caller_has_ended: false,
-            backend_has_ended: false,
+            has_backend_packet: false,
+            in_flight: false,
+            closed_by_caller: false,
+            closed_by_backend: false,
             created_at: now,
             request: RequestState::None,
             last_active_at: now,
         })
     }
 
-    fn open(&mut self, id: FlowId) {
+    fn mark_open(&mut self, id: FlowId) {
         if let Some(flow) = self.flows.get_mut(&id) {
             let was_open = flow.is_open();
             flow.open = true;
@@ -416,27 +416,27 @@
     }
 
     /// Closes a flow; `mark_closed` sets which end has closed it.
-    fn end(&mut self, now: Timestamp, id: FlowId, note_end: impl FnOnce(&mut AgentFlow)) {
+    fn close(&mut self, now: Timestamp, id: FlowId, mark_closed: impl FnOnce(&mut AgentFlow)) {
         self.finish_request(now, id);
-        self.set_busy(id, false);
+        self.set_in_flight(id, false);
         if let Some(flow) = self.flows.get_mut(&id) {
             self.open_flows -= u32::from(flow.is_open());
-            note_end(flow);
+            mark_closed(flow);
         }
     }
 
-    fn set_busy(&mut self, id: FlowId, busy: bool) {
+    fn set_in_flight(&mut self, id: FlowId, in_flight: bool) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
-        if flow.busy == busy || (busy && flow.has_ended()) {
+        if flow.in_flight == in_flight || (in_flight && flow.is_closed()) {
             return;
         }
-        flow.busy = busy;
-        if busy {
-            self.busy += 1;
+        flow.in_flight = in_flight;
+        if in_flight {
+            self.in_flight_requests += 1;
         } else {
-            self.busy -= 1;
+            self.in_flight_requests -= 1;
         }
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/closed_flow_columns.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/closed_flow_columns.rs
@@ -20,8 +20,8 @@
 
 /// Decodes closed flows from columns, skipping incomplete ones.
 pub(crate) fn closed_flows(columns: &FlowColumns) -> Vec<FlowId> {
-    let flow = |(caller, place): (&u64, &u32)| {
-        let route = *columns.routes.get(*place as usize)?;
+    let flow = |(caller, index): (&u64, &u32)| {
+        let route = *columns.routes.get(*index as usize)?;
         Some(FlowId {
             caller: unpack_address(*caller),
             route: unpack_address(route),
--- a/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
@@ -13,9 +13,9 @@
 /// acknowledgement number belongs to the same connection, in bytes.
 const SEQUENCE_WINDOW: u32 = 1 << 22;
 /// Maximum number of cached flows. More than this is a flood, or needs more balancers.
-const MAX_HINTS: usize = 1 << 19;
+const MAX_FLOWS: usize = 1 << 19;
 /// Idle time after which a flow without an owner, or one closed by its caller, is forgotten.
-const ENDED_LIMIT: Duration = Duration::from_secs(3);
+const CLOSED_TTL: Duration = Duration::from_secs(3);
 
 /// State of an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,14 +54,14 @@
 impl fmt::Display for OfferCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let OfferCounts {
-            offered: asked,
+            offered,
             full,
-            timed_out: late,
+            timed_out,
             other,
         } = self;
         write!(
             formatter,
-            "asked={asked} full={full} late={late} other={other}"
+            "asked={offered} full={full} late={timed_out} other={other}"
         )
     }
 }
@@ -114,25 +114,26 @@
     /// Number of offers that were replied to, or whose reply may still arrive in time. An agent
     /// that didn't reply in time gives no information about its capacity.
     pub(crate) fn replied_offers(&self) -> usize {
-        let is_heard = |it: &&Offer| it.state != OfferState::TimedOut;
-        self.offers.iter().filter(is_heard).count()
+        let is_replied = |it: &&Offer| it.state != OfferState::TimedOut;
+        self.offers.iter().filter(is_replied).count()
     }
 
     pub(crate) fn accepted(&self) -> Option<SocketAddrV4> {
-        let accepted = |it: &&Offer| matches!(it.state, OfferState::Accepted { .. });
-        self.offers.iter().find(accepted).map(|it| it.agent)
+        let is_accepted = |it: &&Offer| matches!(it.state, OfferState::Accepted { .. });
+        self.offers.iter().find(is_accepted).map(|it| it.agent)
     }
 
     /// Whether a reply to an offer is expected, other than a late one.
     pub(crate) fn awaits_reply(&self) -> bool {
-        let awaited = |it: &Offer| matches!(it.state, OfferState::Pending | OfferState::Queued);
-        self.offers.iter().any(awaited)
+        let awaits_reply =
+            |it: &Offer| matches!(it.state, OfferState::Pending | OfferState::Queued);
+        self.offers.iter().any(awaits_reply)
     }
 
     /// Whether the flow is in an agent's admission queue.
     pub(crate) fn is_queued(&self) -> bool {
-        let waits = |it: &Offer| it.state == OfferState::Queued;
-        self.offers.iter().any(waits)
+        let is_queued = |it: &Offer| it.state == OfferState::Queued;
+        self.offers.iter().any(is_queued)
     }
 
     /// The agent whose back end's sequence numbers the caller acknowledges.
@@ -148,54 +149,54 @@
 
     /// The agent whose back end may own the flow, if there is only one.
     pub(crate) fn sole_offer(&self) -> Option<SocketAddrV4> {
-        let mut possible = self
+        let mut possible_owners = self
             .offers
             .iter()
             .filter(|it| it.state != OfferState::Declined);
-        let first = possible.next()?;
-        possible.next().is_none().then_some(first.agent)
+        let first = possible_owners.next()?;
+        possible_owners.next().is_none().then_some(first.agent)
     }
 }
 
 /// All cached flows of a balancer.
 #[derive(Debug, Default)]
 pub(crate) struct FlowCache {
-    hints: HashMap<FlowId, CachedFlow>,
+    flows: HashMap<FlowId, CachedFlow>,
 }
 
 impl FlowCache {
     pub(crate) fn get_mut(&mut self, flow: FlowId) -> Option<&mut CachedFlow> {
-        self.hints.get_mut(&flow)
+        self.flows.get_mut(&flow)
     }
 
     pub(crate) fn entry(&mut self, now: Timestamp, flow: FlowId, service: u64) -> &mut CachedFlow {
-        let hint = self.hints.entry(flow);
-        hint.or_insert_with(|| CachedFlow::new(now, service))
+        let cached = self.flows.entry(flow);
+        cached.or_insert_with(|| CachedFlow::new(now, service))
     }
 
-    pub(crate) fn insert(&mut self, flow: FlowId, hint: CachedFlow) {
-        self.hints.insert(flow, hint);
+    pub(crate) fn insert(&mut self, flow: FlowId, cached: CachedFlow) {
+        self.flows.insert(flow, cached);
     }
 
     pub(crate) fn remove(&mut self, flow: FlowId) -> Option<CachedFlow> {
-        self.hints.remove(&flow)
+        self.flows.remove(&flow)
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.hints.len()
+        self.flows.len()
     }
 
     /// Whether no more flows can be cached.
     pub(crate) fn is_full(&self) -> bool {
-        self.hints.len() >= MAX_HINTS
+        self.flows.len() >= MAX_FLOWS
     }
 
     /// Forgets closed flows, flows without an owner, and flows that were idle for `idle_limit`.
     pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
-        self.hints.retain(|_, hint| {
-            let rest = now.saturating_since(hint.last_used_at);
-            let is_open = hint.owner.is_some() && !hint.closed;
-            rest < if is_open { idle_limit } else { ENDED_LIMIT }
+        self.flows.retain(|_, cached| {
+            let idle_time = now.saturating_since(cached.last_used_at);
+            let is_open = cached.owner.is_some() && !cached.closed;
+            idle_time < if is_open { idle_limit } else { CLOSED_TTL }
         });
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_demand.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_demand.rs
@@ -6,7 +6,7 @@
 
 /// Time after which a change of the load counts for 63 % in the mean: longer than callers
 /// pause between two requests, and short compared with the lifetime of flows.
-const MEMORY: Duration = Duration::from_secs(3);
+const TIME_CONSTANT: Duration = Duration::from_secs(3);
 
 /// Exponentially weighted mean of the number of busy slots.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,9 +33,9 @@
         let Some(noted_at) = self.noted_at else {
             return 0.0;
         };
-        let passed = now.saturating_since(noted_at).as_secs_f64();
-        let kept = (-passed / MEMORY.as_secs_f64()).exp();
+        let elapsed = now.saturating_since(noted_at).as_secs_f64();
+        let decay = (-elapsed / TIME_CONSTANT.as_secs_f64()).exp();
         let slots = f64::from(self.slots);
-        slots + (self.mean - slots) * kept
+        slots + (self.mean - slots) * decay
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
@@ -10,19 +10,19 @@
 use crate::time::Timestamp;
 
 /// Interval between requests to a replica that hasn't responded, in the initial period.
-const ASK_INTERVAL: Duration = Duration::from_millis(100);
-const FIRST_SECONDS: Duration = Duration::from_secs(3);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+const INITIAL_PERIOD: Duration = Duration::from_secs(3);
 /// The interval after the initial period. It is longer so as not to flood replicas that
 /// take long to start.
-const LATE_ASK_INTERVAL: Duration = Duration::from_millis(500);
+const LATER_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// After the first complete record, time to wait for others that may be newer.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// If the known replicas have no record, time to wait for further replicas to become known.
-const LEARNING_TIME: Duration = Duration::from_secs(1);
+const DISCOVERY_TIME: Duration = Duration::from_secs(1);
 /// After the first response, time to wait for replicas that haven't responded.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Total time after which the recovery ends, also without any response.
-const RECALL_LIMIT: Duration = Duration::from_secs(30);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum number of parts of a record. Agents don't create larger ones.
 const MAX_PARTS: u32 = 1_024;
 
@@ -48,9 +48,9 @@
 }
 
 #[derive(Debug)]
-enum Answer {
+enum ReplicaResponse {
     Parts {
-        number: u64,
+        revision: u64,
         parts: BTreeMap<u32, FlowRecordResponse>,
     },
     Complete,
@@ -60,25 +60,25 @@
 #[derive(Debug)]
 pub(crate) struct FlowRecordRecovery {
     started_at: Timestamp,
-    ask_at: Timestamp,
-    first_answer_at: Option<Timestamp>,
+    next_request_at: Timestamp,
+    first_response_at: Option<Timestamp>,
     first_record_at: Option<Timestamp>,
-    answers: BTreeMap<SocketAddrV4, Answer>,
+    responses: BTreeMap<SocketAddrV4, ReplicaResponse>,
     best: Option<(u64, PreviousFlowRecord)>,
     /// Revision that [`FlowRecordRecovery::take_newer`] returned last.
-    handed_over: u64,
+    taken_revision: u64,
 }
 
 impl FlowRecordRecovery {
     pub(crate) fn new(now: Timestamp) -> Self {
         FlowRecordRecovery {
             started_at: now,
-            ask_at: now,
-            first_answer_at: None,
+            next_request_at: now,
+            first_response_at: None,
             first_record_at: None,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             best: None,
-            handed_over: 0,
+            taken_revision: 0,
         }
     }
 
@@ -88,21 +88,21 @@
         now: Timestamp,
         known: BTreeSet<SocketAddrV4>,
     ) -> Vec<SocketAddrV4> {
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return Vec::new();
         }
-        let is_late = now.saturating_since(self.started_at) >= FIRST_SECONDS;
-        self.ask_at = now
-            + match is_late {
-                true => LATE_ASK_INTERVAL,
-                false => ASK_INTERVAL,
+        let is_initial_period_over = now.saturating_since(self.started_at) >= INITIAL_PERIOD;
+        self.next_request_at = now
+            + match is_initial_period_over {
+                true => LATER_REQUEST_INTERVAL,
+                false => REQUEST_INTERVAL,
             };
-        let is_open = |address: &SocketAddrV4| !self.is_complete(address);
-        known.into_iter().filter(is_open).collect()
+        let is_pending = |address: &SocketAddrV4| !self.is_complete(address);
+        known.into_iter().filter(is_pending).collect()
     }
 
     pub(crate) fn poll_timeout(&self) -> Timestamp {
-        self.ask_at
+        self.next_request_at
     }
 
     /// Handles a response to a request of this incarnation.
@@ -110,56 +110,63 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answer: FlowRecordResponse,
+        response: FlowRecordResponse,
     ) {
-        if self.is_complete(&from) || answer.parts > MAX_PARTS {
+        if self.is_complete(&from) || response.parts > MAX_PARTS {
             return;
         }
-        self.first_answer_at.get_or_insert(now);
-        if answer.parts == 0 {
-            self.answers.insert(from, Answer::Complete);
+        self.first_response_at.get_or_insert(now);
+        if response.parts == 0 {
+            self.responses.insert(from, ReplicaResponse::Complete);
             return;
         }
-        let (number, wanted) = (answer.revision, answer.parts);
-        let known = self.answers.entry(from).or_insert_with(|| Answer::Parts {
-            number,
-            parts: BTreeMap::new(),
-        });
-        let Answer::Parts { number: of, parts } = known else {
+        let (revision, part_count) = (response.revision, response.parts);
+        let known = self
+            .responses
+            .entry(from)
+            .or_insert_with(|| ReplicaResponse::Parts {
+                revision,
+                parts: BTreeMap::new(),
+            });
+        let ReplicaResponse::Parts {
+            revision: current,
+            parts,
+        } = known
+        else {
             return;
         };
-        if *of != number {
-            *of = number;
+        if *current != revision {
+            *current = revision;
             parts.clear();
         }
-        if answer.part < wanted {
-            parts.insert(answer.part, answer);
+        if response.part < part_count {
+            parts.insert(response.part, response);
         }
-        if parts.len() < wanted as usize {
+        if parts.len() < part_count as usize {
             return;
         }
         let parts = std::mem::take(parts);
-        self.answers.insert(from, Answer::Complete);
+        self.responses.insert(from, ReplicaResponse::Complete);
         self.first_record_at.get_or_insert(now);
-        let is_newer = |best: &(u64, PreviousFlowRecord)| number > best.0;
+        let is_newer = |best: &(u64, PreviousFlowRecord)| revision > best.0;
         if self.best.as_ref().is_none_or(is_newer) {
-            self.best = Some((number, assemble(parts)));
+            self.best = Some((revision, join_parts(parts)));
         }
     }
 
     /// The newest record so far, if it is newer than the one returned before. The agent can use
     /// it before the recovery ends.
     pub(crate) fn take_newer(&mut self) -> Option<PreviousFlowRecord> {
-        let (number, record) = self.best.as_ref()?;
-        if *number <= self.handed_over {
+        let (revision, record) = self.best.as_ref()?;
+        if *revision <= self.taken_revision {
             return None;
         }
-        self.handed_over = *number;
+        self.taken_revision = *revision;
         Some(record.clone())
     }
 
     fn is_complete(&self, address: &SocketAddrV4) -> bool {
-        matches!(self.answers.get(address), Some(Answer::Complete))
+        matches!(self.responses.get(address), Some(ReplicaResponse::Complete))
     }
 
     /// The result, once the recovery has ended. `known` are the replicas that may respond.
@@ -169,16 +176,16 @@
         known: &BTreeSet<SocketAddrV4>,
     ) -> Option<RecoveryEnd> {
         let after = |at: Option<Timestamp>, time| at.is_some_and(|at| now >= at + time);
-        let all_answered = known.iter().all(|address| self.is_complete(address));
-        let has_learnt = now >= self.started_at + LEARNING_TIME;
-        let is_over = after(self.first_record_at, SETTLE_TIME)
-            || (all_answered && has_learnt && !known.is_empty())
-            || after(self.first_answer_at, SILENCE_LIMIT)
-            || now >= self.started_at + RECALL_LIMIT;
-        if !is_over {
+        let all_responded = known.iter().all(|address| self.is_complete(address));
+        let has_discovered = now >= self.started_at + DISCOVERY_TIME;
+        let has_ended = after(self.first_record_at, SETTLE_TIME)
+            || (all_responded && has_discovered && !known.is_empty())
+            || after(self.first_response_at, SILENCE_TIMEOUT)
+            || now >= self.started_at + RECOVERY_TIMEOUT;
+        if !has_ended {
             return None;
         }
-        let outcome = match (&self.best, self.first_answer_at) {
+        let outcome = match (&self.best, self.first_response_at) {
             (Some(_), _) => RecoveryOutcome::Recalled,
             (None, Some(_)) => RecoveryOutcome::NoRecord,
             (None, None) => RecoveryOutcome::Unanswered,
@@ -186,13 +193,13 @@
         let best = self.best.as_ref();
         Some(RecoveryEnd {
             outcome,
-            revision: best.map_or(0, |(number, _)| *number),
+            revision: best.map_or(0, |(revision, _)| *revision),
             flows: best.map_or(0, |(_, record)| record.flows.len()),
         })
     }
 }
 
-fn assemble(parts: BTreeMap<u32, FlowRecordResponse>) -> PreviousFlowRecord {
+fn join_parts(parts: BTreeMap<u32, FlowRecordResponse>) -> PreviousFlowRecord {
     let mut record = PreviousFlowRecord::default();
     for part in parts.into_values() {
         record.backend_incarnation = part.backend_incarnation;
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -15,11 +15,11 @@
 /// Number of probe packets in the record. All of them must be returned to show that a back
 /// end incarnation has ended: a fourth would shorten the restart probe little, and a single
 /// one may get lost.
-const WITNESSES: usize = 3;
+const MAX_PROBE_PACKETS: usize = 3;
 /// A flow is sent again once its acknowledgement has advanced by this many bytes. A caller
 /// accepts a reset within its receive window, and this leaves half of the smallest usual
 /// window for data in flight.
-const RENEWAL_BYTES: u32 = 2 * ACKNOWLEDGED_STEP_BYTES;
+const MIN_ACK_ADVANCE_BYTES: u32 = 2 * ACKNOWLEDGED_STEP_BYTES;
 /// Flows per part of a change. With the longest encoding of all columns, a part stays below
 /// [`petrellatch_proto::pass_through::MAX_PART_BYTES`].
 const FLOWS_PER_PART: usize = 170;
@@ -41,7 +41,7 @@
 const MAX_FULL_RETRY: Duration = Duration::from_secs(320);
 /// Closed flows that are kept for record replicas that missed their removal. A replica that
 /// missed more is sent the complete record.
-const MAX_ENDS: usize = 4_096;
+const MAX_CLOSED_FLOWS: usize = 4_096;
 
 /// Settings of an agent's flow record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,18 +82,18 @@
 struct Recorded {
     flow: RecordedFlow,
     /// Revision in which the flow was last changed.
-    number: u64,
+    revision: u64,
 }
 
 /// State of one record replica.
 #[derive(Debug, Default)]
-struct Keeper {
+struct RecordReplica {
     /// Revision that it has acknowledged; zero for none.
-    kept: u64,
+    acknowledged_revision: u64,
     /// Parts of a change that are still to be sent.
     parts: VecDeque<FlowRecordChange>,
     /// Earliest time of the next message.
-    next_at: Timestamp,
+    next_send_at: Timestamp,
     /// Time from which the sent change counts as lost.
     resend_at: Timestamp,
     resends: u32,
@@ -108,98 +108,105 @@
 #[derive(Debug)]
 pub(crate) struct FlowRecorder {
     settings: FlowRecordSettings,
-    number: u64,
+    revision: u64,
     /// Whether this incarnation has had anything to record. Until then nothing is sent, so that
     /// the record of the previous incarnation stays.
     has_record: bool,
-    backend: u64,
+    backend_incarnation: u64,
     recorded: HashMap<FlowId, Recorded>,
-    beyond_limit: usize,
+    over_limit: usize,
     /// Closed flows with the revisions that removed them, in that order.
-    ended: VecDeque<(u64, FlowId)>,
+    closed: VecDeque<(u64, FlowId)>,
     /// A replica with an older revision is sent the complete record.
-    ends_since: u64,
-    witnesses: BTreeMap<FlowId, Vec<u8>>,
-    witness_number: u64,
-    keepers: BTreeMap<SocketAddrV4, Keeper>,
+    closed_since: u64,
+    probe_packets: BTreeMap<FlowId, Vec<u8>>,
+    probe_packets_revision: u64,
+    replicas: BTreeMap<SocketAddrV4, RecordReplica>,
 }
 
 impl FlowRecorder {
     pub(crate) fn new(settings: FlowRecordSettings) -> Self {
         FlowRecorder {
             settings,
-            number: 0,
+            revision: 0,
             has_record: false,
-            backend: 0,
+            backend_incarnation: 0,
             recorded: HashMap::new(),
-            beyond_limit: 0,
-            ended: VecDeque::new(),
-            ends_since: 0,
-            witnesses: BTreeMap::new(),
-            witness_number: 0,
-            keepers: BTreeMap::new(),
+            over_limit: 0,
+            closed: VecDeque::new(),
+            closed_since: 0,
+            probe_packets: BTreeMap::new(),
+            probe_packets_revision: 0,
+            replicas: BTreeMap::new(),
         }
     }
 
     /// Continues above the revision of the previous incarnation's record.
-    pub(crate) fn continue_from(&mut self, number: u64) {
-        if number >= self.number {
-            self.number = number;
-            self.ends_since = number;
+    pub(crate) fn continue_from(&mut self, revision: u64) {
+        if revision >= self.revision {
+            self.revision = revision;
+            self.closed_since = revision;
         }
     }
 
     pub(crate) fn stats(&self) -> FlowRecorderStats {
-        let keepers = self.keepers.values();
-        let is_behind = |keeper: &&Keeper| keeper.kept < self.number;
-        let behind = keepers.clone().filter(is_behind).count();
+        let replicas = self.replicas.values();
+        let is_behind = |replica: &&RecordReplica| replica.acknowledged_revision < self.revision;
+        let behind = replicas.clone().filter(is_behind).count();
         FlowRecorderStats {
             recorded: self.recorded.len(),
-            over_limit: self.beyond_limit,
+            over_limit: self.over_limit,
             unacknowledged: if self.has_record { behind } else { 0 },
-            full_replicas: keepers.filter(|keeper| keeper.is_full).count(),
+            full_replicas: replicas.filter(|replica| replica.is_full).count(),
         }
     }
 
     /// Sets the replicas that keep the record. A new one is sent the complete record.
-    pub(crate) fn set_record_replicas(&mut self, keepers: BTreeSet<SocketAddrV4>) {
-        self.keepers.retain(|address, _| keepers.contains(address));
-        for address in keepers {
-            self.keepers.entry(address).or_default();
+    pub(crate) fn set_record_replicas(&mut self, replicas: BTreeSet<SocketAddrV4>) {
+        self.replicas
+            .retain(|address, _| replicas.contains(address));
+        for address in replicas {
+            self.replicas.entry(address).or_default();
         }
     }
 
     /// Compares the flows with the record, and creates a new revision if they differ.
-    pub(crate) fn note_flows(&mut self, now: Timestamp, backend: u64, flows: &AgentFlows) {
+    pub(crate) fn note_flows(
+        &mut self,
+        now: Timestamp,
+        backend_incarnation: u64,
+        flows: &AgentFlows,
+    ) {
         if self.settings.min_flow_age.is_zero() {
             return;
         }
-        let next = self.number + 1;
-        let mut changed = self.drop_ended(next, flows);
-        changed |= self.put_flows(now, next, flows);
-        changed |= self.choose_witnesses(next, flows);
-        let has_other_backend = self.backend != backend && !self.recorded.is_empty();
-        self.backend = backend;
-        if changed || has_other_backend {
-            self.number = next;
+        let next = self.revision + 1;
+        let mut changed = self.remove_closed(next, flows);
+        changed |= self.update_flows(now, next, flows);
+        changed |= self.choose_probe_packets(next, flows);
+        let backend_has_changed =
+            self.backend_incarnation != backend_incarnation && !self.recorded.is_empty();
+        self.backend_incarnation = backend_incarnation;
+        if changed || backend_has_changed {
+            self.revision = next;
             self.has_record = true;
-            self.forget_ends();
+            self.forget_closed();
         }
     }
 
-    fn drop_ended(&mut self, number: u64, flows: &AgentFlows) -> bool {
-        let is_over = |id: &&FlowId| !flows.get(**id).is_some_and(AgentFlow::is_open);
-        let over: Vec<FlowId> = self.recorded.keys().filter(is_over).copied().collect();
-        for id in &over {
+    fn remove_closed(&mut self, revision: u64, flows: &AgentFlows) -> bool {
+        let is_closed = |id: &&FlowId| !flows.get(**id).is_some_and(AgentFlow::is_open);
+        let closed_flows: Vec<FlowId> = self.recorded.keys().filter(is_closed).copied().collect();
+        for id in &closed_flows {
             self.recorded.remove(id);
-            self.ended.push_back((number, *id));
+            self.closed.push_back((revision, *id));
         }
-        !over.is_empty()
+        !closed_flows.is_empty()
     }
 
-    fn put_flows(&mut self, now: Timestamp, number: u64, flows: &AgentFlows) -> bool {
+    fn update_flows(&mut self, now: Timestamp, revision: u64, flows: &AgentFlows) -> bool {
         let mut changed = false;
-        self.beyond_limit = 0;
+        self.over_limit = 0;
         for (id, flow) in flows.iter() {
             let age = now.saturating_since(flow.created_at);
             if !flow.is_confirmed_open() || age < self.settings.min_flow_age {
@@ -209,14 +216,14 @@
             let Some(flow) = recorded_flow(*id, flow, known.as_ref()) else {
                 continue;
             };
-            if known.is_some_and(|known| !is_renewed(&known, &flow)) {
+            if known.is_some_and(|known| !needs_update(&known, &flow)) {
                 continue;
             }
             if known.is_none() && self.recorded.len() >= self.settings.max_flows {
-                self.beyond_limit += 1;
+                self.over_limit += 1;
                 continue;
             }
-            self.recorded.insert(*id, Recorded { flow, number });
+            self.recorded.insert(*id, Recorded { flow, revision });
             changed = true;
         }
         changed
@@ -224,42 +231,46 @@
 
     /// Replaces the probe packets of closed flows. Prefers the flows that have been idle
     /// longest, since these tend to stay open.
-    fn choose_witnesses(&mut self, number: u64, flows: &AgentFlows) -> bool {
+    fn choose_probe_packets(&mut self, revision: u64, flows: &AgentFlows) -> bool {
         let recorded = &self.recorded;
-        let before = self.witnesses.len();
-        self.witnesses.retain(|id, _| recorded.contains_key(id));
-        let mut changed = self.witnesses.len() != before;
-        if self.witnesses.len() < WITNESSES.min(recorded.len()) {
-            let candidate = |id: &FlowId| {
+        let before = self.probe_packets.len();
+        self.probe_packets.retain(|id, _| recorded.contains_key(id));
+        let mut changed = self.probe_packets.len() != before;
+        if self.probe_packets.len() < MAX_PROBE_PACKETS.min(recorded.len()) {
+            let to_candidate = |id: &FlowId| {
                 let flow = flows.get(*id)?;
                 let packet = flow.probe_packet.as_ref()?;
                 Some((flow.last_active_at, *id, packet))
             };
             let unused = recorded.keys();
-            let unused = unused.filter(|id| !self.witnesses.contains_key(*id));
-            let mut unused: Vec<_> = unused.filter_map(candidate).collect();
+            let unused = unused.filter(|id| !self.probe_packets.contains_key(*id));
+            let mut unused: Vec<_> = unused.filter_map(to_candidate).collect();
             unused.sort_unstable();
-            let missing = WITNESSES - self.witnesses.len();
+            let missing = MAX_PROBE_PACKETS - self.probe_packets.len();
             for (_, id, packet) in unused.into_iter().take(missing) {
-                self.witnesses.insert(id, packet.clone());
+                self.probe_packets.insert(id, packet.clone());
                 changed = true;
             }
         }
         if changed {
-            self.witness_number = number;
+            self.probe_packets_revision = revision;
         }
         changed
     }
 
     /// Forgets closed flows that all replicas have removed, and the oldest ones above the limit.
-    fn forget_ends(&mut self) {
-        let kept_by_all = self.keepers.values().map(|keeper| keeper.kept).min();
-        let kept_by_all = kept_by_all.unwrap_or(self.number);
-        while let Some((number, _)) = self.ended.front()
-            && (*number <= kept_by_all || self.ended.len() > MAX_ENDS)
+    fn forget_closed(&mut self) {
+        let acknowledged_by_all = self
+            .replicas
+            .values()
+            .map(|replica| replica.acknowledged_revision)
+            .min();
+        let acknowledged_by_all = acknowledged_by_all.unwrap_or(self.revision);
+        while let Some((revision, _)) = self.closed.front()
+            && (*revision <= acknowledged_by_all || self.closed.len() > MAX_CLOSED_FLOWS)
         {
-            self.ends_since = self.ends_since.max(*number);
-            self.ended.pop_front();
+            self.closed_since = self.closed_since.max(*revision);
+            self.closed.pop_front();
         }
     }
 
@@ -268,43 +279,43 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        own_life: u64,
-        kept: &FlowRecordAck,
+        own_incarnation: u64,
+        ack: &FlowRecordAck,
     ) {
-        if kept.incarnation != own_life {
+        if ack.incarnation != own_incarnation {
             // The replica may have another incarnation's record with a revision that isn't lower.
-            self.continue_above(kept.revision);
+            self.continue_above(ack.revision);
         }
-        let newest = self.number;
-        let Some(keeper) = self.keepers.get_mut(&from) else {
+        let newest = self.revision;
+        let Some(replica) = self.replicas.get_mut(&from) else {
             return;
         };
-        let is_own = kept.incarnation == own_life && kept.revision <= newest;
-        let number = if is_own { kept.revision } else { 0 };
-        keeper.is_full = kept.is_full;
-        if kept.is_full {
-            keeper.kept = 0;
-            keeper.parts.clear();
-            let wait = FULL_RETRY * (1 << keeper.refusals.min(8));
-            keeper.resend_at = now + wait.min(MAX_FULL_RETRY);
-            keeper.refusals += 1;
+        let is_own = ack.incarnation == own_incarnation && ack.revision <= newest;
+        let revision = if is_own { ack.revision } else { 0 };
+        replica.is_full = ack.is_full;
+        if ack.is_full {
+            replica.acknowledged_revision = 0;
+            replica.parts.clear();
+            let wait = FULL_RETRY * (1 << replica.refusals.min(8));
+            replica.resend_at = now + wait.min(MAX_FULL_RETRY);
+            replica.refusals += 1;
             return;
         }
-        keeper.refusals = 0;
-        if number != keeper.kept || !is_own {
-            keeper.kept = number;
-            keeper.parts.clear();
-            keeper.resend_at = now;
-            keeper.resends = 0;
+        replica.refusals = 0;
+        if revision != replica.acknowledged_revision || !is_own {
+            replica.acknowledged_revision = revision;
+            replica.parts.clear();
+            replica.resend_at = now;
+            replica.resends = 0;
         }
     }
 
-    fn continue_above(&mut self, number: u64) {
-        if number >= self.number {
-            self.continue_from(number);
-            self.number += 1;
-            self.ended.clear();
-            self.ends_since = self.number;
+    fn continue_above(&mut self, revision: u64) {
+        if revision >= self.revision {
+            self.continue_from(revision);
+            self.revision += 1;
+            self.closed.clear();
+            self.closed_since = self.revision;
         }
     }
 
@@ -313,13 +324,18 @@
         &mut self,
         now: Timestamp,
         agent: u64,
-        life: u64,
+        incarnation: u64,
     ) -> Vec<(SocketAddrV4, FlowRecordChange)> {
         if !self.has_record {
             return Vec::new();
         }
-        let addresses: Vec<SocketAddrV4> = self.keepers.keys().copied().collect();
-        let next = |address| Some((address, self.next_message(now, address, agent, life)?));
+        let addresses: Vec<SocketAddrV4> = self.replicas.keys().copied().collect();
+        let next = |address| {
+            Some((
+                address,
+                self.next_message(now, address, agent, incarnation)?,
+            ))
+        };
         addresses.into_iter().filter_map(next).collect()
     }
 
@@ -328,66 +344,77 @@
         now: Timestamp,
         address: SocketAddrV4,
         agent: u64,
-        life: u64,
+        incarnation: u64,
     ) -> Option<FlowRecordChange> {
-        let newest = self.number;
-        let keeper = self.keepers.get(&address)?;
-        if now < keeper.next_at {
+        let newest = self.revision;
+        let replica = self.replicas.get(&address)?;
+        if now < replica.next_send_at {
             return None;
         }
-        if keeper.parts.is_empty() {
-            let is_check = keeper.kept == newest;
+        if replica.parts.is_empty() {
+            let is_check = replica.acknowledged_revision == newest;
             let is_due = match is_check {
-                true => now >= keeper.check_at && !self.recorded.is_empty(),
-                false => now >= keeper.resend_at,
+                true => now >= replica.check_at && !self.recorded.is_empty(),
+                false => now >= replica.resend_at,
             };
             if !is_due {
                 return None;
             }
-            let parts = self.change_since(keeper.kept, agent, life);
-            self.keepers.get_mut(&address)?.parts = parts;
+            let parts = self.change_since(replica.acknowledged_revision, agent, incarnation);
+            self.replicas.get_mut(&address)?.parts = parts;
         }
-        let keeper = self.keepers.get_mut(&address)?;
-        let part = keeper.parts.pop_front()?;
+        let replica = self.replicas.get_mut(&address)?;
+        let part = replica.parts.pop_front()?;
         let bytes = prost::Message::encoded_len(&part);
-        keeper.next_at = now + Duration::from_secs(1) * bytes as u32 / BYTES_PER_SECOND as u32;
-        if keeper.parts.is_empty() {
-            let wait = FIRST_RESEND * (1 << keeper.resends.min(8));
-            keeper.resend_at = now + wait.min(MAX_RESEND);
-            keeper.resends += 1;
-            keeper.check_at = now + CHECK_INTERVAL;
+        replica.next_send_at =
+            now + Duration::from_secs(1) * bytes as u32 / BYTES_PER_SECOND as u32;
+        if replica.parts.is_empty() {
+            let wait = FIRST_RESEND * (1 << replica.resends.min(8));
+            replica.resend_at = now + wait.min(MAX_RESEND);
+            replica.resends += 1;
+            replica.check_at = now + CHECK_INTERVAL;
         }
         Some(part)
     }
 
     /// Parts of the change from a replica's revision to the newest one.
-    fn change_since(&self, kept: u64, agent: u64, life: u64) -> VecDeque<FlowRecordChange> {
-        let lost_witnesses = self.witnesses.is_empty() && self.witness_number > kept;
-        let needs_whole = kept < self.ends_since || lost_witnesses;
-        let base = if needs_whole { 0 } else { kept };
+    fn change_since(
+        &self,
+        acknowledged_revision: u64,
+        agent: u64,
+        incarnation: u64,
+    ) -> VecDeque<FlowRecordChange> {
+        let lost_probe_packets =
+            self.probe_packets.is_empty() && self.probe_packets_revision > acknowledged_revision;
+        let needs_complete = acknowledged_revision < self.closed_since || lost_probe_packets;
+        let base_revision = if needs_complete {
+            0
+        } else {
+            acknowledged_revision
+        };
         let put = self.recorded.values();
-        let put = put.filter(|recorded| recorded.number > base);
+        let put = put.filter(|recorded| recorded.revision > base_revision);
         let put: Vec<RecordedFlow> = put.map(|recorded| recorded.flow).collect();
-        let is_removed = |(number, id): &&(u64, FlowId)| {
-            base > 0 && *number > base && !self.recorded.contains_key(id)
+        let is_removed = |(revision, id): &&(u64, FlowId)| {
+            base_revision > 0 && *revision > base_revision && !self.recorded.contains_key(id)
         };
-        let removed = self.ended.iter().filter(is_removed);
+        let removed = self.closed.iter().filter(is_removed);
         let removed: Vec<FlowId> = removed.map(|(_, id)| *id).collect();
         let mut put = put.chunks(FLOWS_PER_PART);
         let mut removed = removed.chunks(FLOWS_PER_PART);
         let parts = put.len().max(removed.len()).max(1);
         let part = |part| FlowRecordChange {
             agent,
-            incarnation: life,
-            backend_incarnation: self.backend,
-            base_revision: base,
-            revision: self.number,
+            incarnation,
+            backend_incarnation: self.backend_incarnation,
+            base_revision,
+            revision: self.revision,
             part: part as u32,
             parts: parts as u32,
             put: to_columns(put.next().unwrap_or_default().iter().copied()),
             removed: to_closed_columns(removed.next().unwrap_or_default()),
             probe_packets: match part {
-                0 => self.witnesses_since(base),
+                0 => self.probe_packets_since(base_revision),
                 _ => Vec::new(),
             },
         };
@@ -396,9 +423,9 @@
 
     /// All probe packets, if any has changed: a replica replaces all that it has. The packet of
     /// a closed flow must not stay, since a back end returns it although it hasn't restarted.
-    fn witnesses_since(&self, base: u64) -> Vec<Vec<u8>> {
-        match self.witness_number > base {
-            true => self.witnesses.values().cloned().collect(),
+    fn probe_packets_since(&self, base_revision: u64) -> Vec<Vec<u8>> {
+        match self.probe_packets_revision > base_revision {
+            true => self.probe_packets.values().cloned().collect(),
             false => Vec::new(),
         }
     }
@@ -415,17 +442,17 @@
     let known = known.map(|known| known.sequence);
     let sequence = flow.sequence.or(known).or(flow.acknowledged)?;
     let ahead = flow.acknowledged.unwrap_or(sequence).wrapping_sub(sequence);
-    let told = ahead / ACKNOWLEDGED_STEP_BYTES * ACKNOWLEDGED_STEP_BYTES;
+    let rounded_down = ahead / ACKNOWLEDGED_STEP_BYTES * ACKNOWLEDGED_STEP_BYTES;
     Some(RecordedFlow {
         id,
         sequence,
-        acknowledged: sequence.wrapping_add(told),
+        acknowledged: sequence.wrapping_add(rounded_down),
     })
 }
 
 /// Whether a flow differs so much from its record that it is sent again.
-fn is_renewed(known: &RecordedFlow, flow: &RecordedFlow) -> bool {
+fn needs_update(known: &RecordedFlow, flow: &RecordedFlow) -> bool {
     let ahead = flow.acknowledged.wrapping_sub(known.acknowledged);
-    let has_moved = (RENEWAL_BYTES..1 << 31).contains(&ahead);
-    known.sequence != flow.sequence || has_moved
+    let has_advanced = (MIN_ACK_ADVANCE_BYTES..1 << 31).contains(&ahead);
+    known.sequence != flow.sequence || has_advanced
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -19,10 +19,10 @@
 use crate::pass_through::packet::PacketView;
 
 /// Maximum number of buffered packets of one flow; a caller has this many in flight.
-const MAX_WAITING: usize = 16;
+const MAX_BUFFERED_PACKETS: usize = 16;
 /// Maximum number of speculative deliveries of a flow while some agents haven't replied, so
 /// that the owner may be among those.
-const MAX_STRANGERS: usize = 2;
+const MAX_NON_OWNERS: usize = 2;
 /// Duration of a round. Agents that haven't replied by then count as missing.
 pub(super) const QUERY_ROUND: Duration = Duration::from_millis(60);
 /// Maximum number of times that the interval between rounds doubles.
@@ -30,29 +30,29 @@
 /// Number of rounds for which the search for a flow closed by its caller waits for a
 /// complete directory. Its back end may wait for the FIN; if the owner isn't found, the
 /// caller retransmits the FIN.
-const ENDED_ROUNDS: u32 = 3;
+const MAX_CLOSED_FLOW_ROUNDS: u32 = 3;
 /// Maximum number of missing agents that are named in the log.
-const MAX_NAMED: usize = 3;
+const MAX_LOGGED_AGENTS: usize = 3;
 /// A search ends when its caller has been silent for this time.
-const SEARCH_LIMIT: Duration = Duration::from_millis(2_500);
+const SEARCH_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Reply of one agent for a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum SearchAnswer {
+enum SearchReply {
     /// Queried, no reply yet.
     Missing,
     /// Its back end may own the flow.
-    Uncertain,
+    PossiblyOwned,
     /// Its back end got a speculative delivery.
-    Tried,
+    Delivered,
     /// Its back end doesn't own the flow.
-    Lacks,
+    NotOwned,
 }
 
 /// An agent that was queried.
 #[derive(Clone, Copy, Debug)]
-struct AskedAgent {
-    answer: SearchAnswer,
+struct QueriedAgent {
+    reply: SearchReply,
     /// See [`SearchTarget::is_expected`].
     is_expected: bool,
     /// See [`SearchTarget::has_backend`].
@@ -107,25 +107,25 @@
     /// Latest acknowledgement number of the caller.
     acknowledged: u32,
     /// Buffered packets, oldest first.
-    waiting: VecDeque<Vec<u8>>,
+    buffered: VecDeque<Vec<u8>>,
     /// Whether the caller has sent data and awaits a response.
-    awaits_answer: bool,
+    awaits_response: bool,
     /// Whether the caller has closed the flow.
-    ended: bool,
+    caller_closed: bool,
     started_at: Timestamp,
-    packet_at: Timestamp,
+    last_packet_at: Timestamp,
     rounds: u32,
     /// Start of the latest round.
-    pub(super) asked_at: Timestamp,
+    pub(super) round_started_at: Timestamp,
     /// Total number of agents that the directory had added by then.
-    asked_of: u64,
+    agents_at_round_start: u64,
     /// Start of the next round.
     pub(super) due_at: Timestamp,
-    agents: BTreeMap<SocketAddrV4, AskedAgent>,
+    agents: BTreeMap<SocketAddrV4, QueriedAgent>,
     /// Number of speculative deliveries.
-    tries: usize,
+    delivery_count: usize,
     /// Whether the oldest buffered packet was delivered speculatively.
-    first_is_tried: bool,
+    first_is_delivered: bool,
 }
 
 impl FlowSearch {
@@ -134,18 +134,18 @@
             service,
             scope: SearchScope::Service,
             acknowledged: 0,
-            waiting: VecDeque::new(),
-            awaits_answer: false,
-            ended: false,
+            buffered: VecDeque::new(),
+            awaits_response: false,
+            caller_closed: false,
             started_at: now,
-            packet_at: now,
+            last_packet_at: now,
             rounds: 0,
-            asked_at: now,
-            asked_of: 0,
+            round_started_at: now,
+            agents_at_round_start: 0,
             due_at: now,
             agents: BTreeMap::new(),
-            tries: 0,
-            first_is_tried: false,
+            delivery_count: 0,
+            first_is_delivered: false,
         }
     }
 
@@ -167,7 +167,7 @@
 
     /// Total number of agents that the directory had added when the latest round began.
     pub(crate) fn agents_known_when_queried(&self) -> u64 {
-        self.asked_of
+        self.agents_at_round_start
     }
 
     pub(crate) fn acknowledged(&self) -> u32 {
@@ -176,12 +176,12 @@
 
     /// Whether the caller has sent a packet since the search began.
     pub(crate) fn has_packet(&self) -> bool {
-        !self.waiting.is_empty()
+        !self.buffered.is_empty()
     }
 
     /// Whether the caller awaits a response and hasn't closed the flow.
     pub(crate) fn caller_awaits_response(&self) -> bool {
-        self.awaits_answer && !self.ended
+        self.awaits_response && !self.caller_closed
     }
 
     pub(crate) fn rounds(&self) -> u32 {
@@ -194,32 +194,32 @@
 
     /// Packet for speculative deliveries: the oldest buffered one.
     pub(crate) fn packet_to_deliver(&self) -> Option<&Vec<u8>> {
-        self.waiting.front()
+        self.buffered.front()
     }
 
     /// Buffered packets that weren't delivered. The one that was delivered speculatively has
     /// reached the back end, if the owner was found by it.
     pub(crate) fn into_undelivered(mut self) -> VecDeque<Vec<u8>> {
-        if self.first_is_tried {
-            self.waiting.pop_front();
+        if self.first_is_delivered {
+            self.buffered.pop_front();
         }
-        self.waiting
+        self.buffered
     }
 
     pub(super) fn note_packet(&mut self, now: Timestamp, view: &PacketView, packet: &[u8]) {
-        self.packet_at = now;
+        self.last_packet_at = now;
         self.acknowledged = view.ack_number;
-        self.awaits_answer |= view.data_bytes > 0;
-        self.ended |= view.fin || view.rst;
-        let is_copy = self.waiting.iter().any(|waiting| waiting == packet);
-        if is_copy {
+        self.awaits_response |= view.data_bytes > 0;
+        self.caller_closed |= view.fin || view.rst;
+        let is_duplicate = self.buffered.iter().any(|buffered| buffered == packet);
+        if is_duplicate {
             return;
         }
-        if self.waiting.len() == MAX_WAITING {
-            self.waiting.pop_front();
-            self.first_is_tried = false;
+        if self.buffered.len() == MAX_BUFFERED_PACKETS {
+            self.buffered.pop_front();
+            self.first_is_delivered = false;
         }
-        self.waiting.push_back(packet.to_vec());
+        self.buffered.push_back(packet.to_vec());
     }
 
     /// Records that the back end of an agent returned a packet of the flow.
@@ -229,11 +229,11 @@
         agent: SocketAddrV4,
         returned: &ReturnedPacket,
     ) {
-        self.packet_at = now;
+        self.last_packet_at = now;
         self.acknowledged = returned.acknowledged;
-        self.awaits_answer |= returned.carried_data;
-        let known = AskedAgent {
-            answer: SearchAnswer::Lacks,
+        self.awaits_response |= returned.carried_data;
+        let known = QueriedAgent {
+            reply: SearchReply::NotOwned,
             is_expected: true,
             has_backend: true,
         };
@@ -242,12 +242,12 @@
 
     /// Those of `agents` that haven't replied that they don't own the flow.
     pub(super) fn undecided(&self, agents: &[SearchTarget]) -> Vec<SocketAddrV4> {
-        let lacks = |agent: &&SearchTarget| {
+        let not_owned = |agent: &&SearchTarget| {
             let known = self.agents.get(&agent.address);
-            known.is_some_and(|it| it.answer == SearchAnswer::Lacks)
+            known.is_some_and(|it| it.reply == SearchReply::NotOwned)
         };
-        let unsettled = agents.iter().filter(|agent| !lacks(agent));
-        unsettled.map(|agent| agent.address).collect()
+        let undecided = agents.iter().filter(|agent| !not_owned(agent));
+        undecided.map(|agent| agent.address).collect()
     }
 
     /// Begins a round. Returns which of `agents` to query: those that haven't replied that they
@@ -257,54 +257,54 @@
         &mut self,
         now: Timestamp,
         agents: &[SearchTarget],
-        added: u64,
+        total_added: u64,
     ) -> Vec<SocketAddrV4> {
         self.rounds += 1;
-        self.asked_of = added;
+        self.agents_at_round_start = total_added;
         if self.scope == SearchScope::AllNext {
             self.scope = SearchScope::All;
         }
-        self.asked_at = now;
+        self.round_started_at = now;
         self.due_at = now + QUERY_ROUND * (1 << (self.rounds - 1).min(MAX_ROUND_DOUBLINGS));
-        let lacks = |agent: &AskedAgent| agent.answer == SearchAnswer::Lacks;
-        self.agents.retain(|_, agent| lacks(agent));
-        let mut asked = Vec::new();
+        let not_owned = |agent: &QueriedAgent| agent.reply == SearchReply::NotOwned;
+        self.agents.retain(|_, agent| not_owned(agent));
+        let mut queried = Vec::new();
         for agent in agents {
             if self.agents.contains_key(&agent.address) {
                 continue;
             }
-            let asked_agent = AskedAgent {
-                answer: SearchAnswer::Missing,
+            let queried_agent = QueriedAgent {
+                reply: SearchReply::Missing,
                 is_expected: agent.is_expected,
                 has_backend: agent.has_backend,
             };
-            self.agents.insert(agent.address, asked_agent);
-            asked.push(agent.address);
+            self.agents.insert(agent.address, queried_agent);
+            queried.push(agent.address);
         }
-        asked
+        queried
     }
 
     pub(crate) fn note_not_owned(&mut self, agent: SocketAddrV4, certain: bool) {
-        let Some(asked) = self.agents.get_mut(&agent) else {
+        let Some(queried) = self.agents.get_mut(&agent) else {
             return;
         };
         if certain {
-            asked.answer = SearchAnswer::Lacks;
-        } else if asked.answer == SearchAnswer::Missing {
-            asked.answer = SearchAnswer::Uncertain;
+            queried.reply = SearchReply::NotOwned;
+        } else if queried.reply == SearchReply::Missing {
+            queried.reply = SearchReply::PossiblyOwned;
         }
     }
 
     /// Returns the next step. `directory_is_complete` says whether the balancer knew every
     /// running agent when the round began.
-    pub(crate) fn next_step(&mut self, now: Timestamp, whole_directory: bool) -> SearchStep {
+    pub(crate) fn next_step(&mut self, now: Timestamp, directory_is_complete: bool) -> SearchStep {
         if self.rounds == 0 {
             return SearchStep::Wait;
         }
-        let is_due = now.saturating_since(self.asked_at) >= QUERY_ROUND;
+        let is_due = now.saturating_since(self.round_started_at) >= QUERY_ROUND;
         let missing = match is_due {
-            true => self.expected(),
-            false => self.count(SearchAnswer::Missing),
+            true => self.expected_missing(),
+            false => self.count(SearchReply::Missing),
         };
         if missing > 0 && !is_due {
             return SearchStep::Wait;
@@ -314,94 +314,94 @@
             SearchScope::AllNext => return SearchStep::Wait,
             SearchScope::All => {}
         }
-        let uncertain = self.count(SearchAnswer::Uncertain);
-        let tried = self.count(SearchAnswer::Tried);
-        let is_complete = missing == 0 && whole_directory && self.most_have_answered();
-        if uncertain > 0 {
-            let are_few = uncertain + self.tries <= MAX_STRANGERS;
-            let may_try = is_complete || (are_few && is_due);
-            return match may_try && !self.waiting.is_empty() {
-                true => SearchStep::DeliverSpeculatively(self.note_tried()),
+        let possibly_owned = self.count(SearchReply::PossiblyOwned);
+        let delivered = self.count(SearchReply::Delivered);
+        let is_complete = missing == 0 && directory_is_complete && self.most_have_replied();
+        if possibly_owned > 0 {
+            let is_few = possibly_owned + self.delivery_count <= MAX_NON_OWNERS;
+            let may_deliver = is_complete || (is_few && is_due);
+            return match may_deliver && !self.buffered.is_empty() {
+                true => SearchStep::DeliverSpeculatively(self.note_delivered()),
                 false => SearchStep::Wait,
             };
         }
-        if self.ended && missing == 0 && self.is_end_settled(whole_directory) {
+        if self.caller_closed && missing == 0 && self.closed_search_is_over(directory_is_complete) {
             return SearchStep::CallerClosed;
         }
-        let may_reset = self.caller_awaits_response() && !self.may_be_at_silent_agent();
-        match is_complete && tried == 0 && may_reset {
+        let may_reset = self.caller_awaits_response() && !self.silent_agent_may_own();
+        match is_complete && delivered == 0 && may_reset {
             true => SearchStep::Orphaned,
             false => SearchStep::Wait,
         }
     }
 
     /// Whether no agent that replies owns a flow that its caller has closed.
-    fn is_end_settled(&self, whole_directory: bool) -> bool {
-        let has_waited = whole_directory || self.rounds >= ENDED_ROUNDS;
-        let some_lack = self.count(SearchAnswer::Lacks) > 0;
-        let none_tried = self.count(SearchAnswer::Tried) == 0;
-        has_waited && some_lack && none_tried && self.most_have_answered()
+    fn closed_search_is_over(&self, directory_is_complete: bool) -> bool {
+        let has_waited = directory_is_complete || self.rounds >= MAX_CLOSED_FLOW_ROUNDS;
+        let some_do_not_own = self.count(SearchReply::NotOwned) > 0;
+        let none_delivered = self.count(SearchReply::Delivered) == 0;
+        has_waited && some_do_not_own && none_delivered && self.most_have_replied()
     }
 
     /// Number of agents with this reply.
-    fn count(&self, answer: SearchAnswer) -> usize {
+    fn count(&self, reply: SearchReply) -> usize {
         let agents = self.agents.values();
-        agents.filter(|agent| agent.answer == answer).count()
+        agents.filter(|agent| agent.reply == reply).count()
     }
 
     /// Whether an agent that hasn't replied may own the flow.
-    fn may_be_at_silent_agent(&self) -> bool {
+    fn silent_agent_may_own(&self) -> bool {
         let mut agents = self.agents.values();
-        agents.any(|it| it.has_backend && it.answer == SearchAnswer::Missing)
+        agents.any(|it| it.has_backend && it.reply == SearchReply::Missing)
     }
 
     /// Whether more than half of the agents have replied. Otherwise the fault is likely to be on
     /// the balancer's side.
-    fn most_have_answered(&self) -> bool {
-        let missing = self.count(SearchAnswer::Missing);
+    fn most_have_replied(&self) -> bool {
+        let missing = self.count(SearchReply::Missing);
         missing * 2 < self.agents.len()
     }
 
     /// Number of agents that are expected to reply and haven't.
-    fn expected(&self) -> usize {
-        let is_awaited = |it: &&AskedAgent| it.is_expected && it.answer == SearchAnswer::Missing;
-        self.agents.values().filter(is_awaited).count()
+    fn expected_missing(&self) -> usize {
+        let is_pending = |it: &&QueriedAgent| it.is_expected && it.reply == SearchReply::Missing;
+        self.agents.values().filter(is_pending).count()
     }
 
-    fn note_tried(&mut self) -> Vec<SocketAddrV4> {
-        let mut tried = Vec::new();
+    fn note_delivered(&mut self) -> Vec<SocketAddrV4> {
+        let mut delivered = Vec::new();
         for (address, agent) in &mut self.agents {
-            if agent.answer == SearchAnswer::Uncertain {
-                agent.answer = SearchAnswer::Tried;
-                tried.push(*address);
+            if agent.reply == SearchReply::PossiblyOwned {
+                agent.reply = SearchReply::Delivered;
+                delivered.push(*address);
             }
         }
-        self.tries += tried.len();
-        self.first_is_tried = true;
-        tried
+        self.delivery_count += delivered.len();
+        self.first_is_delivered = true;
+        delivered
     }
 
     /// Replies of the agents, for the log.
     pub(crate) fn summary(&self) -> String {
-        let missing = self.count(SearchAnswer::Missing);
-        let uncertain = self.count(SearchAnswer::Uncertain);
-        let tried = self.count(SearchAnswer::Tried);
-        let lacks = self.count(SearchAnswer::Lacks);
+        let missing = self.count(SearchReply::Missing);
+        let possibly_owned = self.count(SearchReply::PossiblyOwned);
+        let delivered = self.count(SearchReply::Delivered);
+        let not_owned = self.count(SearchReply::NotOwned);
         let rounds = self.rounds;
-        let expected = self.expected();
-        let named = self.missing_names();
+        let expected = self.expected_missing();
+        let names = self.missing_names();
         format!(
-            "rounds={rounds} missing={missing} expected={expected} uncertain={uncertain} tried={tried} lacks={lacks}{named}"
+            "rounds={rounds} missing={missing} expected={expected} uncertain={possibly_owned} tried={delivered} lacks={not_owned}{names}"
         )
     }
 
     /// Some of the missing agents, for the log. Those that can block a decision come first.
     fn missing_names(&self) -> String {
-        let is_missing = |agent: &AskedAgent| agent.answer == SearchAnswer::Missing;
+        let is_missing = |agent: &QueriedAgent| agent.reply == SearchReply::Missing;
         let missing = self.agents.iter().filter(|(_, agent)| is_missing(agent));
         let mut missing: Vec<_> = missing.collect();
         missing.sort_by_key(|(_, agent)| (!agent.has_backend, !agent.is_expected));
-        let names = missing.iter().take(MAX_NAMED);
+        let names = missing.iter().take(MAX_LOGGED_AGENTS);
         let names: Vec<String> = names.map(|(address, _)| address.to_string()).collect();
         match names.is_empty() {
             true => String::new(),
@@ -412,11 +412,14 @@
     /// State of the caller, for the log. A caller that awaits no response, or that has closed
     /// the flow, is sent no reset for an orphaned flow.
     pub(crate) fn caller_summary(&self) -> String {
-        format!("awaits={} ended={}", self.awaits_answer, self.ended)
+        format!(
+            "awaits={} ended={}",
+            self.awaits_response, self.caller_closed
+        )
     }
 
     /// Whether the caller has been silent for so long that it has given up.
     pub(crate) fn has_timed_out(&self, now: Timestamp) -> bool {
-        now.saturating_since(self.packet_at) >= SEARCH_LIMIT
+        now.saturating_since(self.last_packet_at) >= SEARCH_TIMEOUT
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
@@ -15,7 +15,7 @@
 /// Maximum number of concurrent searches. Further ones aren't started: callers retransmit.
 const MAX_SEARCHES: usize = 8_192;
 /// How long flows are batched, so that one message covers many.
-const GATHERING: Duration = Duration::from_millis(3);
+const BATCH_TIME: Duration = Duration::from_millis(3);
 
 /// All searches of a balancer.
 #[derive(Debug, Default)]
@@ -24,9 +24,9 @@
     /// Flows with the ends of their rounds.
     due: BTreeSet<(Timestamp, FlowId)>,
     /// Flows whose round begins with the next queries.
-    unasked: Vec<FlowId>,
+    unqueried: Vec<FlowId>,
     /// Earliest time of the next queries; until then flows are batched.
-    ask_at: Timestamp,
+    query_at: Timestamp,
 }
 
 impl FlowSearches {
@@ -43,11 +43,11 @@
             return false;
         };
         search.note_packet(now, view, packet);
-        let is_settled = now.saturating_since(search.asked_at) >= QUERY_ROUND;
+        let round_is_over = now.saturating_since(search.round_started_at) >= QUERY_ROUND;
         let due = (search.due_at, flow);
-        if !is_new && is_settled && self.due.remove(&due) {
+        if !is_new && round_is_over && self.due.remove(&due) {
             // The caller has sent again, so the next round begins early.
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
         is_new
     }
@@ -77,7 +77,7 @@
         }
         if is_new {
             self.searches.insert(flow, FlowSearch::new(now, service));
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
         self.searches.get_mut(&flow).map(|search| (search, is_new))
     }
@@ -98,7 +98,7 @@
             return;
         };
         if self.due.remove(&(search.due_at, flow)) {
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
     }
 
@@ -115,8 +115,8 @@
     /// Time of the next queries or of the next end of a round.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         let round_end = self.due.first().map(|(due_at, _)| *due_at);
-        let ask_at = (!self.unasked.is_empty()).then_some(self.ask_at);
-        ask_at.into_iter().chain(round_end).min()
+        let query_at = (!self.unqueried.is_empty()).then_some(self.query_at);
+        query_at.into_iter().chain(round_end).min()
     }
 
     /// Takes the flows whose rounds have ended. They are queried again unless they are removed.
@@ -133,7 +133,7 @@
 
     /// Begins the next round of a flow with the next queries.
     pub(crate) fn query_again(&mut self, flow: FlowId) {
-        self.unasked.push(flow);
+        self.unqueried.push(flow);
     }
 
     /// Begins the next round of a flow with the next queries, for the agents of all services.
@@ -143,17 +143,17 @@
         };
         search.query_all();
         if self.due.remove(&(search.due_at, flow)) {
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
     }
 
     /// Takes the flows to query now, if queries are due.
     pub(crate) fn take_unqueried(&mut self, now: Timestamp) -> Vec<FlowId> {
-        if now < self.ask_at || self.unasked.is_empty() {
+        if now < self.query_at || self.unqueried.is_empty() {
             return Vec::new();
         }
-        self.ask_at = now + GATHERING;
-        std::mem::take(&mut self.unasked)
+        self.query_at = now + BATCH_TIME;
+        std::mem::take(&mut self.unqueried)
     }
 
     /// Begins a round of one flow, unless `try_spend` denies the budget to query its agents.
@@ -163,20 +163,20 @@
         now: Timestamp,
         flow: FlowId,
         agents: &[SearchTarget],
-        added: u64,
-        take_budget: impl FnOnce(&Vec<SocketAddrV4>) -> bool,
+        total_added: u64,
+        try_spend: impl FnOnce(&Vec<SocketAddrV4>) -> bool,
     ) -> Vec<SocketAddrV4> {
         let Some(search) = self.searches.get_mut(&flow) else {
             return Vec::new();
         };
-        let asked = match take_budget(&search.undecided(agents)) {
-            true => search.begin_round(now, agents, added),
+        let queried = match try_spend(&search.undecided(agents)) {
+            true => search.begin_round(now, agents, total_added),
             false => {
                 search.due_at = now + QUERY_ROUND;
                 Vec::new()
             }
         };
         self.due.insert((search.due_at, flow));
-        asked
+        queried
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
@@ -26,9 +26,9 @@
 impl QueryBudget {
     /// Creates a full bucket. `link_bytes_per_second` is none if the link has no limit.
     pub(crate) fn new(now: Timestamp, link_bytes_per_second: Option<u64>) -> Self {
-        let share = link_bytes_per_second.map(|bytes| bytes / 100 * LINK_PERCENT);
+        let limit = link_bytes_per_second.map(|bytes| bytes / 100 * LINK_PERCENT);
         let bytes_per_second =
-            share.map_or(MAX_BYTES_PER_SECOND, |it| it.clamp(1, MAX_BYTES_PER_SECOND));
+            limit.map_or(MAX_BYTES_PER_SECOND, |it| it.clamp(1, MAX_BYTES_PER_SECOND));
         QueryBudget {
             bytes_per_second,
             tokens: tokens_of(bytes_per_second, BURST),
--- a/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/recorded_flow.rs
@@ -23,9 +23,9 @@
     /// Whether a packet with this acknowledgement number belongs to the flow, and not to another
     /// one between the same endpoints.
     pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
-        let known = self.acknowledged.wrapping_sub(self.sequence);
-        let ahead = acknowledged.wrapping_sub(self.sequence);
-        ahead < known.saturating_add(SEQUENCE_WINDOW)
+        let known_advance = self.acknowledged.wrapping_sub(self.sequence);
+        let advance = acknowledged.wrapping_sub(self.sequence);
+        advance < known_advance.saturating_add(SEQUENCE_WINDOW)
     }
 }
 
@@ -45,14 +45,14 @@
     let mut columns = FlowColumns::default();
     for flow in flows {
         let route = pack_address(flow.id.route);
-        let known = columns.routes.iter().position(|it| *it == route);
-        let place = known.unwrap_or_else(|| {
+        let known_index = columns.routes.iter().position(|it| *it == route);
+        let index = known_index.unwrap_or_else(|| {
             columns.routes.push(route);
             columns.routes.len() - 1
         });
         let ahead = flow.acknowledged.wrapping_sub(flow.sequence);
         columns.callers.push(pack_address(flow.id.caller));
-        columns.route_indexes.push(place as u32);
+        columns.route_indexes.push(index as u32);
         columns.sequences.push(flow.sequence);
         columns
             .acknowledged_steps
@@ -63,12 +63,12 @@
 
 /// Decodes flows from columns, skipping incomplete ones.
 pub(crate) fn from_columns(columns: &FlowColumns) -> Vec<RecordedFlow> {
-    let flow = |place: usize| {
-        let route = *columns.route_indexes.get(place)?;
+    let flow = |index: usize| {
+        let route = *columns.route_indexes.get(index)?;
         let route: SocketAddrV4 = unpack_address(*columns.routes.get(route as usize)?);
-        let caller = unpack_address(*columns.callers.get(place)?);
-        let sequence = *columns.sequences.get(place)?;
-        let steps = *columns.acknowledged_steps.get(place)?;
+        let caller = unpack_address(*columns.callers.get(index)?);
+        let sequence = *columns.sequences.get(index)?;
+        let steps = *columns.acknowledged_steps.get(index)?;
         let ahead = steps.wrapping_mul(ACKNOWLEDGED_STEP_BYTES);
         Some(RecordedFlow {
             id: FlowId { caller, route },
--- a/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -16,51 +16,51 @@
 
 /// How long the first replies are aggregated: agents of other zones reply within a few
 /// milliseconds, and a balancer's round takes 60 ms.
-const FIRST_GATHERING: Duration = Duration::from_millis(12);
+const FIRST_AGGREGATION: Duration = Duration::from_millis(12);
 /// How long later replies are aggregated.
-const LATER_GATHERING: Duration = Duration::from_millis(25);
+const LATER_AGGREGATION: Duration = Duration::from_millis(25);
 /// Later replies are dropped: the balancer has queried again.
-const QUESTION_LIMIT: Duration = Duration::from_millis(600);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum number of concurrent queries. Each balancer has a few of them and spreads them
 /// over all agents. Above the limit the oldest query is dropped.
-const MAX_QUESTIONS: usize = 512;
+const MAX_QUERIES: usize = 512;
 
 /// Replies for one flow of a query.
 #[derive(Debug)]
-struct FlowAnswers {
+struct FlowReplies {
     flow: FlowId,
-    certain: AgentSet,
-    uncertain: AgentSet,
-    held: AgentSet,
+    not_owned: AgentSet,
+    possibly_owned: AgentSet,
+    owned: AgentSet,
 }
 
 /// Reply of one agent for a flow.
 #[derive(Clone, Copy, Debug)]
-enum Answer {
-    Certain,
-    Uncertain,
-    Held,
+enum Reply {
+    NotOwned,
+    PossiblyOwned,
+    Owned,
 }
 
 /// A balancer's query, with the replies so far.
 #[derive(Debug)]
-struct GatheredQuestion {
+struct RelayedQuery {
     balancer: SocketAddrV4,
-    number: u64,
+    query_id: u64,
     /// Agents in the order of the query, this agent last.
     agents: Vec<SocketAddrV4>,
-    flows: Vec<FlowAnswers>,
+    flows: Vec<FlowReplies>,
     /// Number of agents that haven't replied.
-    awaited: usize,
+    missing_replies: usize,
     /// Time at which new replies are sent to the balancer.
-    tell_at: Option<Timestamp>,
+    send_at: Option<Timestamp>,
     ends_at: Timestamp,
 }
 
 /// All queries that this agent relays.
 #[derive(Debug, Default)]
 pub(crate) struct RelayedQueries {
-    questions: VecDeque<GatheredQuestion>,
+    queries: VecDeque<RelayedQuery>,
 }
 
 impl RelayedQueries {
@@ -70,28 +70,28 @@
         &mut self,
         now: Timestamp,
         balancer: SocketAddrV4,
-        seek: &FlowQuery,
+        flow_query: &FlowQuery,
         own: SocketAddrV4,
     ) {
-        if self.questions.len() == MAX_QUESTIONS {
-            self.questions.pop_front();
+        if self.queries.len() == MAX_QUERIES {
+            self.queries.pop_front();
         }
-        let others = seek.relay_to.iter().copied().map(unpack_address);
+        let others = flow_query.relay_to.iter().copied().map(unpack_address);
         let agents: Vec<SocketAddrV4> = others.chain([own]).collect();
-        let flows = seek.flows.iter().map(|sought| FlowAnswers {
-            flow: sought.flow.into(),
-            certain: AgentSet::default(),
-            uncertain: AgentSet::default(),
-            held: AgentSet::default(),
+        let flows = flow_query.flows.iter().map(|queried| FlowReplies {
+            flow: queried.flow.into(),
+            not_owned: AgentSet::default(),
+            possibly_owned: AgentSet::default(),
+            owned: AgentSet::default(),
         });
-        self.questions.push_back(GatheredQuestion {
+        self.queries.push_back(RelayedQuery {
             balancer,
-            number: seek.query_id,
+            query_id: flow_query.query_id,
             flows: flows.collect(),
-            awaited: agents.len(),
+            missing_replies: agents.len(),
             agents,
-            tell_at: None,
-            ends_at: now + QUESTION_LIMIT,
+            send_at: None,
+            ends_at: now + QUERY_TIMEOUT,
         });
     }
 
@@ -100,14 +100,14 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        lacks: &FlowsNotOwned,
+        reply: &FlowsNotOwned,
     ) {
-        let certain = lacks.not_owned.iter().map(|flow| (*flow, Answer::Certain));
-        let uncertain = lacks
+        let not_owned = reply.not_owned.iter().map(|flow| (*flow, Reply::NotOwned));
+        let possibly_owned = reply
             .possibly_owned
             .iter()
-            .map(|flow| (*flow, Answer::Uncertain));
-        self.handle_answers(now, from, certain.chain(uncertain));
+            .map(|flow| (*flow, Reply::PossiblyOwned));
+        self.handle_replies(now, from, not_owned.chain(possibly_owned));
     }
 
     /// Handles an agent's reply about flows that its back end owns. The balancer gets it too.
@@ -115,94 +115,93 @@
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        holds: &FlowsOwned,
+        reply: &FlowsOwned,
     ) {
-        let held = holds.flows.iter().map(|held| (held.flow, Answer::Held));
-        self.handle_answers(now, from, held);
+        let owned = reply.flows.iter().map(|owned| (owned.flow, Reply::Owned));
+        self.handle_replies(now, from, owned);
     }
 
-    fn handle_answers(
+    fn handle_replies(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answers: impl Iterator<Item = (FlowMessage, Answer)>,
+        replies: impl Iterator<Item = (FlowMessage, Reply)>,
     ) {
-        let answers: HashMap<FlowId, Answer> =
-            answers.map(|(flow, it)| (flow.into(), it)).collect();
-        for question in &mut self.questions {
-            question.handle_answers(now, from, &answers);
+        let replies: HashMap<FlowId, Reply> = replies.map(|(flow, it)| (flow.into(), it)).collect();
+        for query in &mut self.queries {
+            query.handle_replies(now, from, &replies);
         }
     }
 
     /// Takes the messages to send to balancers now.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<(SocketAddrV4, AggregatedReplies)> {
         let mut due = Vec::new();
-        for question in &mut self.questions {
-            if question.tell_at.is_some_and(|at| at <= now) {
-                question.tell_at = None;
-                due.push((question.balancer, question.answers()));
+        for query in &mut self.queries {
+            if query.send_at.is_some_and(|at| at <= now) {
+                query.send_at = None;
+                due.push((query.balancer, query.aggregated_replies()));
             }
         }
-        self.questions
-            .retain(|question| now < question.ends_at && !question.is_complete());
+        self.queries
+            .retain(|query| now < query.ends_at && !query.is_complete());
         due
     }
 
     /// When [`RelayedQueries::take_due`] returns messages next, or a query expires.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
-        let told = self.questions.iter().filter_map(|it| it.tell_at).min();
-        let ended = self.questions.iter().map(|it| it.ends_at).min();
-        told.into_iter().chain(ended).min()
+        let next_send = self.queries.iter().filter_map(|it| it.send_at).min();
+        let next_expiry = self.queries.iter().map(|it| it.ends_at).min();
+        next_send.into_iter().chain(next_expiry).min()
     }
 }
 
-impl GatheredQuestion {
-    fn handle_answers(
+impl RelayedQuery {
+    fn handle_replies(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answers: &HashMap<FlowId, Answer>,
+        replies: &HashMap<FlowId, Reply>,
     ) {
         let Some(agent) = self.agents.iter().position(|agent| *agent == from) else {
             return;
         };
-        let mut is_news = false;
-        for gathered in &mut self.flows {
-            is_news |= match answers.get(&gathered.flow) {
-                Some(Answer::Certain) => gathered.certain.insert(agent),
-                Some(Answer::Uncertain) => gathered.uncertain.insert(agent),
-                Some(Answer::Held) => gathered.held.insert(agent),
+        let mut has_changed = false;
+        for entry in &mut self.flows {
+            has_changed |= match replies.get(&entry.flow) {
+                Some(Reply::NotOwned) => entry.not_owned.insert(agent),
+                Some(Reply::PossiblyOwned) => entry.possibly_owned.insert(agent),
+                Some(Reply::Owned) => entry.owned.insert(agent),
                 None => false,
             };
         }
-        if !is_news {
+        if !has_changed {
             return;
         }
-        self.awaited = self.awaited.saturating_sub(1);
-        let started_at = self.ends_at - QUESTION_LIMIT;
-        let first_at = started_at + FIRST_GATHERING;
-        let tell_at = match self.awaited {
+        self.missing_replies = self.missing_replies.saturating_sub(1);
+        let started_at = self.ends_at - QUERY_TIMEOUT;
+        let first_at = started_at + FIRST_AGGREGATION;
+        let send_at = match self.missing_replies {
             0 => now,
             _ if now <= first_at => first_at,
-            _ => now + LATER_GATHERING,
+            _ => now + LATER_AGGREGATION,
         };
-        self.tell_at = Some(self.tell_at.map_or(tell_at, |at| at.min(tell_at)));
+        self.send_at = Some(self.send_at.map_or(send_at, |at| at.min(send_at)));
     }
 
     /// Whether all agents have replied and the balancer was sent all replies.
     fn is_complete(&self) -> bool {
-        self.awaited == 0 && self.tell_at.is_none()
+        self.missing_replies == 0 && self.send_at.is_none()
     }
 
-    fn answers(&self) -> AggregatedReplies {
-        let flows = self.flows.iter().map(|answers| AggregatedFlowReply {
-            flow: answers.flow.into(),
-            not_owned: answers.certain.to_bytes(),
-            possibly_owned: answers.uncertain.to_bytes(),
-            owned: answers.held.to_bytes(),
+    fn aggregated_replies(&self) -> AggregatedReplies {
+        let flows = self.flows.iter().map(|replies| AggregatedFlowReply {
+            flow: replies.flow.into(),
+            not_owned: replies.not_owned.to_bytes(),
+            possibly_owned: replies.possibly_owned.to_bytes(),
+            owned: replies.owned.to_bytes(),
         });
         AggregatedReplies {
-            query_id: self.number,
+            query_id: self.query_id,
             flows: flows.collect(),
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -18,9 +18,9 @@
 
 /// Number of probes in the first round. This many (or all, if there are fewer flows) must be
 /// returned before flows that weren't probed count as orphaned.
-const WITNESSES: usize = 3;
+const MIN_PROBES: usize = 3;
 /// Factor by which the number of new probes grows after a round with returned packets.
-const GROWTH: usize = 4;
+const BATCH_GROWTH: usize = 4;
 /// Maximum number of new probes in a round: more may overflow the back end's queue.
 const MAX_BATCH: usize = 64;
 /// Duration of a round. A back end that doesn't own a flow returns its packet by then.
@@ -29,7 +29,7 @@
 const MAX_SILENT_ROUNDS: u32 = 3;
 /// Maximum number of times that the packet of one flow is sent. Its caller may have opened
 /// another flow between the same endpoints, at another back end.
-const MAX_HANDINGS: u32 = 2;
+const MAX_SENDS_PER_FLOW: u32 = 2;
 
 /// A flow of an incarnation that may have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +46,7 @@
 enum Evidence {
     None,
     /// The flow's packet was sent this many times and wasn't returned.
-    Handed(u32),
+    Sent(u32),
     /// The back end returned a packet of the flow.
     Returned,
     /// The back end sent a packet of the flow.
@@ -95,7 +95,7 @@
         flows.sort_by_key(|it| (it.seen_at, it.flow.id));
         RestartProbe {
             flows: flows.into_iter().map(|it| (it, Evidence::None)).collect(),
-            batch: WITNESSES,
+            batch: MIN_PROBES,
             silent_rounds: 0,
             returned_in_round: 0,
             round_ends_at: now,
@@ -122,7 +122,7 @@
             return None;
         }
         // A flow with traffic of the back end was closed since, and proves nothing about others.
-        if matches!(evidence, Evidence::None | Evidence::Handed(_)) {
+        if matches!(evidence, Evidence::None | Evidence::Sent(_)) {
             *evidence = Evidence::Returned;
             self.returned_in_round += 1;
         }
@@ -138,57 +138,58 @@
 
     /// Returns the next step.
     pub(crate) fn next_step(&mut self, now: Timestamp) -> RestartProbeStep {
-        let is_awaited = |it: &(ProbedFlow, Evidence)| matches!(it.1, Evidence::Handed(_));
-        let is_awaited = self.flows.iter().any(is_awaited);
-        if is_awaited && now < self.round_ends_at {
+        let is_pending = |it: &(ProbedFlow, Evidence)| matches!(it.1, Evidence::Sent(_));
+        let awaits_return = self.flows.iter().any(is_pending);
+        if awaits_return && now < self.round_ends_at {
             return RestartProbeStep::Wait;
         }
         self.end_round();
         let picked = match self.silent_rounds <= MAX_SILENT_ROUNDS {
-            true => self.pick_witnesses(),
+            true => self.pick_flows(),
             false => Vec::new(),
         };
         if picked.is_empty() {
-            return RestartProbeStep::End(self.verdict());
+            return RestartProbeStep::End(self.result());
         }
         self.round_ends_at = now + ROUND;
-        RestartProbeStep::Send(self.hand(&picked))
+        RestartProbeStep::Send(self.send(&picked))
     }
 
     fn end_round(&mut self) {
         match std::mem::take(&mut self.returned_in_round) {
             0 => {
                 self.silent_rounds += 1;
-                self.batch = WITNESSES;
+                self.batch = MIN_PROBES;
             }
             _ => {
                 self.silent_rounds = 0;
-                self.batch = (self.batch * GROWTH).min(MAX_BATCH);
+                self.batch = (self.batch * BATCH_GROWTH).min(MAX_BATCH);
             }
         }
     }
 
     /// Indexes of the flows to probe next: again those whose packets weren't returned, and some
     /// new ones.
-    fn pick_witnesses(&self) -> Vec<usize> {
-        let places = |wanted: fn(&(ProbedFlow, Evidence)) -> bool| {
+    fn pick_flows(&self) -> Vec<usize> {
+        let indexes = |is_selected: fn(&(ProbedFlow, Evidence)) -> bool| {
             let flows = self.flows.iter().enumerate();
             flows
-                .filter(move |(_, it)| wanted(it))
-                .map(|(place, _)| place)
+                .filter(move |(_, it)| is_selected(it))
+                .map(|(index, _)| index)
         };
-        let again = places(|it| matches!(it.1, Evidence::Handed(times) if times < MAX_HANDINGS));
-        let fresh = places(|it| it.1 == Evidence::None && it.0.probe_packet.is_some());
-        again.chain(fresh.take(self.batch)).collect()
+        let again =
+            indexes(|it| matches!(it.1, Evidence::Sent(times) if times < MAX_SENDS_PER_FLOW));
+        let unprobed = indexes(|it| it.1 == Evidence::None && it.0.probe_packet.is_some());
+        again.chain(unprobed.take(self.batch)).collect()
     }
 
-    fn hand(&mut self, places: &[usize]) -> Vec<Vec<u8>> {
+    fn send(&mut self, indexes: &[usize]) -> Vec<Vec<u8>> {
         let mut packets = Vec::new();
-        for place in places {
-            let (flow, evidence) = &mut self.flows[*place];
+        for index in indexes {
+            let (flow, evidence) = &mut self.flows[*index];
             *evidence = match *evidence {
-                Evidence::Handed(times) => Evidence::Handed(times + 1),
-                _ => Evidence::Handed(1),
+                Evidence::Sent(times) => Evidence::Sent(times + 1),
+                _ => Evidence::Sent(1),
             };
             packets.extend(flow.probe_packet.clone());
         }
@@ -199,21 +200,21 @@
         self.flows.iter_mut().find(|(it, _)| it.flow.id == id)
     }
 
-    fn verdict(&self) -> RestartProbeResult {
-        let count = |wanted: fn(&Evidence) -> bool| {
+    fn result(&self) -> RestartProbeResult {
+        let count = |is_selected: fn(&Evidence) -> bool| {
             let evidence = self.flows.iter().map(|(_, evidence)| evidence);
-            evidence.filter(|it| wanted(it)).count()
+            evidence.filter(|it| is_selected(it)).count()
         };
-        let witnesses = count(|it| *it != Evidence::None);
+        let probes = count(|it| *it != Evidence::None);
         let returned = count(|it| *it == Evidence::Returned);
-        let is_over = returned > 0 && returned >= self.flows.len().min(WITNESSES);
-        let all_returned = is_over && witnesses == returned;
-        let rest = self.flows.iter().filter(|(_, it)| *it == Evidence::None);
-        let rest = rest.map(|(probed, _)| probed.flow);
+        let has_ended = returned > 0 && returned >= self.flows.len().min(MIN_PROBES);
+        let all_returned = has_ended && probes == returned;
+        let unprobed = self.flows.iter().filter(|(_, it)| *it == Evidence::None);
+        let unprobed = unprobed.map(|(probed, _)| probed.flow);
         RestartProbeResult {
-            has_ended: is_over,
-            orphaned: rest.filter(|_| all_returned).collect(),
-            probes: witnesses,
+            has_ended,
+            orphaned: unprobed.filter(|_| all_returned).collect(),
+            probes,
             returned,
         }
     }
--- a/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
@@ -10,12 +10,12 @@
 use crate::pass_through::packet::FlowId;
 
 /// Minimum interval between speculative deliveries of one flow.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
+const REPEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// A back end that neither responded nor returned the packet by then hasn't received it.
-const TRY_LIMIT: Duration = Duration::from_secs(3);
+const DELIVERY_TTL: Duration = Duration::from_secs(3);
 /// Maximum number of stored flows of each kind. Packets of further flows may be delivered
 /// repeatedly.
-const MAX_REMEMBERED: usize = 1 << 16;
+const MAX_FLOWS: usize = 1 << 16;
 
 /// A flow whose packet is at the back end.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
     pub(crate) balancer: SocketAddrV4,
     /// Whether the balancer is to be notified at once if the packet is returned.
     pub(crate) report_return: bool,
-    tried_at: Timestamp,
+    delivered_at: Timestamp,
 }
 
 /// Flows that were delivered speculatively, and those that the back end doesn't own.
@@ -44,16 +44,19 @@
         now: Timestamp,
         flow: FlowId,
         balancer: SocketAddrV4,
-        tells_return: bool,
+        report_return: bool,
     ) -> bool {
-        let former = self.pending.get(&flow).map(|former| former.tried_at);
-        let repeated = former.filter(|at| now.saturating_since(*at) < REPEAT_PAUSE);
+        let previous = self
+            .pending
+            .get(&flow)
+            .map(|previous| previous.delivered_at);
+        let repeated = previous.filter(|at| now.saturating_since(*at) < REPEAT_INTERVAL);
         let pending = PendingDelivery {
             balancer,
-            report_return: tells_return,
-            tried_at: repeated.unwrap_or(now),
+            report_return,
+            delivered_at: repeated.unwrap_or(now),
         };
-        if former.is_some() || self.pending.len() < MAX_REMEMBERED {
+        if previous.is_some() || self.pending.len() < MAX_FLOWS {
             self.pending.insert(flow, pending);
         }
         repeated.is_none()
@@ -66,7 +69,7 @@
 
     /// Records that the back end doesn't own a flow.
     pub(crate) fn note_returned(&mut self, now: Timestamp, flow: FlowId) {
-        if self.returned.len() < MAX_REMEMBERED {
+        if self.returned.len() < MAX_FLOWS {
             self.returned.insert(flow, now);
         }
     }
@@ -82,10 +85,10 @@
     }
 
     /// Forgets old flows; `flow_ttl` is the maximum lifetime of a flow.
-    pub(crate) fn expire(&mut self, now: Timestamp, lifetime: Duration) {
+    pub(crate) fn expire(&mut self, now: Timestamp, flow_ttl: Duration) {
         let age = |at: Timestamp| now.saturating_since(at);
         self.pending
-            .retain(|_, pending| age(pending.tried_at) < TRY_LIMIT);
-        self.returned.retain(|_, at| age(*at) < lifetime);
+            .retain(|_, pending| age(pending.delivered_at) < DELIVERY_TTL);
+        self.returned.retain(|_, at| age(*at) < flow_ttl);
     }
 }
