--- a/crates/petrellatch-core/tests/pass_through/codec.rs
+++ b/crates/petrellatch-core/tests/pass_through/codec.rs
@@ -1,4 +1,4 @@
-//! A packet format for tests: the fields of the view, one after the other.
+//! A packet format for tests: the fields of the view in a fixed order.
 
 use std::net::SocketAddrV4;
 
@@ -8,31 +8,32 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TestCodec;
 
-const BYTES: usize = 27;
+const HEADER_BYTES: usize = 27;
 
 impl PacketCodec for TestCodec {
     fn view(&self, packet: &[u8]) -> Option<PacketView> {
-        let head = packet.first_chunk::<BYTES>()?;
-        let data_bytes = u16::from_be_bytes([head[25], head[26]]);
-        let has_data = packet.len() == BYTES + usize::from(data_bytes);
-        if packet.len() != BYTES && !has_data {
+        let header = packet.first_chunk::<HEADER_BYTES>()?;
+        let data_bytes = u16::from_be_bytes([header[25], header[26]]);
+        let has_data = packet.len() == HEADER_BYTES + usize::from(data_bytes);
+        if packet.len() != HEADER_BYTES && !has_data {
             return None;
         }
-        let packet = head;
-        let number =
-            |place: usize| u64::from_be_bytes(packet[place..place + 8].try_into().unwrap());
-        let small = |place: usize| u32::from_be_bytes(packet[place..place + 4].try_into().unwrap());
+        let packet = header;
+        let read_u64 =
+            |offset: usize| u64::from_be_bytes(packet[offset..offset + 8].try_into().unwrap());
+        let read_u32 =
+            |offset: usize| u32::from_be_bytes(packet[offset..offset + 4].try_into().unwrap());
         let flags = packet[24];
         Some(PacketView {
-            source: unpack_address(number(0)),
-            destination: unpack_address(number(8)),
+            source: unpack_address(read_u64(0)),
+            destination: unpack_address(read_u64(8)),
             syn: flags & 1 != 0,
             ack: flags & 2 != 0,
             fin: flags & 4 != 0,
             rst: flags & 8 != 0,
             returned: flags & 16 != 0,
-            sequence_number: small(16),
-            ack_number: small(20),
+            sequence_number: read_u32(16),
+            ack_number: read_u32(20),
             data_bytes,
         })
     }
@@ -62,10 +63,10 @@
     }
 }
 
-/// A packet with all its data; most tests leave that out.
+/// A packet with its data, which [`encode`] omits.
 pub fn encode_with_data(view: &PacketView) -> Vec<u8> {
     let mut packet = encode(view);
-    packet.resize(BYTES + usize::from(view.data_bytes), 0);
+    packet.resize(HEADER_BYTES + usize::from(view.data_bytes), 0);
     packet
 }
 
@@ -75,7 +76,7 @@
         .iter()
         .enumerate()
         .map(|(bit, set)| u8::from(*set) << bit);
-    let mut packet = Vec::with_capacity(BYTES);
+    let mut packet = Vec::with_capacity(HEADER_BYTES);
     packet.extend(pack_address(view.source).to_be_bytes());
     packet.extend(pack_address(view.destination).to_be_bytes());
     packet.extend(view.sequence_number.to_be_bytes());
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -1,4 +1,4 @@
-//! The record of open flows that outlives an agent.
+//! Flow records, which survive a restart of their agent.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn only_changes(body: &PassThroughBody) -> bool {
+fn is_change(body: &PassThroughBody) -> bool {
     matches!(body, PassThroughBody::FlowRecordChange(_))
 }
 
-fn only_acknowledgements(body: &PassThroughBody) -> bool {
+fn is_ack(body: &PassThroughBody) -> bool {
     matches!(body, PassThroughBody::FlowRecordAck(_))
 }
 
-fn only_questions(body: &PassThroughBody) -> bool {
+fn is_request(body: &PassThroughBody) -> bool {
     matches!(body, PassThroughBody::FlowRecordRequest(_))
 }
 
-fn only_answers(body: &PassThroughBody) -> bool {
+fn is_response(body: &PassThroughBody) -> bool {
     matches!(body, PassThroughBody::FlowRecordResponse(_))
 }
 
-/// A world whose three replicas keep so many flows.
+/// A world whose three replicas have the record of this many flows.
 fn world_with(flows: u16) -> RecordWorld {
     let mut world = RecordWorld::new(3);
     (1..=flows).for_each(|port| world.open(port));
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn open_flows_are_told_to_all_keepers_and_then_only_what_changed() {
+fn changes_are_sent_once_to_each_record_replica() {
     let mut world = world_with(3);
     for number in 1..=3 {
-        assert_eq!(world.kept_at(replica(number)), [1, 2, 3]);
+        assert_eq!(world.recorded_ports(replica(number)), [1, 2, 3]);
     }
     world.changes.clear();
     world.open(4);
-    world.end(2);
+    world.close(2);
     world.run(3 * SECOND);
     for number in 1..=3 {
-        assert_eq!(world.kept_at(replica(number)), [1, 3, 4]);
+        assert_eq!(world.recorded_ports(replica(number)), [1, 3, 4]);
     }
     assert!(
         world
@@ -62,7 +62,11 @@
         .changes
         .iter()
         .map(|(_, _, change)| change.put.callers.len());
-    assert_eq!(put.sum::<usize>(), 3, "the new one, to each keeper once");
+    assert_eq!(
+        put.sum::<usize>(),
+        3,
+        "the new flow, once to each record replica"
+    );
 }
 
 #[test]
@@ -72,14 +76,14 @@
         world.open(port);
         world.run(20 * MILLI);
         if port > 40 {
-            world.end(port - 40);
+            world.close(port - 40);
         }
     }
-    assert!(world.changes.is_empty(), "each lived for 0.8 s");
+    assert!(world.changes.is_empty(), "each flow was open for 0.8 s");
 }
 
 #[test]
-fn a_record_in_parts_stays_within_its_bounds() {
+fn record_parts_respect_size_and_rate_limits() {
     let world = world_with(1_000);
     for number in 1..=3 {
         let to = |to| to == replica(number);
@@ -100,10 +104,10 @@
 }
 
 #[test]
-fn flows_that_rest_cost_one_small_question_in_a_while() {
+fn idle_flows_cause_only_rare_small_checks() {
     let mut world = world_with(1_000);
     world.run(30 * SECOND);
-    assert_eq!(world.kept_at(replica(1)).len(), 1_000);
+    assert_eq!(world.recorded_ports(replica(1)).len(), 1_000);
     world.changes.clear();
     world.run(60 * SECOND);
     assert!(world.changes.len() <= 3 * 3, "{}", world.changes.len());
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn an_acknowledgement_is_told_again_once_it_has_moved_on() {
+fn an_advanced_acknowledgement_is_sent_again() {
     let mut world = world_with(1);
     world.changes.clear();
     world.acknowledge(1, 30 * 1024);
@@ -125,30 +129,25 @@
     world.acknowledge(1, 50 * 1024);
     world.run(2 * SECOND);
     assert_eq!(world.changes.len(), 3);
-    let answers = world.ask(replica(1));
-    assert_eq!(answers[0].flows.acknowledged_steps, [3]);
+    let responses = world.request_record(replica(1));
+    assert_eq!(responses[0].flows.acknowledged_steps, [3]);
 }
 
 #[test]
-fn any_message_may_get_lost() {
-    for kind in [
-        only_changes,
-        only_acknowledgements,
-        only_questions,
-        only_answers,
-    ] {
+fn any_kind_of_message_may_get_lost() {
+    for kind in [is_change, is_ack, is_request, is_response] {
         let mut world = RecordWorld::new(3);
-        (world.loses, world.to_lose) = (kind, 4);
+        (world.drop_filter, world.drops_left) = (kind, 4);
         world.open(1);
         world.run(2 * SECOND);
         world.open(2);
-        world.end(1);
+        world.close(1);
         world.run(8 * SECOND);
-        assert_eq!(world.kept_at(replica(1)), [2]);
+        assert_eq!(world.recorded_ports(replica(1)), [2]);
         assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
         world.start_agent();
         world.run(3 * SECOND);
-        assert_eq!(world.to_lose, 0, "they did get lost");
+        assert_eq!(world.drops_left, 0, "all of them were dropped");
         assert_eq!(
             world.agent.recovery_outcome(),
             Some(RecoveryOutcome::Recalled)
@@ -159,47 +158,47 @@
 #[test]
 fn a_replica_that_missed_changes_gets_them() {
     let mut world = world_with(3);
-    world.cut.insert(replica(2));
+    world.unreachable.insert(replica(2));
     for port in 4..9 {
         world.open(port);
-        world.end(port - 3);
+        world.close(port - 3);
         world.run(SECOND);
     }
-    assert_eq!(world.kept_at(replica(2)), [1, 2, 3]);
+    assert_eq!(world.recorded_ports(replica(2)), [1, 2, 3]);
     assert_eq!(world.agent.flow_record_stats().unacknowledged, 1);
-    world.cut.clear();
+    world.unreachable.clear();
     world.run(10 * SECOND);
-    assert_eq!(world.kept_at(replica(2)), [6, 7, 8]);
+    assert_eq!(world.recorded_ports(replica(2)), [6, 7, 8]);
     assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
 }
 
 #[test]
-fn a_replica_that_lost_everything_gets_the_whole() {
+fn a_replica_that_lost_its_file_gets_the_complete_record() {
     let mut world = world_with(3);
     world.files.clear();
     world.start_replica(replica(1));
-    assert!(world.kept_at(replica(1)).is_empty());
+    assert!(world.recorded_ports(replica(1)).is_empty());
     world.run(25 * SECOND);
-    assert_eq!(world.kept_at(replica(1)), [1, 2, 3]);
+    assert_eq!(world.recorded_ports(replica(1)), [1, 2, 3]);
 }
 
 #[test]
-fn an_agent_that_starts_again_is_told_of_its_former_life() {
+fn a_restarted_agent_recovers_its_flow_record() {
     let mut world = world_with(600);
     world.run(10 * SECOND);
     world.start_agent();
     world.run(2 * SECOND);
-    let told = world.told(EventKind::FormerFlowsRecalled);
-    assert_eq!(told.len(), 1, "once");
+    let subjects = world.event_subjects(EventKind::FormerFlowsRecalled);
+    assert_eq!(subjects.len(), 1, "one recovery");
     assert!(
-        told[0].contains("outcome=Recalled flows=600 "),
+        subjects[0].contains("outcome=Recalled flows=600 "),
         "{}",
-        told[0]
+        subjects[0]
     );
 }
 
 #[test]
-fn the_record_outlives_a_loss_of_power_of_all() {
+fn the_record_survives_a_power_loss_of_all_processes() {
     let mut world = world_with(5);
     world.run(2 * SECOND);
     for number in 1..=3 {
@@ -207,48 +206,58 @@
     }
     world.start_agent();
     world.run(3 * SECOND);
-    let told = world.told(EventKind::FormerFlowsRecalled);
-    assert!(told[0].contains("outcome=Recalled flows=5 "), "{}", told[0]);
+    let subjects = world.event_subjects(EventKind::FormerFlowsRecalled);
+    assert!(
+        subjects[0].contains("outcome=Recalled flows=5 "),
+        "{}",
+        subjects[0]
+    );
 }
 
 #[test]
-fn replicas_that_come_later_than_the_agent_are_still_asked() {
+fn replicas_that_start_after_the_agent_still_get_requests() {
     let mut world = world_with(5);
     world.start_agent();
-    world.cut.extend([replica(1), replica(2), replica(3)]);
+    world
+        .unreachable
+        .extend([replica(1), replica(2), replica(3)]);
     world.open(77);
     world.run(4 * SECOND);
     assert_eq!(world.agent.recovery_outcome(), None);
-    world.cut.clear();
+    world.unreachable.clear();
     world.run(SECOND);
-    let told = world.told(EventKind::FormerFlowsRecalled);
-    assert!(told[0].contains("outcome=Recalled flows=5 "), "{}", told[0]);
+    let subjects = world.event_subjects(EventKind::FormerFlowsRecalled);
+    assert!(
+        subjects[0].contains("outcome=Recalled flows=5 "),
+        "{}",
+        subjects[0]
+    );
     world.run(4 * SECOND);
     assert_eq!(
-        world.kept_at(replica(3)),
+        world.recorded_ports(replica(3)),
         [1, 2, 3, 4, 5, 77],
-        "the new life's takes its place, with the flows that it took over"
+        "the new incarnation's record replaces it, with the flows taken over"
     );
 }
 
 #[test]
-fn what_a_former_life_told_stays_until_it_was_recalled() {
+fn the_previous_record_stays_until_it_is_recovered() {
     let mut world = world_with(5);
-    (world.loses, world.to_lose) = (only_answers, usize::MAX);
+    (world.drop_filter, world.drops_left) = (is_response, usize::MAX);
     world.changes.clear();
     world.start_agent();
     world.open(77);
     world.run(5 * SECOND);
-    assert!(world.changes.is_empty(), "nothing may take its place");
-    world.to_lose = 0;
-    assert_eq!(world.kept_at(replica(1)), [1, 2, 3, 4, 5]);
+    assert!(world.changes.is_empty(), "no change may replace the record");
+    world.drops_left = 0;
+    assert_eq!(world.recorded_ports(replica(1)), [1, 2, 3, 4, 5]);
     world.run(2 * SECOND);
-    let told = world.told(EventKind::FormerFlowsRecalled);
-    assert!(told[0].contains("flows=5 "), "{}", told[0]);
+    let subjects = world.event_subjects(EventKind::FormerFlowsRecalled);
+    assert!(subjects[0].contains("flows=5 "), "{}", subjects[0]);
 }
 
 #[test]
-fn replicas_that_the_agent_learns_of_later_are_asked() {
+fn replicas_discovered_later_get_requests() {
     let mut world = world_with(5);
     world.replicas.remove(&replica(1));
     world.start_agent_with(vec![replica(1)]);
@@ -270,41 +279,46 @@
 }
 
 #[test]
-fn the_newest_of_several_records_is_taken() {
+fn the_newest_of_several_records_is_used() {
     let mut world = world_with(5);
-    world.cut.insert(replica(1));
+    world.unreachable.insert(replica(1));
     world.open(6);
     world.run(3 * SECOND);
-    world.cut.clear();
-    world.cut.extend([replica(2), replica(3)]);
+    world.unreachable.clear();
+    world.unreachable.extend([replica(2), replica(3)]);
     world.start_agent();
     world.run(200 * MILLI);
-    world.cut.clear();
+    world.unreachable.clear();
     world.run(2 * SECOND);
-    let told = world.told(EventKind::FormerFlowsRecalled);
-    assert!(told[0].contains("flows=6 "), "{}", told[0]);
+    let subjects = world.event_subjects(EventKind::FormerFlowsRecalled);
+    assert!(subjects[0].contains("flows=6 "), "{}", subjects[0]);
 }
 
 #[test]
-fn numbers_of_a_new_life_are_above_those_of_the_former() {
+fn a_new_incarnation_uses_higher_revisions() {
     let mut world = world_with(5);
-    let former = world.ask(replica(1))[0].revision;
+    let previous = world.request_record(replica(1))[0].revision;
     world.changes.clear();
     world.start_agent();
     world.open(9);
     world.run(4 * SECOND);
     assert!(!world.changes.is_empty());
-    assert!(world.changes.iter().all(|(_, _, it)| it.revision > former));
-    // The back end lives on: its flows are taken over, and told again.
-    assert_eq!(world.kept_at(replica(2)), [1, 2, 3, 4, 5, 9]);
+    assert!(
+        world
+            .changes
+            .iter()
+            .all(|(_, _, it)| it.revision > previous)
+    );
+    // The back end still runs: its flows are taken over and recorded again.
+    assert_eq!(world.recorded_ports(replica(2)), [1, 2, 3, 4, 5, 9]);
 }
 
 #[test]
-fn a_life_that_could_not_ask_replaces_the_former_record_at_last() {
+fn an_agent_without_responses_replaces_the_record_after_the_timeout() {
     let mut world = world_with(5);
-    world.end(5);
+    world.close(5);
     world.run(3 * SECOND);
-    (world.loses, world.to_lose) = (only_answers, usize::MAX);
+    (world.drop_filter, world.drops_left) = (is_response, usize::MAX);
     world.start_agent();
     world.run(31 * SECOND);
     assert_eq!(
@@ -313,33 +327,33 @@
     );
     world.open(9);
     world.run(4 * SECOND);
-    world.to_lose = 0;
+    world.drops_left = 0;
     for number in 1..=3 {
-        assert_eq!(world.kept_at(replica(number)), [9]);
+        assert_eq!(world.recorded_ports(replica(number)), [9]);
     }
 }
 
 #[test]
-fn nobody_is_asked_on_the_first_start_or_with_the_record_switched_off() {
+fn no_requests_on_the_first_start_or_with_the_record_disabled() {
     let mut world = world_with(1);
-    assert_eq!(world.recalls, 0);
-    let off = FlowRecordSettings {
+    assert_eq!(world.record_requests, 0);
+    let disabled = FlowRecordSettings {
         min_flow_age: Duration::ZERO,
         ..FlowRecordSettings::default()
     };
-    let mut off = RecordWorld::with(3, off, ConfigurationNodeSettings::default());
-    for world in [&mut off, &mut world] {
+    let mut disabled_world = RecordWorld::with(3, disabled, ConfigurationNodeSettings::default());
+    for world in [&mut disabled_world, &mut world] {
         world.changes.clear();
     }
-    off.start_agent();
-    off.open(1);
-    off.run(5 * SECOND);
-    assert!(off.changes.is_empty());
-    assert_eq!(off.recalls, 0);
+    disabled_world.start_agent();
+    disabled_world.open(1);
+    disabled_world.run(5 * SECOND);
+    assert!(disabled_world.changes.is_empty());
+    assert_eq!(disabled_world.record_requests, 0);
 }
 
 #[test]
-fn a_replica_without_room_keeps_nothing_of_the_record() {
+fn a_full_replica_keeps_no_part_of_the_record() {
     let node = ConfigurationNodeSettings {
         max_flow_record_bytes: 8 * 1024,
         ..ConfigurationNodeSettings::default()
@@ -347,23 +361,27 @@
     let mut world = RecordWorld::with(3, FlowRecordSettings::default(), node);
     world.open(1);
     world.run(2 * SECOND);
-    assert_eq!(world.kept_at(replica(1)), [1]);
+    assert_eq!(world.recorded_ports(replica(1)), [1]);
     (2..400).for_each(|port| world.open(port));
     world.run(20 * SECOND);
-    assert!(world.kept_at(replica(1)).is_empty());
+    assert!(world.recorded_ports(replica(1)).is_empty());
     let now = world.now;
-    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
-    assert!(kept.bytes <= 8 * 1024 && kept.refused > 0, "{kept:?}");
-    assert!(kept.refused < 8, "it is not asked all the time: {kept:?}");
+    let stats = world.replica_mut(replica(1)).flow_record_stats(now);
+    assert!(stats.bytes <= 8 * 1024 && stats.refused > 0, "{stats:?}");
+    assert!(stats.refused < 8, "retries are rare: {stats:?}");
     assert_eq!(world.agent.flow_record_stats().full_replicas, 3);
-    assert_eq!(world.told(EventKind::FlowRecordRefused).len(), 3);
-    (2..400).for_each(|port| world.end(port));
+    assert_eq!(world.event_subjects(EventKind::FlowRecordRefused).len(), 3);
+    (2..400).for_each(|port| world.close(port));
     world.run(60 * SECOND);
-    assert_eq!(world.kept_at(replica(1)), [1], "there is room again");
+    assert_eq!(
+        world.recorded_ports(replica(1)),
+        [1],
+        "the record fits again"
+    );
 }
 
 #[test]
-fn neither_small_records_nor_parts_of_large_ones_pass_the_bound() {
+fn neither_small_records_nor_parts_of_large_ones_exceed_the_limit() {
     let node = ConfigurationNodeSettings {
         max_flow_record_bytes: 8 * 1024,
         ..ConfigurationNodeSettings::default()
@@ -383,72 +401,83 @@
             world
                 .replica_mut(replica(1))
                 .handle_message(now, AGENT, body);
-            let kept = world.replica_mut(replica(1)).flow_record_stats(now);
-            assert!(kept.bytes <= 8 * 1024, "{kept:?}");
+            let stats = world.replica_mut(replica(1)).flow_record_stats(now);
+            assert!(stats.bytes <= 8 * 1024, "{stats:?}");
         }
-        let kept = world.replica_mut(replica(1)).flow_record_stats(now);
-        assert!(kept.refused > 900, "{kept:?}");
+        let stats = world.replica_mut(replica(1)).flow_record_stats(now);
+        assert!(stats.refused > 900, "{stats:?}");
     }
 }
 
 #[test]
-fn an_agent_records_so_many_flows_and_counts_the_rest() {
-    let few = FlowRecordSettings {
+fn an_agent_records_up_to_max_flows_and_counts_the_rest() {
+    let settings = FlowRecordSettings {
         max_flows: 10,
         ..FlowRecordSettings::default()
     };
-    let mut world = RecordWorld::with(3, few, ConfigurationNodeSettings::default());
+    let mut world = RecordWorld::with(3, settings, ConfigurationNodeSettings::default());
     (1..=15).for_each(|port| world.open(port));
     world.run(3 * SECOND);
-    assert_eq!(world.kept_at(replica(1)).len(), 10);
-    let figures = world.agent.flow_record_stats();
-    assert_eq!((figures.recorded, figures.over_limit), (10, 5));
+    assert_eq!(world.recorded_ports(replica(1)).len(), 10);
+    let stats = world.agent.flow_record_stats();
+    assert_eq!((stats.recorded, stats.over_limit), (10, 5));
 }
 
 #[test]
-fn a_disk_that_fails_costs_the_file_only() {
+fn a_failing_disk_affects_only_the_file() {
     let mut world = RecordWorld::new(3);
     world.disk = Disk::Fails;
     world.open(1);
     world.run(10 * SECOND);
-    assert_eq!(world.kept_at(replica(1)), [1], "in memory");
-    let told = world.told(EventKind::FlowRecordsNotSaved).len();
-    assert_eq!(told, 3, "each replica says it once");
+    assert_eq!(
+        world.recorded_ports(replica(1)),
+        [1],
+        "the record is in memory"
+    );
+    let subjects = world.event_subjects(EventKind::FlowRecordsNotSaved).len();
+    assert_eq!(subjects, 3, "one event from each replica");
     assert!(
-        world.written <= 9,
-        "{}: tried again at a pace",
-        world.written
+        world.writes <= 9,
+        "{} writes: retries must be rare",
+        world.writes
     );
     world.disk = Disk::Works;
     world.run(6 * SECOND);
     world.start_replica(replica(1));
-    assert_eq!(world.kept_at(replica(1)), [1]);
+    assert_eq!(world.recorded_ports(replica(1)), [1]);
 }
 
 #[test]
-fn a_disk_that_stands_still_holds_nobody_up() {
+fn a_stalled_disk_does_not_block_the_replica() {
     let mut world = RecordWorld::new(3);
     world.disk = Disk::Stalls;
     for port in 1..50 {
         world.open(port);
         world.run(SECOND);
     }
-    assert_eq!(world.written, 3, "one write a replica at a time");
+    assert_eq!(world.writes, 3, "one write per replica at a time");
     assert_eq!(world.agent.flow_record_stats().unacknowledged, 0);
-    assert!(world.kept_at(replica(1)).len() >= 47);
+    assert!(world.recorded_ports(replica(1)).len() >= 47);
 }
 
 #[test]
-fn what_cannot_be_read_costs_that_record_only() {
+fn an_unreadable_record_is_dropped_and_sent_again() {
     let mut world = world_with(2);
     world.files.insert(replica(1), vec![vec![0xFF; 9]]);
     world.start_replica(replica(1));
-    assert!(world.kept_at(replica(1)).is_empty());
-    assert_eq!(world.told(EventKind::FlowRecordsNotSaved).len(), 1);
+    assert!(world.recorded_ports(replica(1)).is_empty());
+    assert_eq!(
+        world.event_subjects(EventKind::FlowRecordsNotSaved).len(),
+        1
+    );
     world.run(25 * SECOND);
-    assert_eq!(world.kept_at(replica(1)), [1, 2]);
+    assert_eq!(world.recorded_ports(replica(1)), [1, 2]);
     world.start_replica(replica(1));
-    assert_eq!(world.kept_at(replica(1)), [1, 2], "the file was made anew");
+    assert_eq!(
+        world.recorded_ports(replica(1)),
+        [1, 2],
+        "the file was rewritten"
+    );
 }
 
 #[test]
@@ -459,72 +488,72 @@
         let first = 1 + round * 200;
         (first..first + 200).for_each(|port| world.open(port));
         if round > 0 {
-            (first - 200..first).for_each(|port| world.end(port));
+            (first - 200..first).for_each(|port| world.close(port));
         }
         world.run(3 * SECOND);
         largest = largest.max(world.file_bytes(replica(1)));
     }
     assert!(largest < 100 * 1024, "{largest}");
     world.start_replica(replica(1));
-    assert_eq!(world.kept_at(replica(1)).len(), 200);
+    assert_eq!(world.recorded_ports(replica(1)).len(), 200);
 }
 
 #[test]
-fn the_record_of_an_agent_that_is_gone_is_forgotten() {
+fn the_record_of_a_vanished_agent_expires() {
     let mut world = world_with(2);
     world.run(SECOND);
-    world.cut.insert(replica(1));
+    world.unreachable.insert(replica(1));
     world.run(62 * SECOND);
     let now = world.now;
-    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
-    assert_eq!((kept.records, kept.bytes), (0, 0));
+    let stats = world.replica_mut(replica(1)).flow_record_stats(now);
+    assert_eq!((stats.records, stats.bytes), (0, 0));
     world.start_replica(replica(1));
-    let kept = world.replica_mut(replica(1)).flow_record_stats(now);
-    assert_eq!(kept.records, 0, "in the file as well");
+    let stats = world.replica_mut(replica(1)).flow_record_stats(now);
+    assert_eq!(stats.records, 0, "in the file as well");
 }
 
 #[test]
-fn the_record_moves_with_the_membership() {
+fn record_replicas_follow_the_membership() {
     let mut world = RecordWorld::new(7);
     world.open(1);
     world.run(3 * SECOND);
     let all: Vec<u8> = (1..=7).collect();
-    let keepers = |world: &mut RecordWorld| {
-        let mut has = |number: &u8| !world.kept_at(replica(*number)).is_empty();
+    let replicas_with_record = |world: &mut RecordWorld| {
+        let mut has_record = |number: &u8| !world.recorded_ports(replica(*number)).is_empty();
         all.iter()
             .copied()
-            .filter(|it| has(it))
+            .filter(|it| has_record(it))
             .collect::<Vec<u8>>()
     };
-    let before = keepers(&mut world);
+    let before = replicas_with_record(&mut world);
     assert_eq!(before.len(), 3);
-    let gone = replica(before[0]);
+    let removed = replica(before[0]);
     let now = world.now;
-    let left = all.iter().filter(|it| **it != before[0]);
-    let left: Vec<_> = left.map(|number| replica(*number)).collect();
-    world.agent.known_replicas_mut().set_seeds(left);
-    world.cut.insert(gone);
+    let remaining = all.iter().filter(|it| **it != before[0]);
+    let remaining: Vec<_> = remaining.map(|number| replica(*number)).collect();
+    world.agent.known_replicas_mut().set_seeds(remaining);
+    world.unreachable.insert(removed);
     world.run(3 * SECOND);
-    let after = keepers(&mut world);
-    assert_eq!(after.len(), 4, "with the one that is cut off: {after:?}");
+    let after = replicas_with_record(&mut world);
+    assert_eq!(after.len(), 4, "including the unreachable one: {after:?}");
     assert!(world.now > now);
     world.run(62 * SECOND);
     assert_eq!(
-        keepers(&mut world).len(),
+        replicas_with_record(&mut world).len(),
         3,
-        "nobody asks the former keeper"
+        "the removed replica gets no checks"
     );
 }
 
 #[test]
-fn witnesses_are_packets_of_open_flows() {
+fn probe_packets_belong_to_open_flows() {
     let mut world = world_with(3);
-    let before = world.ask(replica(1));
+    let before = world.request_record(replica(1));
     assert_eq!(before[0].probe_packets.len(), 3);
-    (1..=3).for_each(|port| world.end(port));
+    (1..=3).for_each(|port| world.close(port));
     world.open(4);
     world.run(3 * SECOND);
-    let after = world.ask(replica(1));
+    let after = world.request_record(replica(1));
     assert_eq!(after[0].probe_packets.len(), 1);
     assert!(!before[0].probe_packets.contains(&after[0].probe_packets[0]));
     assert_eq!(after[0].flows.callers.len(), 1);
--- a/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record_world.rs
@@ -1,5 +1,5 @@
-//! One agent and the replicas that keep the record of its open flows, each a group of its
-//! own, with files that may fail.
+//! One agent and the replicas that keep its flow record, each a group of its own, with
+//! files that may fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -23,14 +23,14 @@
 use super::world::{BALANCER, MILLI, ROUTE, SERVICE, WARM_UP_BOUNDS, caller};
 
 pub const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
-/// First sequence number of the back end in all flows.
-pub const FIRST: u32 = 1_000;
+/// Initial sequence number of the back end in all flows.
+pub const INITIAL_SEQUENCE: u32 = 1_000;
 
 pub fn replica(number: u8) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 7000)
 }
 
-/// What the disk of a replica does with the file of records.
+/// Behaviour of the replicas' disks for writes of flow records.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Disk {
     Works,
@@ -38,27 +38,27 @@
     Stalls,
 }
 
-/// The world.
+/// Simulated agent and replicas.
 pub struct RecordWorld {
     pub now: Timestamp,
     pub agent: PassThroughAgent<TestCodec>,
     pub replicas: BTreeMap<SocketAddrV4, ConfigurationNode>,
     pub files: BTreeMap<SocketAddrV4, Vec<Vec<u8>>>,
     pub disk: Disk,
-    /// Replicas that nobody reaches.
-    pub cut: BTreeSet<SocketAddrV4>,
-    /// Which messages get lost.
-    pub loses: fn(&PassThroughBody) -> bool,
-    /// How many of them get lost before others pass.
-    pub to_lose: usize,
-    /// Changes that the agent sent, with the time.
+    /// Replicas that no message reaches or leaves.
+    pub unreachable: BTreeSet<SocketAddrV4>,
+    /// Selects messages to drop.
+    pub drop_filter: fn(&PassThroughBody) -> bool,
+    /// Number of selected messages to drop before further ones pass.
+    pub drops_left: usize,
+    /// Changes that the agent sent, with time and receiver.
     pub changes: Vec<(Timestamp, SocketAddrV4, FlowRecordChange)>,
-    pub recalls: usize,
+    pub record_requests: usize,
     pub events: Vec<Event>,
-    pub written: usize,
+    pub writes: usize,
     record: FlowRecordSettings,
     node: ConfigurationNodeSettings,
-    life: u64,
+    incarnation: u64,
 }
 
 impl RecordWorld {
@@ -76,16 +76,16 @@
             replicas: BTreeMap::new(),
             files: BTreeMap::new(),
             disk: Disk::Works,
-            cut: BTreeSet::new(),
-            loses: |_| false,
-            to_lose: 0,
+            unreachable: BTreeSet::new(),
+            drop_filter: |_| false,
+            drops_left: 0,
             changes: Vec::new(),
-            recalls: 0,
+            record_requests: 0,
             events: Vec::new(),
-            written: 0,
+            writes: 0,
             record,
             node,
-            life: 1,
+            incarnation: 1,
         };
         for address in seeds {
             world.start_replica(address);
@@ -95,7 +95,7 @@
     }
 
     pub fn register(&mut self) {
-        let call = Registration {
+        let registration = Registration {
             id: "backend-1".to_owned(),
             service: SERVICE.to_owned(),
             started_at_millis: Some(5),
@@ -105,11 +105,11 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = self.agent.handle_registration(self.now, &call);
-        taken.expect("it is of the agent's service");
+        let result = self.agent.handle_registration(self.now, &registration);
+        result.expect("a registration for the agent's service");
     }
 
-    /// Starts a replica again with what its file has.
+    /// Restarts a replica with the content of its file.
     pub fn start_replica(&mut self, address: SocketAddrV4) {
         let mut node = start_replica_with(self.now, address, address, self.node.clone());
         let file = self.files.entry(address).or_default();
@@ -126,8 +126,8 @@
     }
 
     pub fn start_agent_with(&mut self, seeds: Vec<SocketAddrV4>) {
-        self.life += 1;
-        self.agent = new_agent(self.now, self.life, false, self.record, seeds);
+        self.incarnation += 1;
+        self.agent = new_agent(self.now, self.incarnation, false, self.record, seeds);
         self.register();
     }
 
@@ -148,18 +148,18 @@
     }
 
     fn settle(&mut self) {
-        let mut quiet = false;
-        while !quiet {
-            quiet = true;
+        let mut is_settled = false;
+        while !is_settled {
+            is_settled = true;
             while let Some(output) = self.agent.poll_output() {
-                quiet = false;
-                self.carry_out_of_agent(output);
+                is_settled = false;
+                self.handle_agent_output(output);
             }
             let addresses: Vec<SocketAddrV4> = self.replicas.keys().copied().collect();
             for address in addresses {
                 while let Some(output) = self.replica_mut(address).poll_output() {
-                    quiet = false;
-                    self.carry_out_of_replica(address, output);
+                    is_settled = false;
+                    self.handle_replica_output(address, output);
                 }
             }
         }
@@ -169,26 +169,26 @@
         self.replicas.get_mut(&address).expect("known")
     }
 
-    fn gets_lost(&mut self, replica: SocketAddrV4, body: &PassThroughBody) -> bool {
-        if self.to_lose > 0 && (self.loses)(body) {
-            self.to_lose -= 1;
+    fn is_dropped(&mut self, replica: SocketAddrV4, body: &PassThroughBody) -> bool {
+        if self.drops_left > 0 && (self.drop_filter)(body) {
+            self.drops_left -= 1;
             return true;
         }
-        self.cut.contains(&replica)
+        self.unreachable.contains(&replica)
     }
 
-    fn carry_out_of_agent(&mut self, output: PassThroughOutput) {
+    fn handle_agent_output(&mut self, output: PassThroughOutput) {
         match output {
             PassThroughOutput::Send { to, body } => {
                 match &body {
                     PassThroughBody::FlowRecordChange(change) => {
                         self.changes.push((self.now, to, (**change).clone()));
                     }
-                    PassThroughBody::FlowRecordRequest(_) => self.recalls += 1,
+                    PassThroughBody::FlowRecordRequest(_) => self.record_requests += 1,
                     _ => {}
                 }
                 let now = self.now;
-                if self.replicas.contains_key(&to) && !self.gets_lost(to, &body) {
+                if self.replicas.contains_key(&to) && !self.is_dropped(to, &body) {
                     self.replica_mut(to).handle_message(now, AGENT, body);
                 }
             }
@@ -197,7 +197,7 @@
         }
     }
 
-    fn carry_out_of_replica(&mut self, address: SocketAddrV4, output: ConfigurationOutput) {
+    fn handle_replica_output(&mut self, address: SocketAddrV4, output: ConfigurationOutput) {
         let now = self.now;
         match output {
             ConfigurationOutput::Persist(request) => {
@@ -205,7 +205,7 @@
                     .handle_persisted(now, request.ticket);
             }
             ConfigurationOutput::Send { to, body } if to == AGENT => {
-                self.tell_agent(address, body);
+                self.send_to_agent(address, body);
             }
             ConfigurationOutput::WriteFlowRecords(write) => self.write(address, write),
             ConfigurationOutput::Event(event) => self.events.push(event),
@@ -213,14 +213,14 @@
         }
     }
 
-    fn tell_agent(&mut self, from: SocketAddrV4, body: PassThroughBody) {
-        if !self.gets_lost(from, &body) {
+    fn send_to_agent(&mut self, from: SocketAddrV4, body: PassThroughBody) {
+        if !self.is_dropped(from, &body) {
             self.agent.handle_message(self.now, from, body);
         }
     }
 
     fn write(&mut self, address: SocketAddrV4, write: FlowRecordWrite) {
-        self.written += 1;
+        self.writes += 1;
         let file = self.files.entry(address).or_default();
         let result = match (self.disk, write) {
             (Disk::Stalls, _) => return,
@@ -239,102 +239,106 @@
         node.handle_flow_records_written(now, result);
     }
 
-    fn carry(&mut self, reason: ForwardReason, view: &PacketView) {
-        let carry = ForwardedPacket {
+    fn forward(&mut self, reason: ForwardReason, view: &PacketView) {
+        let forwarded = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(view),
             ..ForwardedPacket::default()
         };
-        self.agent
-            .handle_message(self.now, BALANCER, PassThroughBody::ForwardedPacket(carry));
+        self.agent.handle_message(
+            self.now,
+            BALANCER,
+            PassThroughBody::ForwardedPacket(forwarded),
+        );
     }
 
-    /// A caller opens a flow.
+    /// A caller opens a flow, and the back end accepts it.
     pub fn open(&mut self, port: u16) {
-        let opening = PacketView {
+        let syn = PacketView {
             syn: true,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(ForwardReason::Open, &opening);
-        let answer = PacketView {
+        self.forward(ForwardReason::Open, &syn);
+        let syn_ack = PacketView {
             syn: true,
             ack: true,
-            sequence_number: FIRST,
+            sequence_number: INITIAL_SEQUENCE,
             ..empty(ROUTE, caller(port))
         };
-        self.agent.handle_backend_packet(self.now, &encode(&answer));
+        self.agent
+            .handle_backend_packet(self.now, &encode(&syn_ack));
         self.acknowledge(port, 1);
     }
 
-    /// The caller has acknowledged so many bytes.
+    /// The caller acknowledges this many bytes.
     pub fn acknowledge(&mut self, port: u16, bytes: u32) {
-        let bare = PacketView {
+        let packet = PacketView {
             ack: true,
-            ack_number: FIRST + bytes,
+            ack_number: INITIAL_SEQUENCE + bytes,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(ForwardReason::Deliver, &bare);
+        self.forward(ForwardReason::Deliver, &packet);
     }
 
-    /// The caller ends its flow.
-    pub fn end(&mut self, port: u16) {
-        let end = PacketView {
+    /// The caller closes its flow.
+    pub fn close(&mut self, port: u16) {
+        let fin = PacketView {
             ack: true,
             fin: true,
-            ack_number: FIRST + 1,
+            ack_number: INITIAL_SEQUENCE + 1,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(ForwardReason::Deliver, &end);
+        self.forward(ForwardReason::Deliver, &fin);
     }
 
-    /// What a replica would tell another life of the agent.
-    pub fn ask(&mut self, address: SocketAddrV4) -> Vec<FlowRecordResponse> {
+    /// A replica's responses to the request of another incarnation of the agent.
+    pub fn request_record(&mut self, address: SocketAddrV4) -> Vec<FlowRecordResponse> {
         self.settle();
-        let question = FlowRecordRequest {
+        let request = FlowRecordRequest {
             agent: pack_address(AGENT),
             incarnation: u64::MAX,
         };
         let now = self.now;
         let node = self.replica_mut(address);
-        node.handle_message(now, AGENT, PassThroughBody::FlowRecordRequest(question));
-        let mut answers = Vec::new();
+        node.handle_message(now, AGENT, PassThroughBody::FlowRecordRequest(request));
+        let mut responses = Vec::new();
         while let Some(output) = self.replica_mut(address).poll_output() {
             if let ConfigurationOutput::Send {
-                body: PassThroughBody::FlowRecordResponse(answer),
+                body: PassThroughBody::FlowRecordResponse(response),
                 ..
             } = output
             {
-                answers.push(answer);
+                responses.push(response);
             }
         }
-        answers
+        responses
     }
 
-    /// Ports of the flows that a replica keeps.
-    pub fn kept_at(&mut self, address: SocketAddrV4) -> Vec<u16> {
-        let answers = self.ask(address);
-        let callers = answers
+    /// Ports of the callers in a replica's record.
+    pub fn recorded_ports(&mut self, address: SocketAddrV4) -> Vec<u16> {
+        let responses = self.request_record(address);
+        let callers = responses
             .iter()
-            .flat_map(|answer| answer.flows.callers.clone());
+            .flat_map(|response| response.flows.callers.clone());
         let mut ports: Vec<u16> = callers.map(|caller| caller as u16).collect();
         ports.sort_unstable();
         ports
     }
 
-    /// The events of a kind.
-    pub fn told(&self, kind: EventKind) -> Vec<&str> {
-        let told = self.events.iter().filter(|event| event.kind == kind);
-        told.map(|event| event.subject.as_str()).collect()
+    /// Subjects of the events of a kind.
+    pub fn event_subjects(&self, kind: EventKind) -> Vec<&str> {
+        let events = self.events.iter().filter(|event| event.kind == kind);
+        events.map(|event| event.subject.as_str()).collect()
     }
 
-    /// Bytes of a replica's file.
+    /// Size of a replica's file, in bytes.
     pub fn file_bytes(&self, address: SocketAddrV4) -> usize {
         self.files[&address].iter().map(Vec::len).sum()
     }
 }
 
-/// The size of a change as a datagram.
+/// Size of a change as a datagram, in bytes.
 pub fn encoded_bytes(change: &FlowRecordChange) -> usize {
     let body = PassThroughBody::FlowRecordChange(Box::new(change.clone()));
     PassThroughMessage { body: Some(body) }.encoded_len()
@@ -342,7 +346,7 @@
 
 fn new_agent(
     now: Timestamp,
-    life: u64,
+    incarnation: u64,
     first_start: bool,
     flow_record: FlowRecordSettings,
     seeds: Vec<SocketAddrV4>,
@@ -361,6 +365,12 @@
         warm_up_bounds: WARM_UP_BOUNDS,
         flow_record,
     };
-    let contacts = KnownReplicas::new(seeds);
-    PassThroughAgent::new(now, settings, TestCodec, Incarnation(life), contacts)
+    let known_replicas = KnownReplicas::new(seeds);
+    PassThroughAgent::new(
+        now,
+        settings,
+        TestCodec,
+        Incarnation(incarnation),
+        known_replicas,
+    )
 }
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -1,25 +1,25 @@
-//! Flows that the balancer, and the agent of their back end, have forgotten.
+//! Flows that are unknown to the balancer and to the agent of their back end.
 
 use std::time::Duration;
 
 use super::world::{MILLI, World, agent_address, first_sequence};
 
 const AGENTS: u8 = 5;
-const CAPACITY: u32 = 4;
+const SLOTS: u32 = 4;
 
 /// A world with one open flow of this port.
 fn world_with_flow(port: u16) -> (World, std::net::SocketAddrV4) {
-    let mut world = World::new(AGENTS, CAPACITY);
+    let mut world = World::new(AGENTS, SLOTS);
     world.open(port, 0);
-    let agent = world.accepted_by(port).expect("an answer");
+    let agent = world.accepted_by(port).expect("a SYN-ACK");
     world.request(port, agent);
     (world, agent)
 }
 
-/// All processes start again beside back ends that went on.
-fn forget_everything(world: &mut World) {
+/// Restarts all processes except the back ends.
+fn restart_agents_and_balancer(world: &mut World) {
     for index in 1..=AGENTS {
-        world.restart_agent(index, CAPACITY);
+        world.restart_agent(index, SLOTS);
     }
     world.restart_balancer();
     for backend in world.backends.values_mut() {
@@ -27,39 +27,42 @@
     }
 }
 
-/// Packets of all flows at back ends other than that beside `agent`.
-fn strays(world: &World, agent: std::net::SocketAddrV4) -> usize {
+/// Number of packets at back ends other than that of `agent`.
+fn stray_packets(world: &World, agent: std::net::SocketAddrV4) -> usize {
     let others = world.backends.iter().filter(|(other, _)| **other != agent);
     others.map(|(_, backend)| backend.received.len()).sum()
 }
 
 #[test]
-fn a_flow_that_balancer_and_agent_forgot_is_kept() {
+fn a_flow_lost_by_balancer_and_agent_is_found() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
     world.request(1, agent);
     assert_eq!(
         world.data_packets_at(agent),
         1,
-        "its back end has the packet at once"
+        "its back end gets the packet at once"
+    );
+    assert!(
+        stray_packets(&world, agent) < usize::from(AGENTS),
+        "at most one packet each"
     );
-    assert!(strays(&world, agent) < usize::from(AGENTS), "one each");
     world.send_backend_data(agent, 1);
     world.run(500 * MILLI);
     world.request(1, agent);
-    assert_eq!(world.data_packets_at(agent), 2, "it is known again");
+    assert_eq!(world.data_packets_at(agent), 2, "the flow is known again");
     assert!(
-        strays(&world, agent) < usize::from(AGENTS),
-        "nobody else is tried again"
+        stray_packets(&world, agent) < usize::from(AGENTS),
+        "no second delivery to other back ends"
     );
     assert_eq!(world.resets(), 0);
 }
 
 #[test]
-fn back_ends_that_were_tried_in_vain_end_no_flow_that_was_found() {
+fn returned_speculative_deliveries_do_not_reset_a_found_flow() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
     world.backends_ack_at_once = true;
     world.request(1, agent);
@@ -70,13 +73,13 @@
 }
 
 #[test]
-fn a_flow_whose_caller_ended_it_in_vain_stays_known() {
+fn a_flow_closed_only_by_its_caller_stays_known() {
     let (mut world, agent) = world_with_flow(1);
-    // The end overtakes a request, whose packet is lost. The back end waits for that.
+    // The FIN arrives, but an earlier request was lost. The back end waits for that.
     world.close_flow(1, agent);
     world.run(Duration::from_secs(5));
-    let new_ones = (1..=AGENTS).filter(|index| agent_address(*index) != agent);
-    new_ones.for_each(|index| world.restart_agent(index, CAPACITY));
+    let others = (1..=AGENTS).filter(|index| agent_address(*index) != agent);
+    others.for_each(|index| world.restart_agent(index, SLOTS));
     world.restart_balancer();
     world.notify_complete_directory();
     for backend in world.backends.values_mut() {
@@ -86,64 +89,68 @@
     assert_eq!(
         world.data_packets_at(agent),
         1,
-        "the copy of the request arrives"
+        "the retransmitted request arrives"
     );
-    assert_eq!(strays(&world, agent), 0);
+    assert_eq!(stray_packets(&world, agent), 0);
 }
 
 #[test]
-fn a_flow_that_its_back_end_forgot_too_is_reset_at_once() {
+fn a_flow_without_an_owner_is_reset_at_once() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     for backend in world.backends.values_mut() {
         backend.flows.clear();
     }
     world.notify_complete_directory();
     world.request(1, agent);
-    assert_eq!(world.resets(), 1, "its caller can open another one");
-    let reset = world.callers.last().expect("the reset");
+    assert_eq!(world.resets(), 1, "its caller can open another flow");
+    let reset = world.callers.last().expect("a reset");
     let expected = first_sequence(agent).wrapping_add(1);
     assert_eq!(
         reset.sequence_number, expected,
-        "where its caller expects it"
+        "the sequence number that its caller expects"
     );
     world.run(Duration::from_secs(3));
     assert_eq!(world.resets(), 1);
-    let tried: usize = world.backends.values().map(|it| it.received.len()).sum();
-    assert_eq!(tried, usize::from(AGENTS), "each back end is tried once");
+    let delivered: usize = world.backends.values().map(|it| it.received.len()).sum();
+    assert_eq!(
+        delivered,
+        usize::from(AGENTS),
+        "one delivery to each back end"
+    );
 }
 
 #[test]
-fn nothing_is_tried_or_reset_before_all_agents_are_known() {
+fn no_delivery_or_reset_before_all_agents_are_known() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.request(1, agent);
     world.run(300 * MILLI);
-    assert_eq!(strays(&world, agent), 0);
+    assert_eq!(stray_packets(&world, agent), 0);
     assert_eq!(world.resets(), 0);
     world.notify_complete_directory();
     world.run(500 * MILLI);
-    assert!(world.data_packets_at(agent) > 0, "the packet has waited");
+    assert!(world.data_packets_at(agent) > 0, "the packet was buffered");
 }
 
 #[test]
-fn a_search_without_a_verdict_says_what_it_lacked() {
+fn an_inconclusive_search_logs_its_inputs() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.request(1, agent);
     world.run(Duration::from_secs(15));
-    let [told] = world.inconclusive_searches.as_slice() else {
-        panic!("one line, not {:?}", world.inconclusive_searches);
+    let [line] = world.inconclusive_searches.as_slice() else {
+        panic!("expected one line, got {:?}", world.inconclusive_searches);
     };
     let inputs = "directory_whole=false awaits=true ended=false";
-    assert!(told.contains(inputs), "{told}");
-    assert!(told.contains(" waited="), "the age of the question: {told}");
+    assert!(line.contains(inputs), "{line}");
+    assert!(line.contains(" waited="), "no age of the query: {line}");
 }
 
 #[test]
-fn a_flow_whose_agent_stands_still_does_not_wander() {
+fn a_flow_of_a_paused_agent_is_hardly_delivered_elsewhere() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
     world.frozen = vec![agent];
     for _ in 0..3 {
@@ -151,9 +158,9 @@
         world.run(400 * MILLI);
     }
     assert!(
-        strays(&world, agent) < 3,
-        "{} strays",
-        strays(&world, agent)
+        stray_packets(&world, agent) < 3,
+        "{} stray packets",
+        stray_packets(&world, agent)
     );
     assert_eq!(world.resets(), 0);
     world.frozen.clear();
@@ -164,17 +171,17 @@
 }
 
 #[test]
-fn a_slow_back_end_is_not_taken_for_one_without_the_flow() {
+fn a_slow_back_end_still_counts_as_possible_owner() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
+    restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
     world.request(1, agent);
-    // The back end has the packet and works on it for long.
+    // The back end has the packet and processes it for long.
     world.run(Duration::from_secs(1));
     assert_eq!(world.resets(), 0);
     assert!(
-        strays(&world, agent) < usize::from(AGENTS),
-        "nobody else is tried again"
+        stray_packets(&world, agent) < usize::from(AGENTS),
+        "no second delivery to other back ends"
     );
     world.send_backend_data(agent, 1);
     world.request(1, agent);
@@ -182,21 +189,25 @@
 }
 
 #[test]
-fn a_flow_of_a_back_end_that_started_again_is_reset_at_once() {
+fn a_flow_of_a_restarted_back_end_is_reset_at_once() {
     let (mut world, agent) = world_with_flow(1);
     world.run(Duration::from_secs(5));
     world.backends.get_mut(&agent).expect("known").flows.clear();
     world.request(1, agent);
     assert_eq!(world.resets(), 1);
-    assert_eq!(strays(&world, agent), 0, "no other back end can have it");
+    assert_eq!(
+        stray_packets(&world, agent),
+        0,
+        "no other back end can own it"
+    );
 }
 
 #[test]
-fn an_agent_that_vanished_holds_no_search_up_for_long() {
+fn a_vanished_agent_does_not_block_a_search_for_long() {
     let (mut world, agent) = world_with_flow(1);
-    forget_everything(&mut world);
-    let gone = (1..=AGENTS).map(agent_address).find(|it| *it != agent);
-    world.frozen = vec![gone.expect("others")];
+    restart_agents_and_balancer(&mut world);
+    let vanished = (1..=AGENTS).map(agent_address).find(|it| *it != agent);
+    world.frozen = vec![vanished.expect("another agent")];
     world.notify_complete_directory();
     world.request(1, agent);
     world.run(Duration::from_secs(2));
@@ -208,7 +219,7 @@
 }
 
 #[test]
-fn a_flow_is_not_given_up_while_an_agent_that_runs_is_silent() {
+fn a_flow_is_not_reset_while_a_running_agent_is_silent() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
     world.frozen = vec![agent];
@@ -221,12 +232,12 @@
 }
 
 #[test]
-fn many_forgotten_flows_are_asked_for_together() {
+fn many_lost_flows_are_queried_together() {
     let mut world = World::new(AGENTS, 100);
     let mut agents = Vec::new();
     for port in 1..=100 {
         world.open(port, 0);
-        let agent = world.accepted_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("a SYN-ACK");
         world.request(port, agent);
         agents.push((port, agent));
     }
@@ -237,7 +248,7 @@
     world.run(10 * MILLI);
     assert!(
         world.flow_queries <= 3 * usize::from(AGENTS),
-        "{} questions",
+        "{} queries",
         world.flow_queries
     );
     for agent in (1..=AGENTS).map(agent_address) {
@@ -248,8 +259,8 @@
 }
 
 #[test]
-fn the_end_of_a_flow_that_nobody_has_is_not_answered() {
-    let mut world = World::new(AGENTS, CAPACITY);
+fn a_fin_of_a_flow_without_an_owner_is_not_answered() {
+    let mut world = World::new(AGENTS, SLOTS);
     world.notify_complete_directory();
     world.close_flow(1, agent_address(1));
     world.run(500 * MILLI);
@@ -257,60 +268,63 @@
 }
 
 #[test]
-fn one_agent_passes_a_packet_on_to_many_others() {
-    let mut world = World::new(20, CAPACITY);
+fn one_agent_relays_a_packet_to_many_others() {
+    let mut world = World::new(20, SLOTS);
     world.open(1, 0);
-    let agent = world.accepted_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("a SYN-ACK");
     world.request(1, agent);
     for index in 1..=20 {
-        world.restart_agent(index, CAPACITY);
+        world.restart_agent(index, SLOTS);
     }
     world.restart_balancer();
     world.backends_ack_at_once = true;
     world.notify_complete_directory();
     world.request(1, agent);
     world.run(300 * MILLI);
-    assert_eq!(world.speculative_deliveries, 1, "by the balancer");
-    assert_eq!(world.data_packets_at(agent), 2, "the others passed it on");
+    assert_eq!(world.speculative_deliveries, 1, "sent by the balancer");
+    assert_eq!(world.data_packets_at(agent), 2, "relayed by the others");
     assert_eq!(world.resets(), 0);
     for backend in world.backends.values_mut() {
         backend.flows.clear();
     }
     world.request(2, agent);
     world.run(300 * MILLI);
-    assert_eq!(world.resets(), 1, "nobody has the second flow");
+    assert_eq!(world.resets(), 1, "no back end owns the second flow");
 }
 
 #[test]
-fn agents_that_have_seen_their_back_ends_begin_try_nothing() {
-    for had_former_life in [false, true] {
+fn agents_that_saw_their_back_end_start_deliver_nothing_speculatively() {
+    for has_previous_incarnation in [false, true] {
         let (mut world, agent) = world_with_flow(1);
-        forget_everything(&mut world);
+        restart_agents_and_balancer(&mut world);
         for backend in world.backends.values_mut() {
             backend.flows.clear();
         }
-        // The back ends have started with their agents: these are early calls.
+        // The back ends have started with their agents, as their early registrations show.
         for index in 1..=AGENTS {
             world.start_agent(index);
-            world.register(index, CAPACITY, false, 2);
-            world.acknowledge_report(index, had_former_life);
+            world.register(index, SLOTS, false, 2);
+            world.acknowledge_report(index, has_previous_incarnation);
         }
         world.run(500 * MILLI);
         world.notify_complete_directory();
         world.request(1, agent);
         world.run(100 * MILLI);
         assert_eq!(world.resets(), 1);
-        let tried: usize = world.backends.values().map(|it| it.received.len()).sum();
-        let expected = match had_former_life {
+        let delivered: usize = world.backends.values().map(|it| it.received.len()).sum();
+        let expected = match has_previous_incarnation {
             false => 0,
             true => usize::from(AGENTS),
         };
-        assert_eq!(tried, expected, "former life: {had_former_life}");
+        assert_eq!(
+            delivered, expected,
+            "previous incarnation: {has_previous_incarnation}"
+        );
     }
 }
 
 #[test]
-fn a_balancer_that_hears_nobody_ends_no_flow() {
+fn a_balancer_without_replies_resets_no_flow() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
     world.frozen = (1..=AGENTS).map(agent_address).collect();
@@ -319,11 +333,11 @@
         world.request(1, agent);
         world.run(200 * MILLI);
     }
-    assert_eq!(world.resets(), 0, "all agents at once are not gone");
+    assert_eq!(world.resets(), 0, "all agents at once can't have vanished");
 }
 
 #[test]
-fn a_balancer_whose_answers_are_slow_takes_no_agent_for_gone() {
+fn slow_replies_do_not_count_as_missing_agents() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
     world.delay_replies(300 * MILLI);
@@ -337,11 +351,11 @@
         world.request(1, agent);
         world.run(200 * MILLI);
     }
-    assert_eq!(world.resets(), 0, "its answers may be under way");
+    assert_eq!(world.resets(), 0, "the agent's reply may be in flight");
 }
 
 #[test]
-fn a_flow_is_not_given_up_before_an_agent_that_was_told_of_later_is_asked() {
+fn an_agent_learned_of_later_is_queried_before_a_reset() {
     let (mut world, agent) = world_with_flow(1);
     world.frozen = vec![agent];
     world.restart_balancer();
@@ -357,18 +371,18 @@
 }
 
 #[test]
-fn a_search_that_waits_for_a_whole_directory_has_its_verdict_with_it() {
-    let mut world = World::new(AGENTS, CAPACITY);
+fn a_search_ends_as_soon_as_the_directory_is_complete() {
+    let mut world = World::new(AGENTS, SLOTS);
     (1..=AGENTS).for_each(|index| world.acknowledge_report(index, false));
     world.restart_balancer();
     for waited in [200 * MILLI, 500 * MILLI] {
-        let told = world.resets();
+        let resets_before = world.resets();
         world.notify_incomplete_directory();
         world.request(waited.as_millis() as u16, agent_address(1));
         world.run(waited);
-        assert_eq!(world.resets(), told, "an agent may be missing");
+        assert_eq!(world.resets(), resets_before, "an agent may be missing");
         world.notify_complete_directory();
         world.run(2 * MILLI);
-        assert_eq!(world.resets(), told + 1, "after {waited:?}");
+        assert_eq!(world.resets(), resets_before + 1, "after {waited:?}");
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
@@ -1,4 +1,4 @@
-//! Flows that a balancer does not know, among many agents and behind a thin link.
+//! Flows that a balancer doesn't know, among many agents and behind a slow link.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use super::world::{MILLI, World, agent_address};
 
 const AGENTS: u8 = 160;
-const CAPACITY: u32 = 4;
+const SLOTS: u32 = 4;
 const FLOWS: u16 = 10;
-/// A link of 2.1 Mbit/s.
-const THIN_LINK: u64 = 262_500;
+/// A link of 2.1 Mbit/s, in bytes per second.
+const SLOW_LINK: u64 = 262_500;
 
-/// A balancer that has just started, beside agents with open flows; with the
-/// agent of each flow by its port.
+/// A balancer that has just started and agents with open flows, and the agent of each flow
+/// in the order of their ports.
 fn world_with_unknown_flows() -> (World, Vec<SocketAddrV4>) {
-    let mut world = World::new(AGENTS, CAPACITY);
+    let mut world = World::new(AGENTS, SLOTS);
     let mut owners = Vec::new();
     for port in 1..=FLOWS {
         world.open(port, 0);
-        let agent = world.accepted_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("a SYN-ACK");
         world.request(port, agent);
         owners.push(agent);
     }
-    world.restart_balancer_with_link(Some(THIN_LINK));
+    world.restart_balancer_with_link(Some(SLOW_LINK));
     world.notify_complete_directory();
     world.balancer_bytes = 0;
     (world, owners)
@@ -34,27 +34,29 @@
     }
 }
 
-/// How many of the flows got a second packet to their back ends.
+/// Number of flows whose second packet reached their back ends.
 fn found(world: &World, owners: &[SocketAddrV4]) -> usize {
     let is_found = |owner: &&SocketAddrV4| world.data_packets_at(**owner) >= 2;
     owners.iter().filter(is_found).count()
 }
 
 #[test]
-fn finding_flows_among_many_agents_costs_the_balancer_little() {
+fn a_search_among_many_agents_needs_little_balancer_traffic() {
     let (mut world, owners) = world_with_unknown_flows();
     repeat_requests(&mut world, &owners);
     world.run(50 * MILLI);
     assert_eq!(found(&world, &owners), owners.len());
     let bytes = world.balancer_bytes;
-    assert!(bytes < 10_000, "{bytes} bytes of questions and answers");
+    assert!(bytes < 10_000, "{bytes} bytes of queries and replies");
 }
 
 #[test]
-fn another_agent_asks_if_the_first_one_is_gone() {
+fn another_agent_relays_the_query_if_the_first_is_silent() {
     let (mut world, owners) = world_with_unknown_flows();
-    let others = (1..=AGENTS).map(agent_address);
-    let frozen = others.filter(|agent| !owners.contains(agent)).step_by(2);
+    let candidates = (1..=AGENTS).map(agent_address);
+    let frozen = candidates
+        .filter(|agent| !owners.contains(agent))
+        .step_by(2);
     world.frozen = frozen.collect();
     for _ in 0..10 {
         repeat_requests(&mut world, &owners);
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn a_flow_whose_agent_stands_still_is_not_reset_for_the_silence_of_one_that_asks() {
+fn a_flow_of_a_paused_agent_is_not_reset_when_a_relay_is_silent() {
     let (mut world, owners) = world_with_unknown_flows();
     world.frozen = (1..=AGENTS).map(agent_address).collect();
     repeat_requests(&mut world, &owners);
@@ -82,12 +84,12 @@
 }
 
 #[test]
-fn flows_that_no_back_end_has_any_more_are_reset_soon() {
+fn flows_without_an_owner_are_reset_soon() {
     let (mut world, owners) = world_with_unknown_flows();
     for owner in &owners {
         let index = owner.ip().octets()[3];
-        world.restart_agent(index, CAPACITY);
-        world.register(index, CAPACITY, false, 1);
+        world.restart_agent(index, SLOTS);
+        world.register(index, SLOTS, false, 1);
     }
     for backend in world.backends.values_mut() {
         backend.flows.clear();
@@ -101,9 +103,9 @@
 }
 
 #[test]
-fn questions_leave_a_thin_link_to_new_flows() {
-    let mut world = World::new(AGENTS, CAPACITY);
-    world.restart_balancer_with_link(Some(THIN_LINK));
+fn queries_leave_a_slow_link_for_new_flows() {
+    let mut world = World::new(AGENTS, SLOTS);
+    world.restart_balancer_with_link(Some(SLOW_LINK));
     world.notify_complete_directory();
     world.balancer_bytes = 0;
     world.frozen = (1..=AGENTS).step_by(4).map(agent_address).collect();
@@ -113,10 +115,10 @@
         }
         world.run(200 * MILLI);
     }
-    let most = THIN_LINK as usize * 2 / 4;
+    let max_bytes = SLOW_LINK as usize * 2 / 4;
     let bytes = world.balancer_bytes;
     assert!(
-        bytes < most,
-        "{bytes} bytes of questions and answers in two seconds"
+        bytes < max_bytes,
+        "{bytes} bytes of queries and replies in two seconds"
     );
 }
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
@@ -1,6 +1,6 @@
-//! Random orders of restarts, calls that come in time or late, returned packets and new
-//! flows: no flow that lives is ever told as gone, which [`RestartWorld`] checks with each reset,
-//! and those that died are told in the end.
+//! Random sequences of restarts, timely and late registrations, returned packets and new
+//! flows: no flow that a back end owns is ever reset as orphaned, which [`RestartWorld`]
+//! checks with each reset, and all orphaned flows are reset in the end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,145 +15,153 @@
 const STEPS: u32 = 60;
 const PORTS: std::ops::Range<u16> = 1..40;
 
-/// What happens in one run.
+/// State of one run.
 struct Run {
-    lives: RestartWorld,
+    world: RestartWorld,
     random: ChaCha8Rng,
-    former: Vec<BackendIncarnation>,
-    /// Ports of flows that opened under the life of the agent, or were in its record.
-    known: BTreeSet<u16>,
+    previous: Vec<BackendIncarnation>,
+    /// Ports of flows that were opened since the agent started, or were in its record.
+    known_ports: BTreeSet<u16>,
 }
 
 impl Run {
     fn new(seed: u64) -> Run {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut lives =
+        let mut world =
             RestartWorld::unregistered(random.random_bool(0.7), random.random_bool(0.3));
-        lives.register();
+        world.register();
         Run {
-            lives,
+            world,
             random,
-            former: Vec::new(),
-            known: BTreeSet::new(),
+            previous: Vec::new(),
+            known_ports: BTreeSet::new(),
         }
     }
 
     fn step(&mut self) {
         match self.random.random_range(0..20) {
             0..8 => self.open(),
-            8 => self.start_life(),
-            9..12 => self.lives.register(),
-            12..14 => self.late_call(),
+            8 => self.restart_backend(),
+            9..12 => self.world.register(),
+            12..14 => self.late_registration(),
             14 => self.request(),
-            15 => self.end_unseen(),
+            15 => self.close_unseen(),
             16 => self.restart_agent(),
-            17 => self.lives.frozen = true,
-            18 => self.lives.thaw(),
+            17 => self.world.frozen = true,
+            18 => self.world.thaw(),
             _ => self.finish(),
         }
         let pause = self.random.random_range(0..300);
-        self.lives.run(pause * MILLI);
+        self.world.run(pause * MILLI);
     }
 
     fn open(&mut self) {
         let port = self.random.random_range(PORTS);
-        if self.lives.callers.contains_key(&port) && self.random.random_bool(0.8) {
+        if self.world.callers.contains_key(&port) && self.random.random_bool(0.8) {
             return;
         }
-        self.known.remove(&port);
-        if self.lives.open(port) {
-            self.known.insert(port);
+        self.known_ports.remove(&port);
+        if self.world.open(port) {
+            self.known_ports.insert(port);
         }
     }
 
-    fn start_life(&mut self) {
-        self.former.push(self.lives.incarnation());
-        self.lives.restart_backend();
+    fn restart_backend(&mut self) {
+        self.previous.push(self.world.incarnation());
+        self.world.restart_backend();
     }
 
-    fn late_call(&mut self) {
-        let former = self.former.last().cloned();
-        if let Some(former) = former {
-            self.lives.register_incarnation(&former);
+    fn late_registration(&mut self) {
+        let previous = self.previous.last().cloned();
+        if let Some(previous) = previous {
+            self.world.register_incarnation(&previous);
         }
     }
 
     fn any_caller(&mut self) -> Option<u16> {
-        let ports: Vec<u16> = self.lives.callers.keys().copied().collect();
+        let ports: Vec<u16> = self.world.callers.keys().copied().collect();
         (!ports.is_empty()).then(|| ports[self.random.random_range(0..ports.len())])
     }
 
     fn request(&mut self) {
         if let Some(port) = self.any_caller() {
-            self.lives.request(port);
+            self.world.request(port);
         }
     }
 
     fn finish(&mut self) {
         if let Some(port) = self.any_caller() {
-            self.lives.finish(port);
-            self.known.remove(&port);
+            self.world.finish(port);
+            self.known_ports.remove(&port);
         }
     }
 
-    /// The back end gives up one flow.
-    fn end_unseen(&mut self) {
+    /// The back end drops the state of one flow without a packet.
+    fn close_unseen(&mut self) {
         if let Some(port) = self.any_caller()
-            && let Some(life) = &mut self.lives.backend
+            && let Some(backend) = &mut self.world.backend
         {
-            life.flows.remove(&port);
+            backend.flows.remove(&port);
         }
     }
 
-    /// The agent starts again, with a record of the life that runs, or of the one before.
+    /// Restarts the agent with a record of the current incarnation of the back end, or of the
+    /// previous one.
     fn restart_agent(&mut self) {
-        let running = self.lives.incarnation();
-        let before = self.former.last().filter(|_| self.random.random_bool(0.3));
-        let life = before.cloned().unwrap_or(running);
-        let mut record = self.lives.record(&life);
+        let running = self.world.incarnation();
+        let older = self
+            .previous
+            .last()
+            .filter(|_| self.random.random_bool(0.3));
+        let recorded = older.cloned().unwrap_or(running);
+        let mut record = self.world.record(&recorded);
         if self.random.random_bool(0.5) {
             record.probe_packets.truncate(3);
         }
-        self.lives.restart_agent();
-        self.lives.recover(record);
-        self.known.clear();
+        self.world.restart_agent();
+        self.world.recover(record);
+        self.known_ports.clear();
     }
 
-    /// A new life begins, and calls until everything is settled. Flows that the agent
-    /// knows, and that no other packet has shown to be gone, are told.
-    fn end(&mut self) {
-        self.lives.thaw();
-        self.lives.run(Duration::from_secs(5));
-        self.lives.register();
-        self.lives.run(Duration::from_secs(5));
-        self.start_life();
+    /// Starts a new incarnation, which registers until everything has settled. Flows that the
+    /// agent knows, and that no other packet has shown to be orphaned, are reset.
+    fn settle(&mut self) {
+        self.world.thaw();
+        self.world.run(Duration::from_secs(5));
+        self.world.register();
+        self.world.run(Duration::from_secs(5));
+        self.restart_backend();
         for _ in 0..4 {
-            self.lives.register();
-            self.lives.run(Duration::from_secs(3));
+            self.world.register();
+            self.world.run(Duration::from_secs(3));
         }
-        let told: BTreeSet<u16> = self
-            .lives
+        let returned: BTreeSet<u16> = self
+            .world
             .returned_packets
             .iter()
             .map(super::restart_world::caller_port)
             .collect();
-        for port in self.known.iter().filter(|port| !told.contains(port)) {
-            let flow = self.lives.callers.get(port);
+        for port in self
+            .known_ports
+            .iter()
+            .filter(|port| !returned.contains(port))
+        {
+            let flow = self.world.callers.get(port);
             assert!(
                 flow.is_none_or(|flow| flow.was_reset),
-                "the flow of port {port} died and was not told"
+                "the orphaned flow of port {port} was not reset"
             );
         }
     }
 }
 
 #[test]
-fn no_flow_that_lives_is_told_and_those_that_died_are() {
+fn owned_flows_are_never_reset_and_orphaned_ones_always_are() {
     for seed in 0..RUNS {
         let mut run = Run::new(seed);
         for _ in 0..STEPS {
             run.step();
         }
-        run.end();
+        run.settle();
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -1,4 +1,4 @@
-//! Agents that start again beside a back end that went on.
+//! Agents that restart while their back end continues to run.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -23,12 +23,12 @@
 const BALANCER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 99), 7000);
 const REPLICA: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 const ROUTE: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 80);
-const PROVISIONAL_LIMIT: Duration = Duration::from_millis(2_000);
+const PROVISIONAL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 type Agent = PassThroughAgent<TestCodec>;
 
 fn start_agent(now: Timestamp) -> Agent {
-    start_agent_with(now, PROVISIONAL_LIMIT)
+    start_agent_with(now, PROVISIONAL_TIMEOUT)
 }
 
 fn start_agent_with(now: Timestamp, provisional_timeout: Duration) -> Agent {
@@ -47,31 +47,30 @@
         flow_record: FlowRecordSettings::default(),
     };
     let incarnation = Incarnation(now.as_micros());
-    let contacts = KnownReplicas::new(vec![REPLICA]);
-    PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts)
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
+    PassThroughAgent::new(now, settings, TestCodec, incarnation, known_replicas)
 }
 
 fn caller(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), port)
 }
 
-fn register(agent: &mut Agent, now: Timestamp, call_number: u64, draining: bool) {
-    let call = Registration {
+fn register(agent: &mut Agent, now: Timestamp, sequence: u64, draining: bool) {
+    let registration = Registration {
         id: "backend-1".to_owned(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
-        sequence: call_number,
+        sequence,
         slots: 4,
         draining,
         cold_for: Duration::ZERO,
         ..Registration::default()
     };
-    let taken = agent.handle_registration(now, &call);
-    taken.expect("it is of the agent's service");
+    let result = agent.handle_registration(now, &registration);
+    result.expect("a registration for the agent's service");
 }
 
-/// Offers a new flow; returns why it was declined, or `None` if the back end
-/// got it.
+/// Offers a new flow. Returns the reason of a decline, or `None` if the back end got the SYN.
 fn open(agent: &mut Agent, now: Timestamp, port: u16) -> Option<DeclineReason> {
     offer(agent, now, port, ForwardReason::Open)
 }
@@ -82,18 +81,18 @@
     port: u16,
     reason: ForwardReason,
 ) -> Option<DeclineReason> {
-    let opening = PacketView {
+    let syn = PacketView {
         syn: true,
         ..empty(caller(port), ROUTE)
     };
-    let carry = ForwardedPacket {
+    let forwarded = ForwardedPacket {
         service: petrellatch_core::pass_through::service_digest(SERVICE),
         reason: reason.into(),
-        packet: encode(&opening),
+        packet: encode(&syn),
         ..ForwardedPacket::default()
     };
     outputs(agent);
-    agent.handle_message(now, BALANCER, PassThroughBody::ForwardedPacket(carry));
+    agent.handle_message(now, BALANCER, PassThroughBody::ForwardedPacket(forwarded));
     for output in outputs(agent) {
         match output {
             PassThroughOutput::ToBackend(_) => return None,
@@ -104,15 +103,15 @@
             _ => {}
         }
     }
-    panic!("neither admitted nor declined");
+    panic!("the flow was neither offered to the back end nor declined");
 }
 
 fn outputs(agent: &mut Agent) -> Vec<PassThroughOutput> {
     std::iter::from_fn(|| agent.poll_output()).collect()
 }
 
-/// The back end repeats data of a flow that it had before the agent started.
-fn let_backend_speak(agent: &mut Agent, now: Timestamp) {
+/// The back end retransmits data of a flow that was open before the agent started.
+fn send_backend_data(agent: &mut Agent, now: Timestamp) {
     let data = PacketView {
         ack: true,
         data_bytes: 100,
@@ -121,7 +120,7 @@
     agent.handle_backend_packet(now, &encode(&data));
 }
 
-/// Lets the agent report, and the replica answer.
+/// Sends the agent's reports to the replica, and the replica's messages to the agent.
 fn exchange(agent: &mut Agent, replica: &mut ConfigurationNode, now: Timestamp) {
     if agent.poll_timeout() <= now {
         agent.handle_timeout(now);
@@ -143,35 +142,35 @@
 }
 
 #[test]
-fn an_agent_admits_for_a_while_beside_a_back_end_that_is_alive() {
+fn an_unregistered_running_back_end_gets_flows_provisionally() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
     assert_eq!(open(&mut agent, start, 1), Some(DeclineReason::NoBackend));
     let now = start + Duration::from_millis(100);
-    let_backend_speak(&mut agent, now);
-    assert_eq!(open(&mut agent, now, 2), None, "its back end is alive");
-    let later = start + PROVISIONAL_LIMIT;
-    let_backend_speak(&mut agent, later);
+    send_backend_data(&mut agent, now);
+    assert_eq!(open(&mut agent, now, 2), None, "its back end runs");
+    let later = start + PROVISIONAL_TIMEOUT;
+    send_backend_data(&mut agent, later);
     assert_eq!(open(&mut agent, later, 3), Some(DeclineReason::NoBackend));
 }
 
 #[test]
-fn what_the_back_end_says_of_itself_goes_before_its_signs_of_life() {
+fn a_registration_overrides_observed_packets() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
-    let_backend_speak(&mut agent, start);
+    send_backend_data(&mut agent, start);
     register(&mut agent, start, 7, true);
-    let_backend_speak(&mut agent, start);
+    send_backend_data(&mut agent, start);
     assert_eq!(open(&mut agent, start, 1), Some(DeclineReason::Draining));
 }
 
 #[test]
-fn a_new_agent_tells_at_once_that_its_back_end_is_alive() {
+fn a_new_agent_reports_at_once_that_its_back_end_runs() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
     agent.handle_timeout(start);
     outputs(&mut agent);
-    let_backend_speak(&mut agent, start + Duration::from_millis(1));
+    send_backend_data(&mut agent, start + Duration::from_millis(1));
     let ready = outputs(&mut agent).into_iter().any(|output| {
         matches!(output, PassThroughOutput::Send { body: PassThroughBody::Report(report), .. }
             if report.state() == AgentState::Ready)
@@ -180,66 +179,66 @@
 }
 
 #[test]
-fn a_late_call_does_not_bring_a_back_end_back_at_the_next_life_of_its_agent() {
-    for withdrawn in [true, false] {
+fn a_late_registration_does_not_undo_draining_after_an_agent_restart() {
+    for deregisters in [true, false] {
         let start = Timestamp::from_millis(10_000);
         let mut replica = start_replica(start, REPLICA, REPLICA);
         let mut agent = start_agent(start);
         register(&mut agent, start, 5, false);
         exchange(&mut agent, &mut replica, start);
-        let left_at = start + Duration::from_millis(700);
-        match withdrawn {
-            true => agent.handle_deregistration(left_at, "backend-1"),
-            false => register(&mut agent, left_at, 7, true),
+        let drained_at = start + Duration::from_millis(700);
+        match deregisters {
+            true => agent.handle_deregistration(drained_at, "backend-1"),
+            false => register(&mut agent, drained_at, 7, true),
         }
-        exchange(&mut agent, &mut replica, left_at);
+        exchange(&mut agent, &mut replica, drained_at);
 
         let restart = start + Duration::from_secs(3);
         let mut agent = start_agent(restart);
         exchange(&mut agent, &mut replica, restart);
         register(&mut agent, restart, 6, false);
         let declined = open(&mut agent, restart, 1);
-        assert!(declined.is_some(), "withdrawn: {withdrawn}");
+        assert!(declined.is_some(), "deregisters: {deregisters}");
     }
 }
 
 #[test]
-fn an_agent_that_just_started_tries_its_back_end_with_flows_that_nobody_takes() {
+fn a_starting_agent_offers_its_back_end_flows_that_others_declined() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
     let last_resort = ForwardReason::OpenQueued;
     assert_eq!(open(&mut agent, start, 1), Some(DeclineReason::NoBackend));
     assert_eq!(offer(&mut agent, start, 2, last_resort), None);
-    let answer = PacketView {
+    let syn_ack = PacketView {
         syn: true,
         ack: true,
         ..empty(ROUTE, caller(2))
     };
-    agent.handle_backend_packet(start, &encode(&answer));
+    agent.handle_backend_packet(start, &encode(&syn_ack));
     assert_eq!(
         open(&mut agent, start, 3),
         None,
-        "the back end has answered"
+        "the back end has accepted a flow"
     );
     let mut agent = start_agent(start);
-    let later = start + PROVISIONAL_LIMIT;
+    let later = start + PROVISIONAL_TIMEOUT;
     let declined = offer(&mut agent, later, 4, last_resort);
     assert_eq!(declined, Some(DeclineReason::NoBackend));
 }
 
 #[test]
-fn no_setting_lets_an_agent_admit_without_a_call_for_long() {
+fn the_provisional_time_is_bounded_for_any_setting() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent_with(start, Duration::from_secs(120));
-    let_backend_speak(&mut agent, start);
+    send_backend_data(&mut agent, start);
     assert_eq!(open(&mut agent, start, 1), None);
     let later = start + Duration::from_millis(2_500);
-    let_backend_speak(&mut agent, later);
+    send_backend_data(&mut agent, later);
     assert_eq!(open(&mut agent, later, 2), Some(DeclineReason::NoBackend));
 }
 
-/// The back end's address returns the opening packet of a flow.
-fn return_opening(agent: &mut Agent, now: Timestamp, port: u16) -> Vec<PassThroughOutput> {
+/// The back end returns the SYN of a flow.
+fn return_syn(agent: &mut Agent, now: Timestamp, port: u16) -> Vec<PassThroughOutput> {
     let returned = PacketView {
         syn: true,
         returned: true,
@@ -251,67 +250,70 @@
 }
 
 #[test]
-fn a_returned_opening_ends_the_trust_in_a_back_end_that_has_not_called() {
+fn a_returned_syn_ends_provisional_admission() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     agent.handle_timeout(now);
     assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
-    let told = return_opening(&mut agent, now, 1);
+    let outputs = return_syn(&mut agent, now, 1);
     let is_decline = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Send { body: PassThroughBody::Declined(it), .. }
             if it.reason() == DeclineReason::Returned)
     };
-    assert!(told.iter().any(is_decline));
-    let is_line = |output: &PassThroughOutput| {
+    assert!(outputs.iter().any(is_decline));
+    let is_event = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Event(event)
             if event.kind == EventKind::FlowDeclined && event.subject.contains("Returned"))
     };
-    assert!(told.iter().any(is_line), "no decline without a line");
+    assert!(outputs.iter().any(is_event), "each decline is logged");
     let is_report = |output: &PassThroughOutput| {
         matches!(output, PassThroughOutput::Send { body: PassThroughBody::Report(it), .. }
             if it.state() == AgentState::Unavailable)
     };
-    assert!(told.iter().any(is_report), "balancers learn of it at once");
+    assert!(
+        outputs.iter().any(is_report),
+        "the new state is reported at once"
+    );
     let declined = offer(&mut agent, now, 2, ForwardReason::OpenQueued);
     assert_eq!(declined, Some(DeclineReason::NoBackend));
 }
 
 #[test]
-fn a_back_end_that_sheds_and_then_speaks_is_trusted_again() {
+fn a_packet_after_a_returned_syn_restores_provisional_admission() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
-    return_opening(&mut agent, now, 1);
-    let_backend_speak(&mut agent, now);
+    return_syn(&mut agent, now, 1);
+    send_backend_data(&mut agent, now);
     assert_eq!(open(&mut agent, now, 2), None);
 }
 
 #[test]
-fn a_back_end_that_sheds_and_then_calls_is_offered_flows() {
+fn a_registration_after_a_returned_syn_restores_admission() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     assert_eq!(offer(&mut agent, now, 1, ForwardReason::OpenQueued), None);
-    return_opening(&mut agent, now, 1);
+    return_syn(&mut agent, now, 1);
     register(&mut agent, now, 7, false);
     assert_eq!(open(&mut agent, now, 2), None);
 }
 
 #[test]
-fn returned_packets_do_not_keep_a_silent_back_end_in_service() {
+fn returned_packets_do_not_keep_a_silent_back_end_available() {
     let mut now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     register(&mut agent, now, 1, false);
     for port in 1..=14 {
         now = now + Duration::from_millis(500);
         offer(&mut agent, now, port, ForwardReason::Open);
-        return_opening(&mut agent, now, port);
+        return_syn(&mut agent, now, port);
     }
     let declined = open(&mut agent, now, 99);
     assert_eq!(declined, Some(DeclineReason::NoBackend));
 }
 
 #[test]
-fn an_agent_that_is_told_of_more_replicas_reports_to_them_at_once() {
+fn an_agent_reports_at_once_to_newly_known_replicas() {
     let now = Timestamp::from_millis(1_000);
     let mut agent = start_agent(now);
     agent.handle_timeout(now);
@@ -330,15 +332,18 @@
     };
     assert!(outputs(&mut agent).iter().any(is_report));
     let soon = now + Duration::from_millis(100);
-    assert!(agent.poll_timeout() < soon, "nobody has heard of it yet");
-    let answer = GroupStatus {
+    assert!(
+        agent.poll_timeout() < soon,
+        "no replica has acknowledged a report yet"
+    );
+    let acknowledgement = GroupStatus {
         has_report: true,
         agent_is_saved: true,
         ..group
     };
     for replica in agent.known_replicas_mut().all() {
-        let answer = PassThroughBody::GroupStatus(answer.clone());
-        agent.handle_message(now, replica, answer);
+        let body = PassThroughBody::GroupStatus(acknowledgement.clone());
+        agent.handle_message(now, replica, body);
     }
     let mut reports = 0;
     for step in 1..=40 {
@@ -348,5 +353,8 @@
             .filter(|it| is_report(it))
             .count();
     }
-    assert_eq!(reports, 1, "then it reports as rarely as it was told");
+    assert_eq!(
+        reports, 1,
+        "after the acknowledgement it reports at the regular interval"
+    );
 }
--- a/crates/petrellatch-core/tests/pass_through/site.rs
+++ b/crates/petrellatch-core/tests/pass_through/site.rs
@@ -1,5 +1,5 @@
-//! Three replicas that remember daemons, many agents and one balancer, all of which may
-//! lose power.
+//! Three replicas that save their daemons on disk, many agents and one balancer, all of
+//! which may lose power.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -25,8 +25,8 @@
 use super::world::{BALANCER, MILLI, ROUTE, SERVICE, WARM_UP_BOUNDS, caller};
 
 const STEP: Duration = Duration::from_millis(5);
-/// Somebody who only asks whether a directory is whole.
-const ASKER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7000);
+/// Address of an observer that asks replicas whether their directories are complete.
+const OBSERVER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 9, 0, 1), 7000);
 
 pub const REPLICAS: [SocketAddrV4; 3] = [
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000),
@@ -42,27 +42,27 @@
 pub struct Site {
     pub now: Timestamp,
     pub replicas: BTreeMap<SocketAddrV4, ConfigurationNode>,
-    /// What each replica has on its disk, and how often it wrote that.
+    /// Saved daemons on the disk of each replica.
     pub saved_daemons: BTreeMap<SocketAddrV4, Vec<u8>>,
     pub writes: usize,
     pub agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     pub balancer: Option<PassThroughBalancer<TestCodec>>,
-    /// Nothing reaches these, and nothing leaves them.
-    pub cut: BTreeSet<SocketAddrV4>,
-    /// Packets that reached back ends.
+    /// Processes that no message reaches or leaves.
+    pub unreachable: BTreeSet<SocketAddrV4>,
+    /// Agents that sent a packet to their back end, one entry per packet.
     pub packets_to_backends: Vec<SocketAddrV4>,
     pub resets: usize,
-    /// Replicas whose directories are whole by their latest word.
-    said_whole: BTreeSet<SocketAddrV4>,
-    /// The agents that each replica lists.
-    listed: BTreeMap<SocketAddrV4, BTreeSet<u64>>,
+    /// Replicas whose latest message said that their directories are complete.
+    complete_directories: BTreeSet<SocketAddrV4>,
+    /// Agents in the directory of each replica.
+    listed_agents: BTreeMap<SocketAddrV4, BTreeSet<u64>>,
     /// Parts of directories, by replica and revision.
     directory_parts: BTreeMap<(SocketAddrV4, u64), BTreeMap<u32, Vec<u8>>>,
-    under_way: VecDeque<(SocketAddrV4, SocketAddrV4, PassThroughBody)>,
+    in_flight: VecDeque<(SocketAddrV4, SocketAddrV4, PassThroughBody)>,
 }
 
 impl Site {
-    /// A site with so many agents that has run for some seconds.
+    /// A site with this many agents, after some seconds of operation.
     pub fn new(agents: u16) -> Site {
         let mut site = Site {
             now: Timestamp::from_millis(1_000),
@@ -71,13 +71,13 @@
             writes: 0,
             agents: BTreeMap::new(),
             balancer: None,
-            cut: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             packets_to_backends: Vec::new(),
             resets: 0,
-            said_whole: BTreeSet::new(),
-            listed: BTreeMap::new(),
+            complete_directories: BTreeSet::new(),
+            listed_agents: BTreeMap::new(),
             directory_parts: BTreeMap::new(),
-            under_way: VecDeque::new(),
+            in_flight: VecDeque::new(),
         };
         site.start_replicas();
         for index in 1..=agents {
@@ -87,7 +87,7 @@
         site
     }
 
-    /// Everything loses its power.
+    /// Stops all processes at once; only the replicas' disks stay.
     pub fn lose_power(&mut self) {
         self.stop_replicas();
         self.agents.clear();
@@ -96,8 +96,8 @@
 
     pub fn stop_replicas(&mut self) {
         self.replicas.clear();
-        self.said_whole.clear();
-        self.under_way.clear();
+        self.complete_directories.clear();
+        self.in_flight.clear();
     }
 
     pub fn start_replicas(&mut self) {
@@ -120,14 +120,14 @@
         };
         let settings = ConfigurationNodeSettings::default();
         let mut node = ConfigurationNode::new(self.now, settings, start);
-        if let Some(memory) = self.saved_daemons.get(&address) {
-            node.load_daemons(memory);
+        if let Some(saved) = self.saved_daemons.get(&address) {
+            node.load_daemons(saved);
         }
         self.replicas.insert(address, node);
     }
 
-    /// Starts an agent beside a back end whose call has this number.
-    pub fn start_agent(&mut self, index: u16, call_number: u64) {
+    /// Starts an agent whose back end registers with this sequence number.
+    pub fn start_agent(&mut self, index: u16, sequence: u64) {
         let address = agent_address(index);
         let settings = PassThroughAgentSettings {
             address,
@@ -143,25 +143,26 @@
             warm_up_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
-        let life = Incarnation(self.now.as_micros() + u64::from(index));
-        let contacts = KnownReplicas::new(REPLICAS.to_vec());
-        let mut agent = PassThroughAgent::new(self.now, settings, TestCodec, life, contacts);
-        let call = Registration {
+        let incarnation = Incarnation(self.now.as_micros() + u64::from(index));
+        let known_replicas = KnownReplicas::new(REPLICAS.to_vec());
+        let mut agent =
+            PassThroughAgent::new(self.now, settings, TestCodec, incarnation, known_replicas);
+        let registration = Registration {
             id: address.to_string(),
             service: SERVICE.to_owned(),
             started_at_millis: None,
-            sequence: call_number,
+            sequence,
             slots: 4,
             draining: false,
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = agent.handle_registration(self.now, &call);
-        taken.expect("it is of the agent's service");
+        let result = agent.handle_registration(self.now, &registration);
+        result.expect("a registration for the agent's service");
         self.agents.insert(address, agent);
     }
 
-    /// Starts a balancer that is current at once.
+    /// Starts a balancer that is up to date at once.
     pub fn start_balancer(&mut self) {
         let settings = PassThroughBalancerSettings {
             zone: "a".to_owned(),
@@ -170,10 +171,10 @@
             stop_delay: Duration::from_secs(2),
             link_bytes_per_second: None,
         };
-        let contacts = KnownReplicas::new(REPLICAS.to_vec());
+        let known_replicas = KnownReplicas::new(REPLICAS.to_vec());
         let now = self.now;
         let mut balancer =
-            PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts);
+            PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), known_replicas);
         let route = RouteRecord {
             address: pack_address(ROUTE),
             shares: vec![RouteShare {
@@ -208,7 +209,7 @@
         self.balancer = Some(balancer);
     }
 
-    /// A caller sends data on a flow that the balancer does not know.
+    /// A caller sends data on a flow that the balancer doesn't know.
     pub fn request(&mut self, port: u16) {
         let packet = PacketView {
             ack: true,
@@ -216,7 +217,7 @@
             data_bytes: 50,
             ..empty(caller(port), ROUTE)
         };
-        let balancer = self.balancer.as_mut().expect("it runs");
+        let balancer = self.balancer.as_mut().expect("a running balancer");
         balancer.handle_packet(self.now, &encode(&packet));
         self.settle();
     }
@@ -251,11 +252,11 @@
 
     fn settle(&mut self) {
         loop {
-            self.collect();
-            let Some((from, to, body)) = self.under_way.pop_front() else {
+            self.collect_outputs();
+            let Some((from, to, body)) = self.in_flight.pop_front() else {
                 return;
             };
-            if !self.cut.contains(&from) && !self.cut.contains(&to) {
+            if !self.unreachable.contains(&from) && !self.unreachable.contains(&to) {
                 self.deliver(from, to, body);
             }
         }
@@ -269,18 +270,18 @@
             agent.handle_message(now, from, body);
         } else if let (BALANCER, Some(balancer)) = (to, &mut self.balancer) {
             balancer.handle_message(now, from, body);
-        } else if to == ASKER {
-            self.take_answer(from, body);
+        } else if to == OBSERVER {
+            self.handle_observed_message(from, body);
         }
     }
 
-    fn take_answer(&mut self, from: SocketAddrV4, body: PassThroughBody) {
+    fn handle_observed_message(&mut self, from: SocketAddrV4, body: PassThroughBody) {
         match body {
             PassThroughBody::GroupStatus(group) if group.directory_is_complete => {
-                self.said_whole.insert(from);
+                self.complete_directories.insert(from);
             }
             PassThroughBody::GroupStatus(_) => {
-                self.said_whole.remove(&from);
+                self.complete_directories.remove(&from);
             }
             PassThroughBody::DirectoryPart(directory) => {
                 assert_eq!(directory.base_revision, 0);
@@ -290,13 +291,13 @@
                 let bytes = decompress_size_prepended(&bytes).expect("compressed");
                 let change = DirectoryChange::decode(bytes.as_slice()).expect("a directory");
                 let agents = change.agents.iter().map(|entry| entry.report.address);
-                self.listed.insert(from, agents.collect());
+                self.listed_agents.insert(from, agents.collect());
             }
             _ => {}
         }
     }
 
-    /// Joins the parts of a directory; none as long as some are missing.
+    /// Joins the parts of a directory. Returns none while parts are missing.
     fn assemble(&mut self, from: SocketAddrV4, directory: DirectoryPart) -> Option<Vec<u8>> {
         let key = (from, directory.revision);
         let parts = self.directory_parts.entry(key).or_default();
@@ -308,14 +309,14 @@
         Some(parts.into_values().flatten().collect())
     }
 
-    /// Takes what all have to send.
-    fn collect(&mut self) {
+    /// Collects the outputs of all processes.
+    fn collect_outputs(&mut self) {
         let now = self.now;
         for (address, node) in &mut self.replicas {
             while let Some(output) = node.poll_output() {
                 match output {
                     ConfigurationOutput::Send { to, body } => {
-                        self.under_way.push_back((*address, to, body));
+                        self.in_flight.push_back((*address, to, body));
                     }
                     ConfigurationOutput::Persist(request) => {
                         node.handle_persisted(now, request.ticket);
@@ -332,7 +333,7 @@
             while let Some(output) = agent.poll_output() {
                 match output {
                     PassThroughOutput::Send { to, body } => {
-                        self.under_way.push_back((*address, to, body));
+                        self.in_flight.push_back((*address, to, body));
                     }
                     PassThroughOutput::ToBackend(_) => self.packets_to_backends.push(*address),
                     _ => {}
@@ -342,7 +343,7 @@
         while let Some(output) = self.balancer.as_mut().and_then(|it| it.poll_output()) {
             match output {
                 PassThroughOutput::Send { to, body } => {
-                    self.under_way.push_back((BALANCER, to, body));
+                    self.in_flight.push_back((BALANCER, to, body));
                 }
                 PassThroughOutput::ToCaller { packet, .. } => {
                     let view = TestCodec.view(&packet).expect("a packet");
@@ -353,32 +354,31 @@
         }
     }
 
-    /// Replicas that say now that their directories are whole.
+    /// Number of replicas that now report a complete directory.
     pub fn complete_replicas(&mut self) -> usize {
         for address in self.replicas.keys() {
-            let follow = Subscribe {
+            let subscribe = Subscribe {
                 wants_updates: true,
                 ..Subscribe::default()
             };
-            let leaving = Subscribe {
+            let unsubscribe = Subscribe {
                 unsubscribe: true,
                 ..Subscribe::default()
             };
-            for follow in [follow, leaving] {
-                let body = PassThroughBody::Subscribe(follow);
-                self.under_way.push_back((ASKER, *address, body));
+            for message in [subscribe, unsubscribe] {
+                let body = PassThroughBody::Subscribe(message);
+                self.in_flight.push_back((OBSERVER, *address, body));
             }
         }
         self.settle();
-        self.said_whole.len()
+        self.complete_directories.len()
     }
 
-    /// An agent that runs and that a replica leaves out, although its directory is whole
-    /// by its word.
+    /// A replica that reports a complete directory, and a running agent that is missing in it.
     pub fn unlisted_agent(&mut self) -> Option<(SocketAddrV4, SocketAddrV4)> {
         self.complete_replicas();
-        for replica in &self.said_whole {
-            let listed = &self.listed[replica];
+        for replica in &self.complete_directories {
+            let listed = &self.listed_agents[replica];
             let is_missing = |agent: &&SocketAddrV4| !listed.contains(&pack_address(**agent));
             if let Some(agent) = self.agents.keys().find(is_missing) {
                 return Some((*replica, *agent));
@@ -387,19 +387,19 @@
         None
     }
 
-    /// Ends a replica, which keeps its disk.
+    /// Stops a replica; its disk stays.
     pub fn stop_replica(&mut self, address: SocketAddrV4) {
         self.replicas.remove(&address);
-        self.said_whole.remove(&address);
-        self.listed.remove(&address);
+        self.complete_directories.remove(&address);
+        self.listed_agents.remove(&address);
     }
 
-    /// How long it takes until so many replicas have whole directories.
+    /// Time until this many replicas have complete directories.
     pub fn time_until_complete(&mut self, replicas: usize, limit: Duration) -> Option<Duration> {
-        let begin = self.now;
-        while self.now.saturating_since(begin) < limit {
+        let started_at = self.now;
+        while self.now.saturating_since(started_at) < limit {
             if self.complete_replicas() >= replicas {
-                return Some(self.now.saturating_since(begin));
+                return Some(self.now.saturating_since(started_at));
             }
             self.run(10 * MILLI);
         }
