--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -14,7 +14,8 @@
 /// Distance from the back end's initial sequence number within which a caller's
 /// acknowledgement number belongs to the same connection, in bytes.
 pub(crate) const SEQUENCE_WINDOW: u32 = 1 << 22;
-/// A SYN that the back end hasn't accepted is forgotten after this time.
+/// Idle time after which a flow is forgotten whose SYN wasn't accepted or whose handshake
+/// wasn't completed.
 const SYN_TTL: Duration = Duration::from_millis(1_600);
 /// A flow whose caller hasn't completed the handshake by then no longer counts as an
 /// in-flight request.
--- a/crates/petrellatch-proto/src/pass_through/group.rs
+++ b/crates/petrellatch-proto/src/pass_through/group.rs
@@ -83,7 +83,7 @@
     /// To an agent: whether the sender knows a previous incarnation at the agent's address.
     #[prost(bool, tag = "10")]
     pub knows_previous_incarnation: bool,
-    /// To an agent: whether the sender has received a report of its current incarnation.
+    /// To an agent: whether the sender has received a report of the agent's current incarnation.
     #[prost(bool, tag = "11")]
     pub has_report: bool,
     /// Zone statuses, if the receiver may not have the latest ones.
@@ -95,7 +95,7 @@
     /// To an agent: whether the sender has saved the agent's address on disk.
     #[prost(bool, tag = "14")]
     pub agent_is_saved: bool,
-    /// To an agent: the sender has received no report since its own start.
+    /// To an agent: requests a report, as the sender has received none since its own start.
     #[prost(bool, tag = "15")]
     pub wants_report: bool,
     /// To a replica that requested it: some of the sender's saved agents.
