--- a/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
@@ -1,4 +1,4 @@
-//! Asks replicas for the flows of an agent's former life.
+//! Recovery of the flow record of an agent's previous incarnation from the replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -9,176 +9,183 @@
 use super::recorded_flow::{PreviousFlowRecord, from_columns};
 use crate::time::Timestamp;
 
-/// Between two questions to a replica that has not answered, in the first seconds.
-const ASK_INTERVAL: Duration = Duration::from_millis(100);
-const FIRST_SECONDS: Duration = Duration::from_secs(3);
-/// The same later: replicas that take long to start must not be flooded.
-const LATE_ASK_INTERVAL: Duration = Duration::from_millis(500);
-/// After the first whole record others that may be newer are waited for.
+/// Interval between requests to a replica that hasn't responded, in the initial period.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+const INITIAL_PERIOD: Duration = Duration::from_secs(3);
+/// The interval after the initial period. It is longer so as not to flood replicas that
+/// take long to start.
+const LATER_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// After the first complete record, time to wait for others that may be newer.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
-/// So long replicas that are not known yet may be told of, if those that are known have
-/// no record.
-const LEARNING_TIME: Duration = Duration::from_secs(1);
-/// Replicas that do not answer are waited for after the first answer of another one.
-const SILENCE_LIMIT: Duration = Duration::from_secs(3);
-/// The end if nobody answers.
-const RECALL_LIMIT: Duration = Duration::from_secs(30);
-/// The most parts of a record: what is larger is no record that an agent made.
+/// If the known replicas have no record, time to wait for further replicas to become known.
+const DISCOVERY_TIME: Duration = Duration::from_secs(1);
+/// After the first response, time to wait for replicas that haven't responded.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Total time after which the recovery ends, also without any response.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of parts of a record. Agents don't create larger ones.
 const MAX_PARTS: u32 = 1_024;
 
-/// How a recall ended.
+/// Outcome of a recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryOutcome {
     /// A replica had a record.
     Recalled,
-    /// Replicas answered, and none had a record.
+    /// Replicas responded, but none had a record.
     NoRecord,
-    /// No replica answered.
+    /// No replica responded.
     Unanswered,
 }
 
-/// The end of a recall.
+/// Result of a recovery.
 #[derive(Debug)]
 pub(crate) struct RecoveryEnd {
     pub(crate) outcome: RecoveryOutcome,
-    /// Number of the record.
+    /// Revision of the record; zero if there was none.
     pub(crate) revision: u64,
-    /// Flows in it.
+    /// Number of flows in the record.
     pub(crate) flows: usize,
 }
 
 #[derive(Debug)]
-enum Answer {
+enum ReplicaResponse {
     Parts {
-        number: u64,
+        revision: u64,
         parts: BTreeMap<u32, FlowRecordResponse>,
     },
     Complete,
 }
 
-/// The state machine.
+/// State machine of a recovery.
 #[derive(Debug)]
 pub(crate) struct FlowRecordRecovery {
     started_at: Timestamp,
-    ask_at: Timestamp,
-    first_answer_at: Option<Timestamp>,
+    next_request_at: Timestamp,
+    first_response_at: Option<Timestamp>,
     first_record_at: Option<Timestamp>,
-    answers: BTreeMap<SocketAddrV4, Answer>,
+    responses: BTreeMap<SocketAddrV4, ReplicaResponse>,
     best: Option<(u64, PreviousFlowRecord)>,
-    /// Number of the record that was handed over last.
-    handed_over: u64,
+    /// Revision that [`FlowRecordRecovery::take_newer`] returned last.
+    taken_revision: u64,
 }
 
 impl FlowRecordRecovery {
     pub(crate) fn new(now: Timestamp) -> Self {
         FlowRecordRecovery {
             started_at: now,
-            ask_at: now,
-            first_answer_at: None,
+            next_request_at: now,
+            first_response_at: None,
             first_record_at: None,
-            answers: BTreeMap::new(),
+            responses: BTreeMap::new(),
             best: None,
-            handed_over: 0,
+            taken_revision: 0,
         }
     }
 
-    /// Replicas to ask, if that is due.
+    /// Replicas to send requests to now.
     pub(crate) fn poll_requests(
         &mut self,
         now: Timestamp,
         known: BTreeSet<SocketAddrV4>,
     ) -> Vec<SocketAddrV4> {
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return Vec::new();
         }
-        let is_late = now.saturating_since(self.started_at) >= FIRST_SECONDS;
-        self.ask_at = now
-            + match is_late {
-                true => LATE_ASK_INTERVAL,
-                false => ASK_INTERVAL,
+        let is_initial_period_over = now.saturating_since(self.started_at) >= INITIAL_PERIOD;
+        self.next_request_at = now
+            + match is_initial_period_over {
+                true => LATER_REQUEST_INTERVAL,
+                false => REQUEST_INTERVAL,
             };
-        let is_open = |address: &SocketAddrV4| !self.is_complete(address);
-        known.into_iter().filter(is_open).collect()
+        let is_pending = |address: &SocketAddrV4| !self.is_complete(address);
+        known.into_iter().filter(is_pending).collect()
     }
 
     pub(crate) fn poll_timeout(&self) -> Timestamp {
-        self.ask_at
+        self.next_request_at
     }
 
-    /// Takes an answer to a question of this life.
+    /// Handles a response to a request of this incarnation.
     pub(crate) fn handle_response(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answer: FlowRecordResponse,
+        response: FlowRecordResponse,
     ) {
-        if self.is_complete(&from) || answer.parts > MAX_PARTS {
+        if self.is_complete(&from) || response.parts > MAX_PARTS {
             return;
         }
-        self.first_answer_at.get_or_insert(now);
-        if answer.parts == 0 {
-            self.answers.insert(from, Answer::Complete);
+        self.first_response_at.get_or_insert(now);
+        if response.parts == 0 {
+            self.responses.insert(from, ReplicaResponse::Complete);
             return;
         }
-        let (number, wanted) = (answer.revision, answer.parts);
-        let known = self.answers.entry(from).or_insert_with(|| Answer::Parts {
-            number,
-            parts: BTreeMap::new(),
-        });
-        let Answer::Parts { number: of, parts } = known else {
+        let (revision, part_count) = (response.revision, response.parts);
+        let known = self
+            .responses
+            .entry(from)
+            .or_insert_with(|| ReplicaResponse::Parts {
+                revision,
+                parts: BTreeMap::new(),
+            });
+        let ReplicaResponse::Parts {
+            revision: current,
+            parts,
+        } = known
+        else {
             return;
         };
-        if *of != number {
-            *of = number;
+        if *current != revision {
+            *current = revision;
             parts.clear();
         }
-        if answer.part < wanted {
-            parts.insert(answer.part, answer);
+        if response.part < part_count {
+            parts.insert(response.part, response);
         }
-        if parts.len() < wanted as usize {
+        if parts.len() < part_count as usize {
             return;
         }
         let parts = std::mem::take(parts);
-        self.answers.insert(from, Answer::Complete);
+        self.responses.insert(from, ReplicaResponse::Complete);
         self.first_record_at.get_or_insert(now);
-        let is_newer = |best: &(u64, PreviousFlowRecord)| number > best.0;
+        let is_newer = |best: &(u64, PreviousFlowRecord)| revision > best.0;
         if self.best.as_ref().is_none_or(is_newer) {
-            self.best = Some((number, assemble(parts)));
+            self.best = Some((revision, join_parts(parts)));
         }
     }
 
-    /// The newest record so far, if it is newer than the one that was handed over before:
-    /// whoever waits for it need not wait for the end.
+    /// The newest record so far, if it is newer than the one returned before. The agent can use
+    /// it before the recovery ends.
     pub(crate) fn take_newer(&mut self) -> Option<PreviousFlowRecord> {
-        let (number, record) = self.best.as_ref()?;
-        if *number <= self.handed_over {
+        let (revision, record) = self.best.as_ref()?;
+        if *revision <= self.taken_revision {
             return None;
         }
-        self.handed_over = *number;
+        self.taken_revision = *revision;
         Some(record.clone())
     }
 
     fn is_complete(&self, address: &SocketAddrV4) -> bool {
-        matches!(self.answers.get(address), Some(Answer::Complete))
+        matches!(self.responses.get(address), Some(ReplicaResponse::Complete))
     }
 
-    /// What came of it, once it is over. `known` are the replicas that may answer.
+    /// The result, once the recovery has ended. `known` are the replicas that may respond.
     pub(crate) fn poll_end(
         &mut self,
         now: Timestamp,
         known: &BTreeSet<SocketAddrV4>,
     ) -> Option<RecoveryEnd> {
         let after = |at: Option<Timestamp>, time| at.is_some_and(|at| now >= at + time);
-        let all_answered = known.iter().all(|address| self.is_complete(address));
-        let has_learnt = now >= self.started_at + LEARNING_TIME;
-        let is_over = after(self.first_record_at, SETTLE_TIME)
-            || (all_answered && has_learnt && !known.is_empty())
-            || after(self.first_answer_at, SILENCE_LIMIT)
-            || now >= self.started_at + RECALL_LIMIT;
-        if !is_over {
+        let all_responded = known.iter().all(|address| self.is_complete(address));
+        let has_discovered = now >= self.started_at + DISCOVERY_TIME;
+        let has_ended = after(self.first_record_at, SETTLE_TIME)
+            || (all_responded && has_discovered && !known.is_empty())
+            || after(self.first_response_at, SILENCE_TIMEOUT)
+            || now >= self.started_at + RECOVERY_TIMEOUT;
+        if !has_ended {
             return None;
         }
-        let outcome = match (&self.best, self.first_answer_at) {
+        let outcome = match (&self.best, self.first_response_at) {
             (Some(_), _) => RecoveryOutcome::Recalled,
             (None, Some(_)) => RecoveryOutcome::NoRecord,
             (None, None) => RecoveryOutcome::Unanswered,
@@ -186,13 +193,13 @@
         let best = self.best.as_ref();
         Some(RecoveryEnd {
             outcome,
-            revision: best.map_or(0, |(number, _)| *number),
+            revision: best.map_or(0, |(revision, _)| *revision),
             flows: best.map_or(0, |(_, record)| record.flows.len()),
         })
     }
 }
 
-fn assemble(parts: BTreeMap<u32, FlowRecordResponse>) -> PreviousFlowRecord {
+fn join_parts(parts: BTreeMap<u32, FlowRecordResponse>) -> PreviousFlowRecord {
     let mut record = PreviousFlowRecord::default();
     for part in parts.into_values() {
         record.backend_incarnation = part.backend_incarnation;
--- a/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_searches.rs
@@ -1,5 +1,5 @@
-//! All searches of a balancer: which flows are sought, and when agents are asked for
-//! them. Flows are gathered, so that one message asks for many.
+//! All flow searches of a balancer, and the times of their queries. Queries are batched, so
+//! that one message covers many flows.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -12,10 +12,10 @@
 use super::flow_search::{FlowSearch, QUERY_ROUND, SearchTarget};
 use crate::pass_through::packet::{FlowId, PacketView};
 
-/// Flows that are sought at once. More are not sought: their callers repeat.
+/// Maximum number of concurrent searches. Further ones aren't started: callers retransmit.
 const MAX_SEARCHES: usize = 8_192;
-/// How long flows are gathered, so that one message asks for many.
-const GATHERING: Duration = Duration::from_millis(3);
+/// How long flows are batched, so that one message covers many.
+const BATCH_TIME: Duration = Duration::from_millis(3);
 
 /// All searches of a balancer.
 #[derive(Debug, Default)]
@@ -23,15 +23,14 @@
     searches: HashMap<FlowId, FlowSearch>,
     /// Flows with the ends of their rounds.
     due: BTreeSet<(Timestamp, FlowId)>,
-    /// Flows whose round begins with the next questions.
-    unasked: Vec<FlowId>,
-    /// Before this no questions go out. Flows are gathered for them.
-    ask_at: Timestamp,
+    /// Flows whose round begins with the next queries.
+    unqueried: Vec<FlowId>,
+    /// Earliest time of the next queries; until then flows are batched.
+    query_at: Timestamp,
 }
 
 impl FlowSearches {
-    /// Notes a packet of a flow that is not known. Returns whether its search
-    /// begins with it.
+    /// Adds a packet of an unknown flow. Returns whether its search begins with it.
     pub(crate) fn note_packet(
         &mut self,
         now: Timestamp,
@@ -44,16 +43,16 @@
             return false;
         };
         search.note_packet(now, view, packet);
-        let is_settled = now.saturating_since(search.asked_at) >= QUERY_ROUND;
+        let round_is_over = now.saturating_since(search.round_started_at) >= QUERY_ROUND;
         let due = (search.due_at, flow);
-        if !is_new && is_settled && self.due.remove(&due) {
-            // The caller still waits.
-            self.unasked.push(flow);
+        if !is_new && round_is_over && self.due.remove(&due) {
+            // The caller has sent again, so the next round begins early.
+            self.unqueried.push(flow);
         }
         is_new
     }
 
-    /// Notes that a back end returned a packet of a flow.
+    /// Records that a back end returned a packet of a flow.
     pub(crate) fn note_returned(
         &mut self,
         now: Timestamp,
@@ -78,7 +77,7 @@
         }
         if is_new {
             self.searches.insert(flow, FlowSearch::new(now, service));
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
         self.searches.get_mut(&flow).map(|search| (search, is_new))
     }
@@ -87,18 +86,19 @@
         self.searches.get_mut(&flow)
     }
 
-    /// All flows that are sought, in order.
+    /// All searched flows, in order.
     pub(crate) fn flows(&self) -> BTreeSet<FlowId> {
         self.searches.keys().copied().collect()
     }
 
-    /// Lets the next round of a flow begin now, unless it is about to.
+    /// Begins the next round of a flow with the next queries, unless it is already queued for
+    /// them.
     pub(crate) fn query_now(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get(&flow) else {
             return;
         };
         if self.due.remove(&(search.due_at, flow)) {
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
     }
 
@@ -112,15 +112,14 @@
         Some(search)
     }
 
-    /// When something is due.
+    /// Time of the next queries or of the next end of a round.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         let round_end = self.due.first().map(|(due_at, _)| *due_at);
-        let ask_at = (!self.unasked.is_empty()).then_some(self.ask_at);
-        ask_at.into_iter().chain(round_end).min()
+        let query_at = (!self.unqueried.is_empty()).then_some(self.query_at);
+        query_at.into_iter().chain(round_end).min()
     }
 
-    /// The flows whose rounds have ended. They are asked for again unless they
-    /// are removed.
+    /// Takes the flows whose rounds have ended. They are queried again unless they are removed.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<FlowId> {
         let mut due = Vec::new();
         while let Some((due_at, flow)) = self.due.first().copied()
@@ -132,52 +131,52 @@
         due
     }
 
-    /// Lets the next round of a flow begin.
+    /// Begins the next round of a flow with the next queries.
     pub(crate) fn query_again(&mut self, flow: FlowId) {
-        self.unasked.push(flow);
+        self.unqueried.push(flow);
     }
 
-    /// Lets the next round of a flow begin now, with the agents of all services.
+    /// Begins the next round of a flow with the next queries, for the agents of all services.
     pub(crate) fn query_all(&mut self, flow: FlowId) {
         let Some(search) = self.searches.get_mut(&flow) else {
             return;
         };
         search.query_all();
         if self.due.remove(&(search.due_at, flow)) {
-            self.unasked.push(flow);
+            self.unqueried.push(flow);
         }
     }
 
-    /// The flows to ask for now, if questions are due.
+    /// Takes the flows to query now, if queries are due.
     pub(crate) fn take_unqueried(&mut self, now: Timestamp) -> Vec<FlowId> {
-        if now < self.ask_at || self.unasked.is_empty() {
+        if now < self.query_at || self.unqueried.is_empty() {
             return Vec::new();
         }
-        self.ask_at = now + GATHERING;
-        std::mem::take(&mut self.unasked)
+        self.query_at = now + BATCH_TIME;
+        std::mem::take(&mut self.unqueried)
     }
 
-    /// Begins a round of one flow, unless `take_budget` does not allow to ask its
-    /// agents. Returns whom to ask.
+    /// Begins a round of one flow, unless `try_spend` denies the budget to query its agents.
+    /// Returns the agents to query.
     pub(crate) fn begin_round(
         &mut self,
         now: Timestamp,
         flow: FlowId,
         agents: &[SearchTarget],
-        added: u64,
-        take_budget: impl FnOnce(&Vec<SocketAddrV4>) -> bool,
+        total_added: u64,
+        try_spend: impl FnOnce(&Vec<SocketAddrV4>) -> bool,
     ) -> Vec<SocketAddrV4> {
         let Some(search) = self.searches.get_mut(&flow) else {
             return Vec::new();
         };
-        let asked = match take_budget(&search.undecided(agents)) {
-            true => search.begin_round(now, agents, added),
+        let queried = match try_spend(&search.undecided(agents)) {
+            true => search.begin_round(now, agents, total_added),
             false => {
                 search.due_at = now + QUERY_ROUND;
                 Vec::new()
             }
         };
         self.due.insert((search.due_at, flow));
-        asked
+        queried
     }
 }
