--- a/crates/petrellatch-core/src/pass_through/balancer/open_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/established_flows.rs
@@ -5,21 +5,21 @@
 impl<C: PacketCodec> PassThroughBalancer<C> {
     pub(super) fn handle_established(&mut self, now: Timestamp, view: &PacketView, packet: &[u8]) {
         let flow = view.flow_from_caller();
-        if let Some(hint) = self.hints.get_mut(flow) {
-            hint.last_used_at = now;
-            hint.syn = None;
-            hint.closed |= view.fin || view.rst;
-            if hint.owner.is_none() {
-                let owner = hint.agent_for_ack(view.ack_number);
-                hint.owner = owner.or_else(|| hint.sole_offer());
+        if let Some(cached) = self.flow_cache.get_mut(flow) {
+            cached.last_used_at = now;
+            cached.syn = None;
+            cached.closed |= view.fin || view.rst;
+            if cached.owner.is_none() {
+                let owner = cached.agent_for_ack(view.ack_number);
+                cached.owner = owner.or_else(|| cached.sole_offer());
             }
-            let owner = hint.owner;
+            let owner = cached.owner;
             if let Some(owner) = owner.filter(|owner| self.agents.get(*owner).is_some()) {
-                let service = hint.service;
-                let flow_age = now.saturating_since(hint.created_at);
-                let was_stalled = hint.stalled;
-                hint.stalled = self.agents.is_suspected(now, owner);
-                if hint.stalled && !was_stalled {
+                let service = cached.service;
+                let flow_age = now.saturating_since(cached.created_at);
+                let was_stalled = cached.stalled;
+                cached.stalled = self.agents.is_suspected(now, owner);
+                if cached.stalled && !was_stalled {
                     let subject = format!("flow={flow} agent={owner}");
                     self.emit_event(EventKind::FlowStalled, subject);
                 }
@@ -27,7 +27,7 @@
                     self.agents.note_request(service, flow_age);
                 }
                 self.counters.delivered += 1;
-                self.carry(owner, service, ForwardReason::Deliver, packet.to_vec());
+                self.forward(owner, service, ForwardReason::Deliver, packet.to_vec());
                 return;
             }
         }
@@ -44,6 +44,6 @@
         if !is_new {
             self.take_search_step(now, flow);
         }
-        self.send_questions(now);
+        self.send_queries(now);
     }
 }
--- a/crates/petrellatch-core/src/pass_through/balancer/edge.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/load_shedding.rs
@@ -7,19 +7,19 @@
 
 /// Agents that are asked to take a flow into a free slot, before full ones
 /// are asked to queue it.
-const MAX_ASKED: usize = 4;
+const MAX_OFFERS: usize = 4;
 /// Agents that are asked to queue a flow.
-pub(super) const MAX_QUEUE_ASKED: usize = 4;
+pub(super) const MAX_QUEUE_OFFERS: usize = 4;
 
 /// Agents that are asked for a flow while its service is under pressure, other ones
 /// than those that have just declined. With two, twice as many messages go into flows
 /// that are refused.
-const PRESSED_ASKED: usize = 1;
+const OFFERS_UNDER_OVERLOAD: usize = 1;
 
 /// A flow that agents were asked for.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AskedFlow {
-    pub(super) kind: FlowKind,
+pub(super) struct OfferedFlow {
+    pub(super) class: FlowClass,
     pub(super) route: SocketAddrV4,
     pub(super) created_at: Timestamp,
 }
@@ -32,29 +32,29 @@
 
     /// What a new flow is for the room that it needs, if its caller had waited for
     /// `age` when it came.
-    pub(super) fn flow_kind(&self, flow: FlowId, service: u64, age: Duration) -> FlowKind {
-        let class = self.routes.class(flow);
-        let objective = Duration::from_millis(u64::from(class.objective_millis));
-        FlowKind {
+    pub(super) fn flow_class(&self, flow: FlowId, service: u64, age: Duration) -> FlowClass {
+        let request_class = self.routes.request_class(flow);
+        let objective = Duration::from_millis(u64::from(request_class.latency_objective_millis));
+        FlowClass {
             service,
             is_late: !objective.is_zero() && age >= objective,
-            priority: class.priority,
+            priority: request_class.priority,
         }
     }
 
     /// Whether agents are asked for a new flow; otherwise it is refused.
-    pub(super) fn admits_at_edge(
+    pub(super) fn should_offer(
         &mut self,
         now: Timestamp,
         flow: FlowId,
-        hint: &CachedFlow,
+        cached: &CachedFlow,
     ) -> bool {
-        let kind = self.flow_kind(flow, hint.service, hint.syn_age);
-        if self.pressure.decide(now, kind) == EdgeDecision::Ask {
+        let class = self.flow_class(flow, cached.service, cached.syn_age);
+        if self.overload.decide(now, class) == SheddingDecision::Offer {
             return true;
         }
         self.counters.refused += 1;
-        *self.shed_flows.entry(kind.priority).or_default() += 1;
+        *self.shed_flows.entry(class.priority).or_default() += 1;
         if is_sampled(flow) {
             let version = self.routes.version();
             let subject = format!("flow={flow} reason=no_room version={version}");
@@ -65,37 +65,33 @@
     }
 
     /// How many agents are asked for a flow, in each of the two rounds.
-    pub(super) fn ask_limit(&mut self, now: Timestamp, flow: FlowId) -> usize {
-        let Some(hint) = self.hints.get_mut(flow) else {
+    pub(super) fn offer_limit(&mut self, now: Timestamp, flow: FlowId) -> usize {
+        let Some(cached) = self.flow_cache.get_mut(flow) else {
             return 0;
         };
-        let (service, age, queued) = (hint.service, hint.syn_age, hint.offered_to_queue);
-        let kind = self.flow_kind(flow, service, age);
-        match (self.pressure.is_pressed(now, kind), queued) {
-            (true, _) => PRESSED_ASKED,
-            (false, false) => MAX_ASKED,
-            (false, true) => MAX_QUEUE_ASKED,
+        let (service, age, queued) = (cached.service, cached.syn_age, cached.offered_to_queue);
+        let class = self.flow_class(flow, service, age);
+        match (self.overload.is_overloaded(now, class), queued) {
+            (true, _) => OFFERS_UNDER_OVERLOAD,
+            (false, false) => MAX_OFFERS,
+            (false, true) => MAX_QUEUE_OFFERS,
         }
     }
 
     /// Notes that no agent takes a flow. If most of those that were asked had no room,
     /// the next ones are refused for a while. Silence, or back ends that leave, are no
     /// lack of room.
-    pub(super) fn note_refused(&mut self, now: Timestamp, flow: FlowId, hint: &CachedFlow) {
-        let asked_flow = AskedFlow {
-            kind: self.flow_kind(flow, hint.service, hint.syn_age),
+    pub(super) fn note_refused(&mut self, now: Timestamp, flow: FlowId, cached: &CachedFlow) {
+        let offered_flow = OfferedFlow {
+            class: self.flow_class(flow, cached.service, cached.syn_age),
             route: flow.route,
-            created_at: hint.created_at,
+            created_at: cached.created_at,
         };
-        let OfferCounts {
-            offered: asked,
-            full,
-            ..
-        } = hint.offer_counts;
-        if full * 2 <= asked {
-            self.pressure.note_unknown(asked_flow.kind);
+        let OfferCounts { offered, full, .. } = cached.offer_counts;
+        if full * 2 <= offered {
+            self.overload.note_inconclusive(offered_flow.class);
         } else {
-            self.begin_pause(now, asked_flow);
+            self.start_backoff(now, offered_flow);
         }
     }
 
@@ -103,44 +99,44 @@
     /// that are warm and whose times of work are known there is no more room for now, and
     /// those that wait find the next. After an outage back ends warm up, or agents have
     /// just started: they will soon take more, so that more flows may wait for it.
-    pub(super) fn note_waiting(&mut self, now: Timestamp, flow: AskedFlow, load: LoadMessage) {
-        let is_starting = load.cold || load.processing_micros == 0;
-        let agents = self.agents.count(flow.kind.service).serving();
+    pub(super) fn note_queued(&mut self, now: Timestamp, flow: OfferedFlow, load: LoadMessage) {
+        let is_warming_up = load.cold || load.processing_micros == 0;
+        let agents = self.agents.agent_counts(flow.class.service).serving();
         let created_at = flow.created_at;
-        if !is_starting
+        if !is_warming_up
             && self
-                .pressure
-                .note_waiting(now, flow.kind, created_at, agents)
+                .overload
+                .note_queued(now, flow.class, created_at, agents)
         {
-            self.begin_pause(now, flow);
+            self.start_backoff(now, flow);
         } else {
-            self.pressure.note_unknown(flow.kind);
+            self.overload.note_inconclusive(flow.class);
         }
     }
 
     /// Refuses the next flows of a kind for a while, as one of it found no room.
-    fn begin_pause(&mut self, now: Timestamp, flow: AskedFlow) {
-        let AskedFlow {
-            kind,
+    fn start_backoff(&mut self, now: Timestamp, flow: OfferedFlow) {
+        let OfferedFlow {
+            class,
             route,
             created_at,
         } = flow;
-        let agents = self.agents.count(kind.service).serving();
+        let agents = self.agents.agent_counts(class.service).serving();
         if self
-            .pressure
-            .note_full(now, kind, created_at, agents, route)
+            .overload
+            .note_all_full(now, class, created_at, agents, route)
         {
             self.counters.pauses += 1;
-            self.tell_pressure(now);
+            self.log_overload_changes(now);
         }
     }
 
     /// Logs which services have come under pressure, or are under none any more.
-    pub(super) fn tell_pressure(&mut self, now: Timestamp) {
-        for change in self.pressure.take_changes(now) {
-            let PressureChange {
+    pub(super) fn log_overload_changes(&mut self, now: Timestamp) {
+        for change in self.overload.take_changes(now) {
+            let OverloadChange {
                 level,
-                before,
+                previous_level,
                 route,
                 ..
             } = change;
@@ -148,13 +144,13 @@
             let subject = format!(
                 "route={route} level={} before={}",
                 name(level),
-                name(before)
+                name(previous_level)
             );
-            let kind = match level {
+            let event_kind = match level {
                 Some(_) => EventKind::ServicePressed,
                 None => EventKind::PressureEnded,
             };
-            self.emit_event(kind, subject);
+            self.emit_event(event_kind, subject);
         }
     }
 
@@ -177,13 +173,13 @@
 
 /// Whether a caller that has waited for `age` has given up its opening packet, or its
 /// request. The deadline is in milliseconds, zero if it is not known.
-pub(super) fn has_passed(age: Duration, deadline_millis: u32) -> bool {
+pub(super) fn deadline_passed(age: Duration, deadline_millis: u32) -> bool {
     let deadline = Duration::from_millis(u64::from(deadline_millis));
     age >= SYN_TIMEOUT || (!deadline.is_zero() && age >= deadline)
 }
 
 /// Whether the caller of a flow that nobody has taken has given it up.
-pub(super) fn has_left(now: Timestamp, hint: &CachedFlow) -> bool {
-    let age = hint.syn_age + now.saturating_since(hint.created_at);
-    hint.syn.is_some() && has_passed(age, 0)
+pub(super) fn caller_gave_up(now: Timestamp, cached: &CachedFlow) -> bool {
+    let age = cached.syn_age + now.saturating_since(cached.created_at);
+    cached.syn.is_some() && deadline_passed(age, 0)
 }
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -1,10 +1,10 @@
 //! The balancer: chooses an agent for each new flow, and hands on the packets
 //! of open ones.
 
-mod edge;
-mod news;
-mod open_flows;
-mod openings;
+mod control_updates;
+mod established_flows;
+mod load_shedding;
+mod new_flows;
 mod searches;
 mod sending;
 
@@ -24,10 +24,12 @@
 use crate::time::Timestamp;
 
 use super::choice::agent_directory::{AgentDirectory, ChosenAgent, Exclusion};
-use super::choice::answer_time::AnswerTime;
-use super::choice::ask_budget::AskBudget;
 use super::choice::known_agent::KnownAgent;
-use super::choice::service_pressure::{EdgeDecision, FlowKind, PressureChange, ServicePressure};
+use super::choice::reply_timeout::ReplyTimeoutEstimator;
+use super::choice::retry_budget::RetryBudget;
+use super::choice::service_overload::{
+    FlowClass, OverloadChange, ServiceOverload, SheddingDecision,
+};
 use super::digest::{flow_digest, is_sampled};
 use super::flows::agent_set::AgentSet;
 use super::flows::flow_cache::{CachedFlow, FlowCache, Offer, OfferCounts, OfferState};
@@ -45,21 +47,21 @@
 use super::routes::route_table::RouteTable;
 
 /// When nobody was heard for so long, the balancer counts as cut off.
-const ISOLATION_LIMIT: Duration = Duration::from_millis(600);
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(600);
 /// Between two sweeps over the hints.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Packets that are kept until the balancer is current.
-const MAX_EARLY_PACKETS: usize = 1_024;
+const MAX_BUFFERED_PACKETS: usize = 1_024;
 /// An opening packet that was kept for longer is dropped: its caller has sent a copy.
-const EARLY_OPENING_LIMIT: Duration = Duration::from_millis(200);
+const BUFFERED_SYN_TTL: Duration = Duration::from_millis(200);
 /// For so long after it is current, a balancer that knows no agent of a service keeps
 /// opening packets, unless a replica says that there is none.
-const FIRST_DIRECTORY_LIMIT: Duration = Duration::from_millis(500);
+const FIRST_DIRECTORY_TIMEOUT: Duration = Duration::from_millis(500);
 /// A process that did nothing for longer stood still: opening packets that
 /// came meanwhile are from callers that have sent copies since, or given up.
-const STANDSTILL: Duration = Duration::from_millis(1_200);
+const PROCESS_PAUSE: Duration = Duration::from_millis(1_200);
 /// How long opening packets are dropped after a standstill.
-const STANDSTILL_DROP: Duration = Duration::from_millis(30);
+const SYN_DROP_TIME: Duration = Duration::from_millis(30);
 
 /// Settings of a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -132,51 +134,51 @@
     settings: PassThroughBalancerSettings,
     codec: C,
     incarnation: Incarnation,
-    contacts: KnownReplicas,
-    attachments: PreferredReplicas,
+    known_replicas: KnownReplicas,
+    preferred_replicas: PreferredReplicas,
     routes: RouteTable,
     evacuations: Evacuations,
     agents: AgentDirectory,
     policies: ActivePolicies,
-    hints: FlowCache,
+    flow_cache: FlowCache,
     searches: FlowSearches,
-    seek_budget: QueryBudget,
+    query_budget: QueryBudget,
     /// Number of the latest question that one agent passes on to others.
-    next_question: u64,
+    last_query_id: u64,
     /// Such questions, with the agents in the order that their answers use.
-    asked_questions: VecDeque<(u64, Vec<SocketAddrV4>)>,
+    relayed_queries: VecDeque<(u64, Vec<SocketAddrV4>)>,
     /// Packets that came before the balancer was current, and when.
-    early: VecDeque<(Timestamp, Vec<u8>)>,
+    buffered: VecDeque<(Timestamp, Vec<u8>)>,
     /// Opening packets that wait for an answer, with the limits of it, in the
     /// order of the questions.
-    awaited: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
-    answer_time: AnswerTime,
-    ask_budget: AskBudget,
-    pressure: ServicePressure,
+    pending_offers: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
+    reply_timeout: ReplyTimeoutEstimator,
+    retry_budget: RetryBudget,
+    overload: ServiceOverload,
     shed_flows: BTreeMap<u32, u64>,
     /// Flows that wait for a place at an agent, with the time by which it is to say
     /// what became of them, in that order.
-    waiting: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
+    queued_flows: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
     /// Number of the question for the newest version, until it is answered
     /// and that version is in force.
-    confirm: u64,
+    confirmation_id: u64,
     confirmed_version: Option<u64>,
-    current: bool,
-    current_since: Timestamp,
-    follow_at: Timestamp,
+    is_up_to_date: bool,
+    up_to_date_since: Timestamp,
+    subscribe_at: Timestamp,
     /// Questions before the first confirmation.
-    confirm_tries: u32,
+    confirmation_attempts: u32,
     /// The leader that was asked for a confirmation last.
-    confirm_asked: Option<SocketAddrV4>,
-    followed_at: Timestamp,
+    confirmation_leader: Option<SocketAddrV4>,
+    subscribed_at: Timestamp,
     /// When another process was heard last.
-    heard_at: Timestamp,
+    last_message_at: Timestamp,
     /// Before this, no replica is asked for a newer configuration.
-    fetch_at: Timestamp,
+    next_fetch_at: Timestamp,
     sweep_at: Timestamp,
     /// Time of the latest input.
-    active_at: Timestamp,
-    drop_openings_until: Timestamp,
+    last_input_at: Timestamp,
+    drop_syns_until: Timestamp,
     stop_at: Option<Timestamp>,
     stopped: bool,
     counters: PassThroughBalancerCounters,
@@ -195,7 +197,7 @@
         settings: PassThroughBalancerSettings,
         codec: C,
         incarnation: Incarnation,
-        contacts: KnownReplicas,
+        known_replicas: KnownReplicas,
     ) -> Self {
         let link_bytes_per_second = settings.link_bytes_per_second;
         PassThroughBalancer {
@@ -204,35 +206,35 @@
             settings,
             codec,
             incarnation,
-            contacts,
-            attachments: PreferredReplicas::new(incarnation.0),
+            known_replicas,
+            preferred_replicas: PreferredReplicas::new(incarnation.0),
             routes: RouteTable::default(),
             evacuations: Evacuations::default(),
-            hints: FlowCache::default(),
+            flow_cache: FlowCache::default(),
             searches: FlowSearches::default(),
-            early: VecDeque::new(),
-            seek_budget: QueryBudget::new(now, link_bytes_per_second),
-            next_question: 0,
-            asked_questions: VecDeque::new(),
-            awaited: VecDeque::new(),
-            answer_time: AnswerTime::default(),
-            ask_budget: AskBudget::new(now, link_bytes_per_second),
-            pressure: ServicePressure::default(),
+            buffered: VecDeque::new(),
+            query_budget: QueryBudget::new(now, link_bytes_per_second),
+            last_query_id: 0,
+            relayed_queries: VecDeque::new(),
+            pending_offers: VecDeque::new(),
+            reply_timeout: ReplyTimeoutEstimator::default(),
+            retry_budget: RetryBudget::new(now, link_bytes_per_second),
+            overload: ServiceOverload::default(),
             shed_flows: BTreeMap::new(),
-            waiting: VecDeque::new(),
-            confirm: incarnation.0 | 1,
+            queued_flows: VecDeque::new(),
+            confirmation_id: incarnation.0 | 1,
             confirmed_version: None,
-            current: false,
-            current_since: now,
-            follow_at: now,
-            confirm_tries: 0,
-            confirm_asked: None,
-            followed_at: now,
-            heard_at: now,
-            fetch_at: now,
+            is_up_to_date: false,
+            up_to_date_since: now,
+            subscribe_at: now,
+            confirmation_attempts: 0,
+            confirmation_leader: None,
+            subscribed_at: now,
+            last_message_at: now,
+            next_fetch_at: now,
             sweep_at: now + SWEEP_INTERVAL,
-            active_at: now,
-            drop_openings_until: Timestamp::ZERO,
+            last_input_at: now,
+            drop_syns_until: Timestamp::ZERO,
             stop_at: None,
             stopped: false,
             counters: PassThroughBalancerCounters::default(),
@@ -245,21 +247,21 @@
 
     /// The replicas that this balancer knows.
     pub fn known_replicas_mut(&mut self) -> &mut KnownReplicas {
-        &mut self.contacts
+        &mut self.known_replicas
     }
 
     /// Whether new flows may come: the newest configuration was confirmed in
     /// this life, there is one, no stop was asked for, and some other process
     /// was heard lately.
     pub fn is_ready(&self, now: Timestamp) -> bool {
-        let is_set_up = self.current && self.routes.version() > 0;
+        let is_set_up = self.is_up_to_date && self.routes.version() > 0;
         is_set_up && self.stop_at.is_none() && !self.is_isolated(now)
     }
 
     /// Whether nobody answers any more, neither agents nor replicas. Callers
     /// are better off with another balancer.
     fn is_isolated(&self, now: Timestamp) -> bool {
-        now.saturating_since(self.heard_at) >= ISOLATION_LIMIT
+        now.saturating_since(self.last_message_at) >= ISOLATION_TIMEOUT
     }
 
     /// Whether a planned stop is complete.
@@ -295,12 +297,12 @@
     /// What each placement policy did so far.
     pub fn policy_stats(&self) -> Vec<PolicyStats> {
         self.policies
-            .figures(|address| self.agents.get(address).is_some())
+            .stats(|address| self.agents.get(address).is_some())
     }
 
     /// Flows and agents that are known, for metrics.
     pub fn table_sizes(&self) -> (usize, usize) {
-        (self.hints.len(), self.agents.len())
+        (self.flow_cache.len(), self.agents.len())
     }
 
     /// Begins a planned stop.
@@ -317,40 +319,40 @@
             self.counters.malformed += 1;
             return;
         };
-        if !self.current {
+        if !self.is_up_to_date {
             self.counters.not_current += 1;
-            self.keep_early(now, packet);
+            self.buffer_packet(now, packet);
             return;
         }
         self.observe_clock(now);
-        if view.is_syn() && now < self.drop_openings_until {
+        if view.is_syn() && now < self.drop_syns_until {
             self.counters.stale += 1;
         } else if view.is_syn() {
-            self.handle_opening(now, &view, packet, Duration::ZERO);
+            self.handle_syn(now, &view, packet, Duration::ZERO);
         } else {
             self.handle_established(now, &view, packet);
         }
     }
 
     /// Keeps a packet until the balancer is current.
-    fn keep_early(&mut self, now: Timestamp, packet: &[u8]) {
-        if self.early.iter().any(|(_, early)| early == packet) {
+    fn buffer_packet(&mut self, now: Timestamp, packet: &[u8]) {
+        if self.buffered.iter().any(|(_, buffered)| buffered == packet) {
             return;
         }
-        if self.early.len() == MAX_EARLY_PACKETS {
-            self.early.pop_front();
+        if self.buffered.len() == MAX_BUFFERED_PACKETS {
+            self.buffered.pop_front();
         }
-        self.early.push_back((now, packet.to_vec()));
+        self.buffered.push_back((now, packet.to_vec()));
     }
 
     /// Handles the packets that were kept.
-    fn handle_early(&mut self, now: Timestamp) {
-        for (came_at, packet) in std::mem::take(&mut self.early) {
-            let waited = now.saturating_since(came_at);
+    fn handle_buffered(&mut self, now: Timestamp) {
+        for (arrived_at, packet) in std::mem::take(&mut self.buffered) {
+            let waited = now.saturating_since(arrived_at);
             match self.codec.view(&packet) {
                 Some(view) if view.is_syn() => {
-                    if waited < EARLY_OPENING_LIMIT {
-                        self.handle_opening(now, &view, &packet, waited);
+                    if waited < BUFFERED_SYN_TTL {
+                        self.handle_syn(now, &view, &packet, waited);
                     }
                 }
                 _ => self.handle_packet(now, &packet),
@@ -361,35 +363,42 @@
     /// Whether agents of a service may be there that this balancer, which has just
     /// started, has not been told of.
     fn awaits_agents(&self, now: Timestamp, service: u64) -> bool {
-        let has_just_started = now.saturating_since(self.current_since) < FIRST_DIRECTORY_LIMIT;
-        has_just_started && !self.agents.is_whole(now) && !self.agents.knows(service)
+        let has_just_started =
+            now.saturating_since(self.up_to_date_since) < FIRST_DIRECTORY_TIMEOUT;
+        has_just_started && !self.agents.is_complete(now) && !self.agents.has_service(service)
     }
 
     /// Takes the time of an input, and notices a standstill.
     fn observe_clock(&mut self, now: Timestamp) {
-        if now.saturating_since(self.active_at) >= STANDSTILL {
-            self.drop_openings_until = now + STANDSTILL_DROP;
+        if now.saturating_since(self.last_input_at) >= PROCESS_PAUSE {
+            self.drop_syns_until = now + SYN_DROP_TIME;
         }
-        self.active_at = now;
+        self.last_input_at = now;
     }
 
     /// Takes a message of an agent or replica.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         self.observe_clock(now);
-        self.heard_at = now;
+        self.last_message_at = now;
         match body {
             PassThroughBody::Accepted(accepted) => self.handle_accepted(now, from, &accepted),
             PassThroughBody::Declined(declined) => self.handle_declined(now, from, &declined),
-            PassThroughBody::FlowQueued(waiting) => self.handle_waiting(now, from, &waiting),
-            PassThroughBody::FlowsOwned(holds) => self.handle_holds(now, from, &holds),
-            PassThroughBody::FlowsNotOwned(lacks) => self.handle_lacks(now, from, &lacks),
-            PassThroughBody::AggregatedReplies(gathered) => self.handle_gathered(now, &gathered),
-            PassThroughBody::ReturnedPacket(not_held) => self.handle_not_held(now, from, &not_held),
-            PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
+            PassThroughBody::FlowQueued(queued) => self.handle_flow_queued(now, from, &queued),
+            PassThroughBody::FlowsOwned(owned) => self.handle_flows_owned(now, from, &owned),
+            PassThroughBody::FlowsNotOwned(not_owned) => {
+                self.handle_flows_not_owned(now, from, &not_owned)
+            }
+            PassThroughBody::AggregatedReplies(replies) => {
+                self.handle_aggregated_replies(now, &replies)
+            }
+            PassThroughBody::ReturnedPacket(returned) => {
+                self.handle_returned_packet(now, from, &returned)
+            }
+            PassThroughBody::GroupStatus(group) => self.handle_group_status(now, from, &group),
             PassThroughBody::DirectoryPart(directory) => {
                 self.agents.handle_directory(now, from, directory);
-                if self.current {
-                    self.handle_early(now);
+                if self.is_up_to_date {
+                    self.handle_buffered(now);
                 }
             }
             PassThroughBody::Configuration(part) => self.handle_configuration(now, part),
@@ -401,44 +410,44 @@
     /// Does what has become due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.observe_clock(now);
-        while let Some((limit, flow, agent)) = self.awaited.front().copied() {
-            if now < limit {
+        while let Some((due_at, flow, agent)) = self.pending_offers.front().copied() {
+            if now < due_at {
                 break;
             }
-            self.awaited.pop_front();
-            self.handle_unanswered(now, flow, agent);
+            self.pending_offers.pop_front();
+            self.handle_offer_timeout(now, flow, agent);
         }
-        self.continue_waiting(now);
+        self.check_queued_flows(now);
         self.continue_searches(now);
-        self.tell_link_change(now);
+        self.log_link_change(now);
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
-            self.hints.expire(now, self.settings.flow_lifetime);
-            self.tell_pressure(now);
+            self.flow_cache.expire(now, self.settings.flow_lifetime);
+            self.log_overload_changes(now);
         }
-        let overdue = self.attachments.overdue_at();
-        let follow_at = overdue.map_or(self.follow_at, |at| self.follow_at.min(at));
-        if now >= follow_at.min(self.silence_check_at()) {
-            self.follow(now);
+        let overdue = self.preferred_replicas.overdue_at();
+        let subscribe_at = overdue.map_or(self.subscribe_at, |at| self.subscribe_at.min(at));
+        if now >= subscribe_at.min(self.silence_check_at()) {
+            self.subscribe(now);
         }
         if self.stop_at.is_some_and(|at| now >= at) && !self.stopped {
             self.stopped = true;
-            self.leave_replicas();
+            self.unsubscribe();
         }
     }
 
     /// When [`PassThroughBalancer::handle_timeout`] is wanted.
     pub fn poll_timeout(&self) -> Timestamp {
-        let awaited = self.awaited.front().map(|(limit, ..)| *limit);
-        let waiting = self.waiting.front().map(|(limit, ..)| *limit);
+        let pending_offers = self.pending_offers.front().map(|(due_at, ..)| *due_at);
+        let queued = self.queued_flows.front().map(|(due_at, ..)| *due_at);
         let timers = [
-            waiting,
+            queued,
             Some(self.sweep_at),
-            Some(self.follow_at),
+            Some(self.subscribe_at),
             Some(self.silence_check_at()),
-            self.attachments.overdue_at(),
+            self.preferred_replicas.overdue_at(),
             self.searches.poll_timeout(),
-            awaited,
+            pending_offers,
             self.stop_at,
             self.link.as_ref().and_then(LinkQueue::poll_timeout),
         ];
@@ -446,13 +455,13 @@
         first.unwrap_or(self.sweep_at)
     }
 
-    fn note_heard(
+    fn note_seen(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
         load: Option<petrellatch_proto::pass_through::LoadMessage>,
     ) {
-        if self.agents.note_heard(now, from, load) {
+        if self.agents.note_seen(now, from, load) {
             self.emit_event(EventKind::AgentReturned, format!("agent={from}"));
         }
     }
@@ -461,14 +470,20 @@
         self.outputs.push_back(PassThroughOutput::Send { to, body });
     }
 
-    fn carry(&mut self, agent: SocketAddrV4, service: u64, reason: ForwardReason, packet: Vec<u8>) {
-        let carry = ForwardedPacket {
+    fn forward(
+        &mut self,
+        agent: SocketAddrV4,
+        service: u64,
+        reason: ForwardReason,
+        packet: Vec<u8>,
+    ) {
+        let forwarded = ForwardedPacket {
             service,
             reason: reason.into(),
             packet,
             ..ForwardedPacket::default()
         };
-        self.send(agent, PassThroughBody::ForwardedPacket(carry));
+        self.send(agent, PassThroughBody::ForwardedPacket(forwarded));
     }
 
     fn emit_event(&mut self, kind: EventKind, subject: String) {
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -6,9 +6,9 @@
 /// Bytes that a datagram takes of a link beside its data: heads of UDP and IP (28), and on
 /// Ethernet the frame with its preamble and the gap behind it (38). Counted without these, a
 /// busy link with many small datagrams gets a tenth more than it carries.
-const DATAGRAM_HEAD_BYTES: usize = 28 + 38;
+const DATAGRAM_HEADER_BYTES: usize = 28 + 38;
 /// Bytes of a message beside its body: the mark in front of it.
-const MESSAGE_HEAD_BYTES: usize = 4;
+const MESSAGE_HEADER_BYTES: usize = 4;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
     /// The next thing to do, as of the latest input.
@@ -22,7 +22,7 @@
             }
             self.queue_for_link(output);
         }
-        let (link, now) = (self.link.as_mut()?, self.active_at);
+        let (link, now) = (self.link.as_mut()?, self.last_input_at);
         // Nobody sends later what waits when the process ends: the link's buffer takes some.
         match self.stopped {
             true => link.pop_immediate(now),
@@ -43,19 +43,19 @@
 
     fn queue_for_link(&mut self, output: PassThroughOutput) {
         let class = self.link_class(&output);
-        let bytes = DATAGRAM_HEAD_BYTES + data_bytes(&output);
+        let bytes = DATAGRAM_HEADER_BYTES + data_bytes(&output);
         if let Some(link) = &mut self.link {
-            link.push(self.active_at, class, bytes, output);
+            link.push(self.last_input_at, class, bytes, output);
         }
     }
 
     fn link_class(&self, output: &PassThroughOutput) -> LinkClass {
         let flow = match output {
             PassThroughOutput::Send {
-                body: PassThroughBody::ForwardedPacket(carry),
+                body: PassThroughBody::ForwardedPacket(forwarded),
                 ..
             } => {
-                let view = self.codec.view(&carry.packet);
+                let view = self.codec.view(&forwarded.packet);
                 view.map(|view| view.flow_from_caller())
             }
             PassThroughOutput::ToCaller { packet, .. } => {
@@ -68,7 +68,7 @@
     }
 
     /// Logs that the link has become full, or clear again.
-    pub(super) fn tell_link_change(&mut self, now: Timestamp) {
+    pub(super) fn log_link_change(&mut self, now: Timestamp) {
         let Some(link) = &mut self.link else { return };
         let backlog = link.backlog().as_millis();
         let Some(change) = link.take_change(now) else {
@@ -96,7 +96,7 @@
 /// Bytes of what an output hands to UDP.
 fn data_bytes(output: &PassThroughOutput) -> usize {
     match output {
-        PassThroughOutput::Send { body, .. } => MESSAGE_HEAD_BYTES + body.encoded_len(),
+        PassThroughOutput::Send { body, .. } => MESSAGE_HEADER_BYTES + body.encoded_len(),
         PassThroughOutput::ToCaller { packet, .. } | PassThroughOutput::ToBackend(packet) => {
             packet.len()
         }
--- a/crates/petrellatch-core/src/pass_through/choice/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/mod.rs
@@ -2,10 +2,10 @@
 //! are, and which of them answer; and when none is asked.
 
 pub(crate) mod agent_directory;
-pub(crate) mod answer_time;
-pub(crate) mod ask_budget;
 pub(crate) mod expected_completion;
 pub(crate) mod known_agent;
-pub(crate) mod service_pattern;
-pub(crate) mod service_pressure;
+pub(crate) mod reply_timeout;
+pub(crate) mod retry_budget;
+pub(crate) mod service_load;
+pub(crate) mod service_overload;
 pub(crate) mod weight_groups;
--- a/crates/petrellatch-core/src/pass_through/choice/answer_time.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/reply_timeout.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 /// An answer is never overdue before this.
-const MIN_LIMIT: Duration = Duration::from_millis(60);
+const MIN_TIMEOUT: Duration = Duration::from_millis(60);
 /// An answer is overdue after this, however slow all others are: callers send a
 /// copy of an opening packet soon after.
-const MAX_LIMIT: Duration = Duration::from_millis(400);
+const MAX_TIMEOUT: Duration = Duration::from_millis(400);
 /// Weights of a new sample, and how many deviations an answer may be late, as in
 /// RFC 6298 for the retransmission timer of TCP.
 const MEAN_WEIGHT: f64 = 1.0 / 8.0;
@@ -17,15 +17,15 @@
 /// become slow, the balancer or its link is overloaded, and asking others
 /// would add to that.
 #[derive(Debug, Default)]
-pub(crate) struct AnswerTime {
+pub(crate) struct ReplyTimeoutEstimator {
     /// Smoothed time and deviation, in seconds; none without a sample.
     estimate: Option<(f64, f64)>,
 }
 
-impl AnswerTime {
+impl ReplyTimeoutEstimator {
     /// Notes the time from a question to its answer.
-    pub(crate) fn record(&mut self, time: Duration) {
-        let sample = time.as_secs_f64();
+    pub(crate) fn record(&mut self, reply_time: Duration) {
+        let sample = reply_time.as_secs_f64();
         self.estimate = Some(match self.estimate {
             None => (sample, sample / 2.0),
             Some((mean, deviation)) => {
@@ -39,15 +39,15 @@
     /// Whether answers arrive about as fast as they should. Otherwise silence
     /// says nothing of an agent.
     pub(crate) fn is_short(&self) -> bool {
-        self.limit() < 2 * MIN_LIMIT
+        self.timeout() < 2 * MIN_TIMEOUT
     }
 
     /// After this time an answer is overdue.
-    pub(crate) fn limit(&self) -> Duration {
+    pub(crate) fn timeout(&self) -> Duration {
         let Some((mean, deviation)) = self.estimate else {
-            return MIN_LIMIT;
+            return MIN_TIMEOUT;
         };
-        let limit = Duration::from_secs_f64(mean + deviation * DEVIATIONS);
-        limit.clamp(MIN_LIMIT, MAX_LIMIT)
+        let timeout = Duration::from_secs_f64(mean + deviation * DEVIATIONS);
+        timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
@@ -39,12 +39,12 @@
         let group = if first.weight == weight {
             first
         } else {
-            let known = self.others.iter().position(|it| it.weight == weight);
-            let place = known.unwrap_or_else(|| {
+            let position = self.others.iter().position(|it| it.weight == weight);
+            let index = position.unwrap_or_else(|| {
                 self.others.push(new_group());
                 self.others.len() - 1
             });
-            &mut self.others[place]
+            &mut self.others[index]
         };
         group.agents += 1;
         &mut group.best
@@ -54,11 +54,11 @@
     /// nobody who is likely to take the flow, the next one that has, and otherwise the
     /// next one that has anybody. `is_likely` tells that of a group; none if it has nobody.
     pub(super) fn select(&self, point: f64, is_likely: impl Fn(&T) -> Option<bool>) -> Option<&T> {
-        let first = self.place_at(point);
+        let first = self.index_at(point);
         let count = self.groups().count();
-        let in_turn = || self.groups().cycle().skip(first).take(count);
-        let likely = in_turn().find(|group| is_likely(&group.best) == Some(true));
-        let group = likely.or_else(|| in_turn().find(|it| is_likely(&it.best).is_some()));
+        let from_first = || self.groups().cycle().skip(first).take(count);
+        let likely = from_first().find(|group| is_likely(&group.best) == Some(true));
+        let group = likely.or_else(|| from_first().find(|it| is_likely(&it.best).is_some()));
         group.map(|group| &group.best)
     }
 
@@ -66,13 +66,13 @@
         self.first.iter().chain(&self.others)
     }
 
-    fn place_at(&self, point: f64) -> usize {
-        let part = |group: &WeightGroup<T>| group.weight * group.agents as f64;
-        let total: f64 = self.groups().map(part).sum();
-        let mut left = point * total;
+    fn index_at(&self, point: f64) -> usize {
+        let group_weight = |group: &WeightGroup<T>| group.weight * group.agents as f64;
+        let total: f64 = self.groups().map(group_weight).sum();
+        let mut remaining = point * total;
         let reaches = |group: &WeightGroup<T>| {
-            left -= part(group);
-            left <= 0.0
+            remaining -= group_weight(group);
+            remaining <= 0.0
         };
         // What sums of floats leave over belongs to the last one.
         self.groups().position(reaches).unwrap_or(self.others.len())
--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -17,7 +17,7 @@
 struct InputStamp {
     /// Number of the agent's profile, or of its load where the policy reads that.
     revision: u64,
-    is_left_out: bool,
+    is_ejected: bool,
     /// Age of the back end where the policy reads it.
     age_seconds: u64,
 }
@@ -48,7 +48,7 @@
 pub(crate) struct ActivePolicies {
     /// The balancer's zone, which is its callers'.
     zone: String,
-    records: PlacementPolicies,
+    definitions: PlacementPolicies,
     policies: Vec<ActivePolicy>,
     by_service: HashMap<u64, usize>,
     by_route: HashMap<SocketAddrV4, usize>,
@@ -86,31 +86,32 @@
     }
 
     pub(crate) fn index(&self) -> u64 {
-        self.records.index()
+        self.definitions.index()
     }
 
     /// What each policy did. Of back ends only those count whose agents are known.
-    pub(crate) fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> Vec<PolicyStats> {
+    pub(crate) fn stats(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> Vec<PolicyStats> {
         let policies = self.policies.iter();
-        policies.map(|policy| policy.figures(&is_known)).collect()
+        policies.map(|policy| policy.stats(&is_known)).collect()
     }
 
     /// Takes what a replica told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &PolicySet) -> bool {
-        if !self.records.take_newer(told) {
+    pub(crate) fn take_newer(&mut self, update: &PolicySet) -> bool {
+        if !self.definitions.take_newer(update) {
             return false;
         }
-        let mut former = std::mem::take(&mut self.policies);
+        let mut previous = std::mem::take(&mut self.policies);
         self.by_service.clear();
         self.by_route.clear();
-        for (place, record) in self.records.iter().enumerate() {
-            let counted = former.iter_mut().find(|it| it.name == record.name);
-            let counted = counted.map_or((0, 0), |it| (it.placed, it.evaluations));
-            self.policies.push(ActivePolicy::new(record, counted));
-            let services = record.services.iter();
-            let services = services.map(|service| (service_digest(service), place));
+        for (index, definition) in self.definitions.iter().enumerate() {
+            let counts = previous.iter_mut().find(|it| it.name == definition.name);
+            let counts = counts.map_or((0, 0), |it| (it.placed, it.evaluations));
+            self.policies.push(ActivePolicy::new(definition, counts));
+            let services = definition.services.iter();
+            let services = services.map(|service| (service_digest(service), index));
             self.by_service.extend(services);
-            self.by_route.extend(routes(record).map(|it| (it, place)));
+            self.by_route
+                .extend(routes(definition).map(|it| (it, index)));
         }
         true
     }
@@ -122,20 +123,20 @@
     }
 
     /// Name of a policy that [`ActivePolicies::find`] found.
-    pub(crate) fn name(&self, place: usize) -> &str {
-        self.policies.get(place).map_or("", |it| it.name.as_str())
+    pub(crate) fn name(&self, index: usize) -> &str {
+        self.policies.get(index).map_or("", |it| it.name.as_str())
     }
 
     /// The weight that a policy gives an agent; none if that is zero or its back end is not
     /// eligible.
     pub(crate) fn weight(
         &mut self,
-        place: usize,
+        index: usize,
         now: Timestamp,
         address: SocketAddrV4,
         agent: &KnownAgent,
     ) -> Option<f64> {
-        let policy = self.policies.get_mut(place)?;
+        let policy = self.policies.get_mut(index)?;
         let weight = policy.weight(now, &self.zone, address, agent);
         let weight = weight.filter(|weight| *weight > 0.0);
         self.choice.agents += 1;
@@ -150,46 +151,46 @@
 
     /// Notes whether a policy left any agent of a service to choose from. That it left none
     /// counts only if the choice was among `all` agents, also those that have just started.
-    pub(crate) fn end_choice(&mut self, place: usize, service: u64, all: bool) {
+    pub(crate) fn end_choice(&mut self, index: usize, service: u64, includes_starting: bool) {
         let ChoiceCounts { agents, eligible } = self.choice;
-        let Some(policy) = self.policies.get_mut(place).filter(|_| agents > 0) else {
+        let Some(policy) = self.policies.get_mut(index).filter(|_| agents > 0) else {
             return;
         };
         if eligible > 0 {
             policy.without_backend.remove(&service);
-        } else if all && policy.without_backend.insert(service) {
-            self.newly_without_backend = Some(place);
+        } else if includes_starting && policy.without_backend.insert(service) {
+            self.newly_without_backend = Some(index);
         }
     }
 
     /// Whether the policy of a route and service leaves no agent to choose from.
     pub(crate) fn excludes_all(&self, route: SocketAddrV4, service: u64) -> bool {
         let policy = self.find(route, service);
-        let policy = policy.and_then(|place| self.policies.get(place));
+        let policy = policy.and_then(|index| self.policies.get(index));
         policy.is_some_and(|policy| policy.without_backend.contains(&service))
     }
 
     /// Name of the policy that has begun to leave no agent to choose from, once.
-    pub(crate) fn take_without_backend(&mut self) -> Option<String> {
-        let place = self.newly_without_backend.take()?;
-        Some(self.name(place).to_owned())
+    pub(crate) fn take_policy_without_backend(&mut self) -> Option<String> {
+        let index = self.newly_without_backend.take()?;
+        Some(self.name(index).to_owned())
     }
 
-    pub(crate) fn note_placed(&mut self, place: usize) {
-        if let Some(policy) = self.policies.get_mut(place) {
+    pub(crate) fn note_placed(&mut self, index: usize) {
+        if let Some(policy) = self.policies.get_mut(index) {
             policy.placed += 1;
         }
     }
 }
 
 impl ActivePolicy {
-    fn new(record: &PlacementPolicy, (placed, evaluations): (u64, u64)) -> ActivePolicy {
+    fn new(definition: &PlacementPolicy, (placed, evaluations): (u64, u64)) -> ActivePolicy {
         let source = PolicySource {
-            eligible: record.eligible.clone(),
-            weight: record.weight.clone(),
+            eligible: definition.eligible.clone(),
+            weight: definition.weight.clone(),
         };
         ActivePolicy {
-            name: record.name.clone(),
+            name: definition.name.clone(),
             compiled: Policy::compile(&source),
             results: HashMap::new(),
             placed,
@@ -198,7 +199,7 @@
         }
     }
 
-    fn figures(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> PolicyStats {
+    fn stats(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> PolicyStats {
         let known = self
             .results
             .iter()
@@ -253,7 +254,7 @@
         };
         InputStamp {
             revision,
-            is_left_out: agent.is_left_out(now),
+            is_ejected: agent.is_ejected(now),
             age_seconds,
         }
     }
--- a/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
@@ -9,7 +9,7 @@
 use crate::time::Timestamp;
 
 /// Health of a back end that is left out, as it fails requests.
-const LEFT_OUT_HEALTH: u32 = HEALTH_SCALE / 2;
+const EJECTED_HEALTH: u32 = HEALTH_SCALE / 2;
 
 /// Two times of a start that differ by less are the same one: ages are told in messages
 /// that take a while.
@@ -32,13 +32,13 @@
     pub(crate) state: AgentState,
     pub(crate) load: LoadMessage,
     /// New flows that were offered to it since the load was told.
-    pub(crate) sent_since: u32,
+    pub(crate) flows_since_report: u32,
     /// It is left out, as it fails requests.
-    pub(crate) is_left_out: bool,
+    pub(crate) is_ejected: bool,
 }
 
 impl BackendProfile {
-    pub(crate) fn of_report(reported_at: Timestamp, report: &Report) -> BackendProfile {
+    pub(crate) fn from_report(reported_at: Timestamp, report: &Report) -> BackendProfile {
         let backend = report.backend.clone().unwrap_or_default();
         let age = Duration::from_millis(backend.age_millis);
         BackendProfile {
@@ -51,11 +51,11 @@
     }
 
     /// The same, but for the time of the start if it differs by no more than messages take.
-    pub(crate) fn steadied_by(self, former: &BackendProfile) -> BackendProfile {
-        let later = self.started_at.saturating_since(former.started_at);
-        let earlier = former.started_at.saturating_since(self.started_at);
+    pub(crate) fn with_stable_start(self, previous: &BackendProfile) -> BackendProfile {
+        let later = self.started_at.saturating_since(previous.started_at);
+        let earlier = previous.started_at.saturating_since(self.started_at);
         let started_at = match later.max(earlier) < START_TOLERANCE {
-            true => former.started_at,
+            true => previous.started_at,
             false => self.started_at,
         };
         BackendProfile { started_at, ..self }
@@ -68,11 +68,13 @@
     /// The back end as a policy sees it.
     pub(crate) fn view(&self, now: Timestamp, condition: &BackendCondition) -> BackendView {
         let load = &condition.load;
-        let busy = load.in_flight_requests.saturating_add(condition.sent_since);
+        let in_flight = load
+            .in_flight_requests
+            .saturating_add(condition.flows_since_report);
         // Who answers is the system's own concern: one that is silent for a moment is asked
         // last, and is not taken for down.
-        let health = match condition.is_left_out {
-            true => LEFT_OUT_HEALTH,
+        let health = match condition.is_ejected {
+            true => EJECTED_HEALTH,
             false => HEALTH_SCALE,
         };
         BackendView {
@@ -80,7 +82,7 @@
             zone: self.zone.clone(),
             labels: self.labels.clone(),
             slots: load.slots,
-            free_slots: load.slots.saturating_sub(busy),
+            free_slots: load.slots.saturating_sub(in_flight),
             connections: load.open_flows,
             health,
             draining: condition.state == AgentState::Draining,
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -70,8 +70,9 @@
 
     /// The policy that places the flows of a service.
     pub fn for_service(&self, service: &str) -> Option<&PlacementPolicy> {
-        let names = |policy: &&PlacementPolicy| policy.services.iter().any(|it| it == service);
-        self.iter().find(names)
+        let places_service =
+            |policy: &&PlacementPolicy| policy.services.iter().any(|it| it == service);
+        self.iter().find(places_service)
     }
 
     /// Applies a change. One that leads to what holds already changes nothing and is not
@@ -85,7 +86,7 @@
         index: u64,
         change: &PolicyChange,
     ) -> Result<bool, PolicyRefusal> {
-        if self.holds(change) {
+        if self.has_no_effect(change) {
             return Ok(false);
         }
         let current = self.index;
@@ -103,7 +104,7 @@
     }
 
     /// Whether a change would make no difference.
-    fn holds(&self, change: &PolicyChange) -> bool {
+    fn has_no_effect(&self, change: &PolicyChange) -> bool {
         match &change.put {
             Some(policy) => self.policies.get(&policy.name) == Some(policy),
             None => !self.policies.contains_key(&change.removed),
@@ -145,19 +146,19 @@
     }
 
     /// Takes what another process told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &PolicySet) -> bool {
-        let is_newer = told.index > self.index;
+    pub(crate) fn take_newer(&mut self, update: &PolicySet) -> bool {
+        let is_newer = update.index > self.index;
         if is_newer {
-            *self = PlacementPolicies::from_message(told);
+            *self = PlacementPolicies::from_message(update);
         }
         is_newer
     }
 
-    pub(crate) fn from_message(told: &PolicySet) -> PlacementPolicies {
-        let policies = told.policies.iter();
+    pub(crate) fn from_message(update: &PolicySet) -> PlacementPolicies {
+        let policies = update.policies.iter();
         let policies = policies.map(|policy| (policy.name.clone(), policy.clone()));
         PlacementPolicies {
-            index: told.index,
+            index: update.index,
             policies: policies.collect(),
         }
     }
--- a/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
@@ -15,7 +15,7 @@
     service: String,
     view: BackendView,
     /// When its agent reported last.
-    heard_at: Timestamp,
+    reported_at: Timestamp,
 }
 
 /// What a policy decides for one back end, and from what.
@@ -41,18 +41,18 @@
 }
 
 impl ReportedBackend {
-    pub(crate) fn new(now: Timestamp, heard_at: Timestamp, report: &Report) -> ReportedBackend {
-        let profile = BackendProfile::of_report(heard_at, report);
+    pub(crate) fn new(now: Timestamp, reported_at: Timestamp, report: &Report) -> ReportedBackend {
+        let profile = BackendProfile::from_report(reported_at, report);
         let condition = BackendCondition {
             state: report.state(),
             load: report.load,
-            sent_since: 0,
-            is_left_out: report.load.ejected_millis > 0,
+            flows_since_report: 0,
+            is_ejected: report.load.ejected_millis > 0,
         };
         ReportedBackend {
             service: report.service.clone(),
             view: profile.view(now, &condition),
-            heard_at,
+            reported_at,
         }
     }
 }
@@ -107,14 +107,17 @@
     backends: &[ReportedBackend],
 ) -> Result<Vec<ExplainedBackend>, PolicyError> {
     let compiled = Policy::compile(&source(policy))?;
-    let of_service = backends.iter().filter(|it| it.service == service);
-    let of_service: Vec<&ReportedBackend> = of_service.collect();
-    let views: Vec<BackendView> = of_service.iter().map(|it| it.view.clone()).collect();
+    let backends_of_service = backends.iter().filter(|it| it.service == service);
+    let backends_of_service: Vec<&ReportedBackend> = backends_of_service.collect();
+    let views: Vec<BackendView> = backends_of_service
+        .iter()
+        .map(|it| it.view.clone())
+        .collect();
     let explained = shares(&compiled, &service_view(service), &views).explanations;
-    let explained = explained.into_iter().zip(of_service);
+    let explained = explained.into_iter().zip(backends_of_service);
     let explained = explained.map(|(explanation, backend)| ExplainedBackend {
         explanation,
-        age_millis: now.saturating_since(backend.heard_at).as_millis() as u64,
+        age_millis: now.saturating_since(backend.reported_at).as_millis() as u64,
     });
     Ok(explained.collect())
 }
--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -85,8 +85,8 @@
                 return SameAddressSnafu { address }.fail();
             }
         }
-        let says_something = |record: &ServiceRecord| record.warm_up_millirequests_per_second > 0;
-        let services = services.into_iter().filter(says_something);
+        let has_settings = |record: &ServiceRecord| record.warm_up_millirequests_per_second > 0;
+        let services = services.into_iter().filter(has_settings);
         let services = services.map(|record| (record.service.clone(), record));
         Ok(Configuration {
             version,
@@ -98,18 +98,18 @@
 
     /// The records in which `next` differs from this configuration.
     pub fn change_to(&self, next: &Configuration) -> ConfigurationChange {
-        let next = &next.placed_after(self);
+        let next = &next.with_positions_of(self);
         let differs = |route: &&RouteRecord| self.routes.get(&route.address) != Some(*route);
-        let is_gone = |address: &&u64| !next.routes.contains_key(*address);
+        let is_removed = |address: &&u64| !next.routes.contains_key(*address);
         let annotation = (self.annotation != next.annotation).then(|| next.annotation.clone());
         let service_differs =
             |record: &&ServiceRecord| self.services.get(&record.service) != Some(*record);
-        let is_unsaid = |service: &&String| !next.services.contains_key(*service);
+        let is_service_removed = |service: &&String| !next.services.contains_key(*service);
         ConfigurationChange {
             base_version: self.version,
             version: next.version,
             put: next.routes.values().filter(differs).cloned().collect(),
-            removed: self.routes.keys().filter(is_gone).copied().collect(),
+            removed: self.routes.keys().filter(is_removed).copied().collect(),
             annotation,
             put_services: next
                 .services
@@ -117,43 +117,48 @@
                 .filter(service_differs)
                 .cloned()
                 .collect(),
-            removed_services: self.services.keys().filter(is_unsaid).cloned().collect(),
+            removed_services: self
+                .services
+                .keys()
+                .filter(is_service_removed)
+                .cloned()
+                .collect(),
         }
     }
 
     /// The same configuration, in which routes that `former` has too keep
     /// their places there, as far as that leaves the order as it is.
-    fn placed_after(&self, former: &Configuration) -> Configuration {
-        let mut placed = self.clone();
-        let mut last = 0;
-        let mut between: Vec<u64> = Vec::new();
+    fn with_positions_of(&self, previous: &Configuration) -> Configuration {
+        let mut result = self.clone();
+        let mut last_position = 0;
+        let mut unplaced: Vec<u64> = Vec::new();
         for route in self.ordered_routes() {
-            let kept = former.routes.get(&route.address).map(|it| it.position);
-            match kept.filter(|position| *position > last) {
-                Some(position) if placed.place(&between, last, position) => {
-                    between.clear();
-                    last = position;
-                    placed.set_position(route.address, position);
+            let previous_position = previous.routes.get(&route.address).map(|it| it.position);
+            match previous_position.filter(|position| *position > last_position) {
+                Some(position) if result.spread(&unplaced, last_position, position) => {
+                    unplaced.clear();
+                    last_position = position;
+                    result.set_position(route.address, position);
                 }
-                _ => between.push(route.address),
+                _ => unplaced.push(route.address),
             }
         }
-        let end = last.saturating_add(POSITION_GAP * (between.len() as u64 + 1));
-        match placed.place(&between, last, end) {
-            true => placed,
+        let end = last_position.saturating_add(POSITION_GAP * (unplaced.len() as u64 + 1));
+        match result.spread(&unplaced, last_position, end) {
+            true => result,
             // There is no room left at the end: all get new places.
             false => self.clone(),
         }
     }
 
     /// Spreads routes evenly between two places. Returns whether there is room.
-    fn place(&mut self, addresses: &[u64], after: u64, before: u64) -> bool {
+    fn spread(&mut self, addresses: &[u64], after: u64, before: u64) -> bool {
         let step = (before - after) / (addresses.len() as u64 + 1);
         if step == 0 {
             return false;
         }
-        for (number, address) in addresses.iter().enumerate() {
-            self.set_position(*address, after + step * (number as u64 + 1));
+        for (index, address) in addresses.iter().enumerate() {
+            self.set_position(*address, after + step * (index as u64 + 1));
         }
         true
     }
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -50,7 +50,7 @@
     configuration: Configuration,
     evacuations: Evacuations,
     policies: PlacementPolicies,
-    assembly: Reassembly,
+    reassembly: Reassembly,
     /// Commands of the change that is not complete yet, for snapshots.
     pending: Vec<Vec<u8>>,
 }
@@ -90,9 +90,9 @@
     }
 
     /// The command that makes an order about a zone.
-    pub(crate) fn zone_command(order: &ZoneCommand) -> Vec<u8> {
+    pub(crate) fn zone_command(zone_command: &ZoneCommand) -> Vec<u8> {
         let command = LogCommand {
-            zone_command: Some(order.clone()),
+            zone_command: Some(zone_command.clone()),
             ..LogCommand::default()
         };
         command.encode_to_vec()
@@ -136,7 +136,7 @@
         self.pending.push(bytes.to_vec());
         let id = command.change_id;
         let complete = self
-            .assembly
+            .reassembly
             .add(id, command.part, command.parts, command.bytes)?;
         self.pending.clear();
         let bytes = decompress(&complete);
--- a/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
@@ -8,7 +8,7 @@
 
 /// Replacements under one version. Of different contents the first counts.
 #[derive(Debug)]
-struct Waiting {
+struct PendingReplacement {
     configuration: Configuration,
     tokens: Vec<(u64, Timestamp)>,
 }
@@ -17,19 +17,19 @@
 /// overtaken by it and acknowledged with it.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReplacements {
-    waiting: BTreeMap<u64, Waiting>,
+    pending: BTreeMap<u64, PendingReplacement>,
     /// Number of the change that is in the log, not yet committed.
     proposed: Option<u64>,
 }
 
 impl PendingReplacements {
     pub(crate) fn add(&mut self, token: u64, deadline: Timestamp, configuration: Configuration) {
-        let waiting = self.waiting.entry(configuration.version);
-        let waiting = waiting.or_insert_with(|| Waiting {
+        let pending = self.pending.entry(configuration.version);
+        let pending = pending.or_insert_with(|| PendingReplacement {
             configuration,
             tokens: Vec::new(),
         });
-        waiting.tokens.push((token, deadline));
+        pending.tokens.push((token, deadline));
     }
 
     /// The replacement to propose next, unless one is under way.
@@ -37,8 +37,8 @@
         if self.proposed.is_some() {
             return None;
         }
-        let last = self.waiting.last_key_value();
-        last.map(|(_, waiting)| &waiting.configuration)
+        let last = self.pending.last_key_value();
+        last.map(|(_, pending)| &pending.configuration)
     }
 
     pub(crate) fn note_proposed(&mut self, change: u64) {
@@ -55,33 +55,33 @@
     /// Takes out all who wait for a version up to `version`, with the times by
     /// which they want their answers.
     pub(crate) fn take_reached(&mut self, version: u64) -> Vec<(u64, Timestamp)> {
-        let higher = self.waiting.split_off(&(version + 1));
-        let reached = std::mem::replace(&mut self.waiting, higher);
+        let higher = self.pending.split_off(&(version + 1));
+        let reached = std::mem::replace(&mut self.pending, higher);
         tokens(reached)
     }
 
     /// Takes out all.
     pub(crate) fn take_all(&mut self) -> Vec<(u64, Timestamp)> {
         self.proposed = None;
-        tokens(std::mem::take(&mut self.waiting))
+        tokens(std::mem::take(&mut self.pending))
     }
 
     /// Takes out those who have waited too long. Their replacements may still
     /// be accepted.
     pub(crate) fn take_expired(&mut self, now: Timestamp) -> Vec<u64> {
         let mut expired = Vec::new();
-        for waiting in self.waiting.values_mut() {
+        for pending in self.pending.values_mut() {
             let is_due = |(_, deadline): &(u64, Timestamp)| *deadline <= now;
-            let due = waiting.tokens.iter().filter(|it| is_due(it));
+            let due = pending.tokens.iter().filter(|it| is_due(it));
             expired.extend(due.map(|(token, _)| *token));
-            waiting.tokens.retain(|it| !is_due(it));
+            pending.tokens.retain(|it| !is_due(it));
         }
-        self.waiting.retain(|_, waiting| !waiting.tokens.is_empty());
+        self.pending.retain(|_, pending| !pending.tokens.is_empty());
         expired
     }
 }
 
-fn tokens(waiting: BTreeMap<u64, Waiting>) -> Vec<(u64, Timestamp)> {
-    let all = waiting.into_values().flat_map(|waiting| waiting.tokens);
+fn tokens(pending: BTreeMap<u64, PendingReplacement>) -> Vec<(u64, Timestamp)> {
+    let all = pending.into_values().flat_map(|pending| pending.tokens);
     all.collect()
 }
--- a/crates/petrellatch-core/src/pass_through/routes/reassembly.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/reassembly.rs
@@ -48,12 +48,12 @@
         parts: u32,
         bytes: Vec<u8>,
     ) -> Option<M> {
-        let whole = match parts {
+        let complete = match parts {
             // It does not interrupt a message of several parts.
             1 if part == 0 => bytes,
             _ => self.add(key, part, parts, bytes)?,
         };
-        M::decode(decompress(&whole)?.as_slice()).ok()
+        M::decode(decompress(&complete)?.as_slice()).ok()
     }
 
     /// Whether a message is under way.
--- a/crates/petrellatch-core/src/pass_through/routes/route_table.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/route_table.rs
@@ -15,7 +15,7 @@
 const SHARE_SALT: u64 = 0x5348_4152;
 
 /// Changes that are kept until those before them have come.
-const MAX_AHEAD: usize = 64;
+const MAX_BUFFERED_CHANGES: usize = 64;
 
 /// Routes of one version, which only moves forward.
 #[derive(Debug, Default)]
@@ -23,11 +23,11 @@
     version: u64,
     routes: HashMap<SocketAddrV4, Route>,
     /// See [`ServiceRecord::warm_up_millirequests_per_second`], by the service's digest.
-    cold_rates: HashMap<u64, u32>,
-    assembly: Reassembly,
+    warm_up_rates: HashMap<u64, u32>,
+    reassembly: Reassembly,
     /// Changes that have overtaken others, by the version that they are based
     /// on.
-    ahead: BTreeMap<u64, ConfigurationChange>,
+    buffered: BTreeMap<u64, ConfigurationChange>,
 }
 
 /// Where the flows of one address go.
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestClass {
     /// By when a request should be answered.
-    pub objective_millis: u32,
+    pub latency_objective_millis: u32,
     /// When callers give a request up.
     pub deadline_millis: u32,
     /// How urgent they are among those that compete for a place: zero is the most
@@ -65,7 +65,7 @@
     /// Whether parts of a change are missing, or a change before one that has
     /// come.
     pub fn is_incomplete(&self) -> bool {
-        self.assembly.is_incomplete() || !self.ahead.is_empty()
+        self.reassembly.is_incomplete() || !self.buffered.is_empty()
     }
 
     /// Whether flows of this address are served.
@@ -90,46 +90,49 @@
     }
 
     /// What is said of the requests of this flow.
-    pub fn class(&self, flow: FlowId) -> RequestClass {
+    pub fn request_class(&self, flow: FlowId) -> RequestClass {
         let route = self.routes.get(&flow.route);
         route.map(|route| route.class).unwrap_or_default()
     }
 
     /// Requests that a back end of a service bears in 1,000 s while it warms up; zero
     /// if that is not known.
-    pub fn cold_rate(&self, service: u64) -> u32 {
-        self.cold_rates.get(&service).copied().unwrap_or_default()
+    pub fn warm_up_rate(&self, service: u64) -> u32 {
+        self.warm_up_rates
+            .get(&service)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Takes a part of a compressed change. Changes may come in any order. Returns
     /// whether another version is in force.
     pub fn handle_part(&mut self, part: ConfigurationPart) -> bool {
-        let is_past = part.base_version != 0 && part.base_version < self.version;
-        if part.version <= self.version || is_past {
+        let is_outdated = part.base_version != 0 && part.base_version < self.version;
+        if part.version <= self.version || is_outdated {
             return false;
         }
         let key = part.version ^ part.base_version.rotate_left(32);
         let change: Option<ConfigurationChange> = self
-            .assembly
+            .reassembly
             .add_compressed(key, part.part, part.parts, part.bytes);
         let Some(change) = change else { return false };
         if change.base_version > self.version {
-            self.keep_ahead(change);
+            self.buffer_change(change);
             return false;
         }
         let is_applied = self.apply(&change);
-        while let Some(next) = self.ahead.remove(&self.version) {
+        while let Some(next) = self.buffered.remove(&self.version) {
             self.apply(&next);
         }
         let version = self.version;
-        self.ahead.retain(|base, _| *base > version);
+        self.buffered.retain(|base, _| *base > version);
         is_applied
     }
 
-    fn keep_ahead(&mut self, change: ConfigurationChange) {
-        self.ahead.insert(change.base_version, change);
-        if self.ahead.len() > MAX_AHEAD {
-            self.ahead.pop_last();
+    fn buffer_change(&mut self, change: ConfigurationChange) {
+        self.buffered.insert(change.base_version, change);
+        if self.buffered.len() > MAX_BUFFERED_CHANGES {
+            self.buffered.pop_last();
         }
     }
 
@@ -139,7 +142,7 @@
         }
         if change.base_version == 0 {
             self.routes.clear();
-            self.cold_rates.clear();
+            self.warm_up_rates.clear();
         } else if change.base_version != self.version {
             return false;
         }
@@ -150,7 +153,7 @@
             let route = Route {
                 shares: shares(record),
                 class: RequestClass {
-                    objective_millis: record.latency_objective_millis,
+                    latency_objective_millis: record.latency_objective_millis,
                     deadline_millis: record.deadline_millis,
                     priority: record.priority,
                 },
@@ -158,14 +161,14 @@
             self.routes.insert(unpack_address(record.address), route);
         }
         for service in &change.removed_services {
-            self.cold_rates.remove(&service_digest(service));
+            self.warm_up_rates.remove(&service_digest(service));
         }
         for ServiceRecord {
             service,
             warm_up_millirequests_per_second: cold_millirequests_per_second,
         } in &change.put_services
         {
-            self.cold_rates
+            self.warm_up_rates
                 .insert(service_digest(service), *cold_millirequests_per_second);
         }
         self.version = change.version;
