--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -1,4 +1,4 @@
-//! The agents as a balancer knows them, and the choice among them.
+//! A balancer's directory of agents, and the selection of an agent for a new flow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -22,79 +22,83 @@
 use crate::pass_through::policies::backend_profile::BackendProfile;
 use crate::pass_through::routes::reassembly::Reassembly;
 
-/// How long an agent is avoided whose back end returned an opening packet, or
-/// whose zone is out of service without this balancer knowing. A back end that is
-/// only full works some 50 ms on a request; one that is gone is silent to its agent
-/// for seconds.
+/// How long an agent is ranked last after its back end returned a SYN, or after it
+/// declined because its zone is evacuated and this balancer doesn't know that yet. A
+/// back end that only lacks capacity needs some 50 ms for a request; one that has ended
+/// is silent to its agent for seconds.
 const DEPRIORITIZED_TIME: Duration = Duration::from_millis(250);
-/// Spreads flows over agents of the same cost, as a part of the service's mean time of
-/// work: less than one request more on a slot costs.
+/// Upper bound of the pseudorandom cost that spreads flows over agents of the same
+/// cost, as a fraction of the service's mean processing time. It is less than the cost
+/// of one more request per slot.
 const TIE_BREAK_FRACTION: f64 = 0.05;
-/// Salt of the hash that spreads the flows of a service over agents of different weights.
+/// Salt of the hash that spreads the flows of a service over its weight groups.
 const GROUP_SALT: u64 = 0x5745_4947;
-/// After a flow was offered to so many agents of one weight in vain, it goes to those of
-/// other weights, before nobody else may be asked.
+/// Number of agents of one weight that a flow is offered to before agents of other
+/// weights are preferred, so that the limit of offers isn't used up within one group.
 const MAX_OFFERS_PER_WEIGHT: usize = 2;
-/// What an agent costs whose back end is left out as it fails requests, in
-/// milliseconds: it comes before those that are suspected only.
+/// Cost of an agent whose back end is ejected because it fails requests, in
+/// milliseconds. Only suspected agents rank lower.
 const EJECTED_COST: f64 = 900_000.0;
-/// The share of a service's back ends that may be left out as they fail. If more fail,
-/// the fault is elsewhere, and the others could not bear their flows.
+/// Fraction of a service's back ends that may be ejected. If more fail, the fault is
+/// elsewhere, and the others could not take over their flows.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
-/// The first time that an agent is avoided after it missed an opening packet;
-/// it doubles with each further one up to the limit.
+/// How long an agent is suspected after it left one offer without a reply. The time
+/// doubles with each further offer, up to [`MAX_SUSPICION`].
 const INITIAL_SUSPICION: Duration = Duration::from_millis(250);
 const MAX_SUSPICION: Duration = Duration::from_secs(2);
-/// An agent that no replica heard from for so long is forgotten, as long as
-/// replicas are heard.
+/// An agent is removed if neither the balancer nor a replica has received anything
+/// from it for this time. It is checked only when a replica sends an update.
 const AGENT_TTL: Duration = Duration::from_secs(8);
 
-/// For how long a replica's word holds that its directory is whole. Agents that
-/// come later are told at once.
+/// How long a replica's statement that its directory is complete stays valid. Replicas
+/// announce agents that start later at once.
 const COMPLETENESS_TTL: Duration = Duration::from_millis(2_500);
 
-/// The agent that a new flow is offered to.
+/// The agent to offer a new flow to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ChosenAgent {
     pub(crate) address: SocketAddrV4,
-    /// So many back ends of the service fail that none is left out for that.
+    /// Ejections are ignored, as more than [`MAX_EJECTED_FRACTION`] of the service's back
+    /// ends are ejected.
     pub(crate) ignore_ejection: bool,
 }
 
-/// The agent with the lowest cost so far.
+/// The agent with the lowest cost so far; the cost is in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Best {
     address: Option<SocketAddrV4>,
     cost: f64,
 }
 
-/// The best agents with and without those that are left out as they fail.
+/// The best agents of one weight.
 #[derive(Clone, Copy, Debug, Default)]
 struct BestAgents {
+    /// With the penalty for ejected back ends.
     best: Best,
+    /// Without that penalty.
     best_with_ejected: Best,
-    /// Agents that were asked for the flow already.
+    /// Number of agents that the flow was offered to before.
     offered: usize,
 }
 
-/// Why an agent is not asked for a flow.
+/// Why a flow is not offered to an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exclusion {
-    /// It was asked for this flow already.
+    /// This flow was offered to it before.
     WasOffered,
-    /// It has just had no room for another one.
+    /// It declined another flow a moment ago, as it had no capacity.
     DeclinedRecently,
 }
 
-/// Agents of one service, and how many of them take no new flows.
+/// Number of agents of one service, and of those that take no new flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct AgentCounts {
     agents: usize,
-    /// Their back ends leave.
+    /// Agents whose back ends are draining.
     draining: usize,
-    /// Their zones are out of service.
+    /// Agents whose zones are evacuated.
     evacuated: usize,
-    /// Their back ends are cold, by their last word.
+    /// Agents whose back ends were cold in their latest load message.
     cold: usize,
 }
 
@@ -121,32 +125,33 @@
     }
 }
 
-/// What one replica told of the agents.
+/// The directory of one replica, as far as it was received.
 #[derive(Debug, Default)]
 struct ReplicaDirectory {
     revision: u64,
-    /// When the replica said last that this revision has every agent that runs.
+    /// When the replica stated last that this revision has every running agent.
     complete_at: Option<Timestamp>,
     agents: BTreeSet<SocketAddrV4>,
     reassembly: Reassembly,
 }
 
-/// All agents that a balancer knows.
+/// All agents that a balancer knows, from replicas and from their own messages.
 #[derive(Debug, Default)]
 pub(crate) struct AgentDirectory {
     /// Digest of the balancer's own zone.
     zone: u64,
-    /// Digests of the zones out of service.
+    /// Digests of the evacuated zones.
     evacuated: BTreeSet<u64>,
-    /// Tells the choices of this balancer from those of others.
+    /// Makes this balancer choose other relays than its peers do.
     salt: u64,
     replicas: BTreeMap<SocketAddrV4, ReplicaDirectory>,
     agents: BTreeMap<SocketAddrV4, KnownAgent>,
-    /// What is common to each service, by its digest.
+    /// Mean load figures of each service, by its digest.
     service_loads: BTreeMap<u64, ServiceLoad>,
-    /// How many agents have been added since the start.
+    /// Number of agents added since the start.
     total_added: u64,
-    /// Revisions of agents that are added: none of a forgotten one comes again.
+    /// First revision of an agent that is added. It is above all revisions of removed
+    /// agents, so that no cached policy result of those is taken for a new agent's.
     first_revision: u64,
 }
 
@@ -172,14 +177,14 @@
         self.agents.len()
     }
 
-    /// How many agents have been added since the start. Who asked all before the
-    /// latest was added has not asked that one.
+    /// Number of agents added since the start. A search that recorded a lower number when
+    /// it queried all agents has not queried the latest ones.
     pub(crate) fn total_added(&self) -> u64 {
         self.total_added
     }
 
-    /// All agents, or those of one service, as a search for a flow sees them.
-    /// Unless answers arrive `in_time`, no agent is taken for gone.
+    /// All agents, or those of one service, as targets of a flow search. Unless
+    /// `replies_on_time` is set, no agent is regarded as absent.
     pub(crate) fn search_targets(
         &self,
         now: Timestamp,
@@ -199,14 +204,14 @@
         targets.collect()
     }
 
-    /// Notes that an agent was asked for flows.
+    /// Notes that a flow query was sent to an agent.
     pub(crate) fn note_queried(&mut self, now: Timestamp, address: SocketAddrV4) {
         if let Some(agent) = self.agents.get_mut(&address) {
             agent.unanswered_since.get_or_insert(now);
         }
     }
 
-    /// Notes that an agent answered a question that another one passed on.
+    /// Notes that an agent replied to a relayed query.
     pub(crate) fn note_replied(&mut self, now: Timestamp, address: SocketAddrV4) {
         if let Some(agent) = self.agents.get_mut(&address) {
             agent.last_seen_at = now;
@@ -214,8 +219,8 @@
         }
     }
 
-    /// Which of some agents asks the others for flows: one that answers, another
-    /// one with each question.
+    /// The agent that relays a query to the others: one that replies to queries if there
+    /// is any, and another one for each query.
     pub(crate) fn choose_relay(
         &self,
         now: Timestamp,
@@ -235,18 +240,18 @@
         choice[index as usize]
     }
 
-    /// Takes the zones out of service.
+    /// Replaces the set of evacuated zones.
     pub(crate) fn set_evacuated(&mut self, evacuations: &Evacuations) {
         let zones = evacuations.evacuated_zones();
         self.evacuated = zones.map(|record| zone_digest(&record.zone)).collect();
     }
 
-    /// Whether an agent of a service is known.
+    /// Whether any agent of a service is known.
     pub(crate) fn has_service(&self, service: u64) -> bool {
         self.agents.values().any(|agent| agent.service == service)
     }
 
-    /// How many agents of a service are known, and why some take no new flows.
+    /// Number of known agents of a service, and of those that take no new flows.
     pub(crate) fn agent_counts(&self, service: u64) -> AgentCounts {
         let matches_service = |agent: &&KnownAgent| agent.service == service;
         let mut counts = AgentCounts::default();
@@ -259,22 +264,22 @@
         counts
     }
 
-    /// The revision that a replica told last; zero for none.
+    /// The latest revision received from a replica; zero for none.
     pub(crate) fn revision_of(&self, replica: SocketAddrV4) -> u64 {
         let replica_directory = self.replicas.get(&replica);
         replica_directory.map_or(0, |replica_directory| replica_directory.revision)
     }
 
-    /// Whether every agent that runs is known.
+    /// Whether every running agent is known.
     pub(crate) fn is_complete(&self, now: Timestamp) -> bool {
         let is_fresh = |at| now.saturating_since(at) < COMPLETENESS_TTL;
         let mut replicas = self.replicas.values();
         replicas.any(|replica_directory| replica_directory.complete_at.is_some_and(is_fresh))
     }
 
-    /// A replica says that its directory has this revision, and whether that is
-    /// whole. If it is the one that it told, it still hears from all agents in
-    /// it.
+    /// Handles the revision of a replica's directory, and whether that is complete. If it
+    /// is the revision received before, the replica still receives reports of all agents
+    /// in it, so that they count as seen now.
     pub(crate) fn handle_revision(
         &mut self,
         now: Timestamp,
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Takes a part of what a replica knows.
+    /// Handles one part of a replica's directory.
     pub(crate) fn handle_directory(
         &mut self,
         now: Timestamp,
@@ -361,7 +366,7 @@
             known.is_some_and(|known| known.incarnation == report.incarnation);
         let profile = BackendProfile::from_report(reported_at, report);
         if !is_same_incarnation {
-            // Numbers of a former life at the address must not come again.
+            // Revisions of a previous incarnation at the address must not be used again.
             let revision = known.map_or(self.first_revision, |known| known.load_revision + 1);
             let agent = KnownAgent {
                 service: service_digest(&report.service),
@@ -403,8 +408,8 @@
         }
     }
 
-    /// Notes a message that an agent sent itself. Returns whether it had been
-    /// suspected.
+    /// Notes a message that came from the agent itself. Returns whether the agent was
+    /// suspected until now.
     pub(crate) fn note_seen(
         &mut self,
         now: Timestamp,
@@ -428,26 +433,26 @@
         was_suspected
     }
 
-    /// Whether an agent has not answered lately.
+    /// Whether an agent has recently left an offer without a reply.
     pub(crate) fn is_suspected(&self, now: Timestamp, address: SocketAddrV4) -> bool {
         self.get(address).is_some_and(|it| now < it.suspected_until)
     }
 
-    /// Notes that an agent takes nothing new, until it reports otherwise.
+    /// Notes an agent's state, which is valid until its next report.
     pub(crate) fn note_state(&mut self, address: SocketAddrV4, state: AgentState) {
         if let Some(agent) = self.agents.get_mut(&address) {
             agent.note_state(state);
         }
     }
 
-    /// Notes that an agent declined for a reason that holds for a while.
+    /// Notes that an agent declined for a reason that lasts for a while.
     pub(crate) fn note_deprioritized(&mut self, now: Timestamp, address: SocketAddrV4) {
         if let Some(agent) = self.agents.get_mut(&address) {
             agent.deprioritized_until = now + DEPRIORITIZED_TIME;
         }
     }
 
-    /// Notes a request on a flow of a service that is known for `flow_age`.
+    /// Notes a request on a flow that this balancer has known for `flow_age`.
     pub(crate) fn note_request(&mut self, service: u64, flow_age: Duration) {
         if let Some(service_load) = self.service_loads.get_mut(&service) {
             service_load.note_request(flow_age);
@@ -460,8 +465,8 @@
         }
     }
 
-    /// Notes that an agent did not answer an opening packet in time. Returns
-    /// whether that is news.
+    /// Notes that an agent did not reply to an offer in time. Returns whether the agent
+    /// becomes suspected by that.
     pub(crate) fn note_timeout(&mut self, now: Timestamp, address: SocketAddrV4) -> bool {
         let Some(agent) = self.agents.get_mut(&address) else {
             return false;
@@ -473,11 +478,12 @@
         !was_suspected
     }
 
-    /// The agent of a service that is the best for a new flow. Those that have
-    /// just started come after the others, if they are to be asked at all.
+    /// Selects the agent of a service for a new flow. Agents that have just started are
+    /// considered only with `include_starting`, and rank after the others.
     ///
-    /// `weight_of` tells the share of an agent in new flows, relative to others, which is
-    /// more than zero; none if it may get none. Agents of one weight compete by what they cost.
+    /// `weight_of` returns an agent's share of new flows relative to the others, which is
+    /// greater than zero, or `None` if the agent may get none. Among agents of one weight
+    /// the one with the lowest cost is selected.
     pub(crate) fn choose(
         &self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/choice/expected_completion.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/expected_completion.rs
@@ -1,34 +1,35 @@
-//! How long a request is likely to take at a back end until its answer.
+//! The expected time until a back end's response to a request.
 
 use petrellatch_proto::pass_through::LoadMessage;
 
-/// How much slower a back end is that still warms up, as long as it has not told its
-/// own time: caches and compiled code that are not there yet cost the measured
-/// services 1.6 times the time.
+/// Factor on the processing time of a back end that warms up and has not reported its
+/// own. Services measured with empty caches and without compiled code took 1.6 times
+/// as long.
 const COLD_FACTOR: f64 = 1.6;
-/// What the time of work is taken for before any back end of a service has told its
-/// own, in milliseconds. All back ends are equal then, so only its ratio to the
-/// costs that are stated in times of work counts, and that doesn't depend on it.
+/// Processing time that is assumed before any back end of a service has reported its
+/// own, in milliseconds. The value has no effect on the selection: all back ends are
+/// equal then, and the other costs are fractions of the processing time.
 const DEFAULT_PROCESSING_MILLIS: f64 = 10.0;
 
-/// The expected time from the placement of a request until its answer, in
-/// milliseconds: the time of its work, and its share of the work that is before it.
+/// The expected time from the placement of a request until its response, in
+/// milliseconds: its own processing time, and its part of the processing time of the
+/// requests before it.
 ///
-/// A free slot isn't certain to be free when the request comes, as other balancers
-/// place requests too. So the requests in hand count also while there are fewer of
-/// them than slots.
+/// A free slot may be taken when the request arrives, as other balancers place requests
+/// too. Therefore in-flight requests count even while there are fewer of them than
+/// slots.
 pub(crate) fn completion_millis(processing_millis: f64, requests: f64, slots: u32) -> f64 {
     processing_millis * (1.0 + requests / f64::from(slots.max(1)))
 }
 
-/// How long the first request of a flow waits for a slot for certain, in milliseconds.
+/// The minimum time that the first request of a flow waits for a slot, in milliseconds.
 pub(crate) fn waiting_millis(processing_millis: f64, requests: f64, slots: u32) -> f64 {
     let slots = f64::from(slots.max(1));
     processing_millis * (requests + 1.0 - slots).max(0.0) / slots
 }
 
-/// The time that a back end works on one request, in milliseconds: its own where it is
-/// known, or else what its service takes in the mean.
+/// A back end's processing time of one request, in milliseconds: as it was reported, or
+/// else the mean of its service, increased for a cold back end.
 pub(crate) fn processing_millis(load: &LoadMessage, service_mean_millis: Option<f64>) -> f64 {
     if load.processing_micros > 0 {
         return f64::from(load.processing_micros) / 1_000.0;
@@ -37,7 +38,7 @@
     default_millis * if load.cold { COLD_FACTOR } else { 1.0 }
 }
 
-/// What the work of a service is taken for if nothing more is known of a back end, in
+/// The processing time that is assumed for a back end that has not reported its own, in
 /// milliseconds.
 pub(crate) fn default_processing_millis(service_mean_millis: Option<f64>) -> f64 {
     service_mean_millis.unwrap_or(DEFAULT_PROCESSING_MILLIS)
--- a/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
@@ -1,4 +1,4 @@
-//! One agent as a balancer knows it, and what it costs to choose it.
+//! A balancer's state of one agent, and the cost of placing a flow there.
 
 use std::time::Duration;
 
@@ -11,57 +11,60 @@
 use crate::pass_through::policies::backend_profile::{BackendCondition, BackendProfile};
 use crate::time::Timestamp;
 
-/// A load figure loses half of its weight in this time, since the requests
-/// behind it come to their ends.
+/// Half-life of a reported number of in-flight requests, as these requests complete.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(120);
-/// What an agent of another zone costs, as a part of the service's mean time of work:
-/// traffic between zones is dear, and a caller hardly notices an answer that takes a
-/// third longer.
+/// Cost of an agent in another zone, as a fraction of the service's mean processing
+/// time: traffic between zones is expensive, and callers hardly notice a response that
+/// takes a third longer.
 const OTHER_ZONE_COST_FRACTION: f64 = 0.3;
-/// What an agent costs whose back end was not heard yet, in milliseconds. This and the
-/// costs below are longer than any request takes: they put agents in an order.
+/// Cost of an agent that has just started and has not seen its back end yet, in
+/// milliseconds. This and the costs below are longer than any request takes, so that
+/// they rank the agents.
 const STARTING_COST: f64 = 500_000.0;
-/// What an agent costs that is avoided, as it declined for a reason that lasts: it comes
-/// after all others but those that fail or are suspected. In milliseconds.
+/// Cost of a deprioritized agent, in milliseconds. Only agents that are ejected or
+/// suspected rank lower.
 pub(super) const DEPRIORITIZED_COST: f64 = 750_000.0;
-/// What a suspected agent costs, in milliseconds: it comes after all others.
+/// Cost of a suspected agent, in milliseconds. It ranks last.
 const SUSPECTED_COST: f64 = 1_000_000.0;
-/// An agent that has not answered a question for flows by then asks no others:
-/// a round of questions takes so long.
+/// An agent with a flow query that has had no reply for this time relays no queries:
+/// one round of queries takes as long.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
-/// An agent that has not answered a question for flows by then is gone, and its
-/// back end with it; one that is restarted as planned is back earlier.
+/// An agent with a flow query that has had no reply for this time is regarded as absent,
+/// and its back end with it. A planned restart of an agent takes less.
 const ABSENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// One agent.
+/// What a balancer knows about one agent.
 #[derive(Debug)]
 pub(crate) struct KnownAgent {
+    /// Digest of its service.
     pub(crate) service: u64,
     pub(crate) state: AgentState,
     /// Digest of its zone.
     pub(crate) zone: u64,
     pub(crate) incarnation: u64,
+    /// Sequence number of its latest report.
     pub(crate) sequence: u64,
-    /// When it made its latest report, or sent something else.
+    /// When it sent its latest report, or another message to this balancer.
     pub(crate) reported_at: Timestamp,
-    /// When it was heard last, or a replica said last that it is there.
+    /// When its latest message came, or the latest update in which a replica lists it.
     pub(crate) last_seen_at: Timestamp,
-    /// Since when it has not answered questions for flows.
+    /// When the oldest flow query without a reply was sent.
     pub(crate) unanswered_since: Option<Timestamp>,
     pub(crate) load: LoadMessage,
     pub(crate) load_at: Timestamp,
-    /// Opening packets sent since the load was told.
+    /// New flows offered to it since its latest load message.
     pub(crate) flows_since_report: u32,
+    /// Consecutive offers without a reply.
     pub(crate) timeouts: u32,
     pub(crate) suspected_until: Timestamp,
-    /// Until then it is asked after the others.
+    /// Until then it ranks after the other agents.
     pub(crate) deprioritized_until: Timestamp,
-    /// Until then its back end is left out, by its own word.
+    /// Until then its back end is ejected, by the agent's own load message.
     pub(crate) ejected_until: Timestamp,
     pub(crate) profile: BackendProfile,
-    /// Rises with each change of the profile or the state.
+    /// Increases with each change of the profile or the state.
     pub(crate) profile_revision: u64,
-    /// Rises with each change of anything that a policy reads.
+    /// Increases with each change of anything that a policy reads.
     pub(crate) load_revision: u64,
 }
 
@@ -79,7 +82,7 @@
         self.load_revision += 1;
     }
 
-    /// Takes the back end's profile and the agent's state, if they differ.
+    /// Updates the agent's state and the back end's profile, where they have changed.
     pub(crate) fn note_profile(&mut self, state: AgentState, profile: BackendProfile) {
         self.note_state(state);
         let profile = profile.with_stable_start(&self.profile);
@@ -98,12 +101,12 @@
         }
     }
 
-    /// Whether its back end is left out, as it fails requests.
+    /// Whether its back end is ejected, as it fails requests.
     pub(crate) fn is_ejected(&self, now: Timestamp) -> bool {
         now < self.ejected_until
     }
 
-    /// What a policy reads of it beside the profile.
+    /// What a policy reads besides the profile.
     pub(crate) fn condition(&self, now: Timestamp) -> BackendCondition {
         BackendCondition {
             state: self.state,
@@ -113,32 +116,33 @@
         }
     }
 
-    /// Whether it answers questions for flows, unless it is just restarted. One
-    /// that has not heard of its back end in its present life counts as gone with
-    /// that if it does not answer.
+    /// Whether a flow search must wait for its reply. An agent counts as absent, along with
+    /// its back end, if it has not replied for [`ABSENCE_TIMEOUT`], or if its present
+    /// incarnation has not seen its back end yet.
     pub(crate) fn is_expected(&self, now: Timestamp, replies_on_time: bool) -> bool {
         let is_absent = |since| now.saturating_since(since) >= ABSENCE_TIMEOUT;
         !replies_on_time || (self.has_backend() && !self.unanswered_since.is_some_and(is_absent))
     }
 
-    /// Whether it has answered all questions so far, and is not suspected.
+    /// Whether no flow query to it is overdue, its back end is known, and it is not
+    /// suspected.
     pub(crate) fn answers_queries(&self, now: Timestamp) -> bool {
         self.has_backend() && now >= self.suspected_until && !self.is_silent(now)
     }
 
-    /// Whether it has left a question unanswered for as long as a round takes.
+    /// Whether a flow query has had no reply for as long as a round takes.
     pub(crate) fn is_silent(&self, now: Timestamp) -> bool {
         let is_overdue = |since| now.saturating_since(since) >= REPLY_TIMEOUT;
         self.unanswered_since.is_some_and(is_overdue)
     }
 
-    /// Whether it has heard of its back end in its present life.
+    /// Whether its present incarnation has seen its back end.
     pub(crate) fn has_backend(&self) -> bool {
         matches!(self.state, AgentState::Ready | AgentState::Draining)
     }
 
-    /// What it costs to place a flow there, in milliseconds: how long its requests are
-    /// likely to take, and what speaks against the agent for a balancer in `zone`.
+    /// The cost of placing a flow there, in milliseconds: the expected time of its requests,
+    /// and penalties for the agent's state and for another zone than `zone`.
     pub(crate) fn cost(&self, now: Timestamp, zone: u64, service_load: &ServiceLoad) -> f64 {
         let mean_processing = default_processing_millis(service_load.processing_millis());
         let mut cost = self.expected_millis(now, service_load);
@@ -157,9 +161,9 @@
         cost
     }
 
-    /// How long the requests of a new flow are likely to take until their answers, in
-    /// milliseconds: by the requests in hand as far as flows are short, and by what the
-    /// open flows need as far as they live long.
+    /// The expected time until the responses to a new flow's requests, in milliseconds. For
+    /// services with short flows it follows from the in-flight requests, for services with
+    /// long-lived flows from the demand of the open flows.
     fn expected_millis(&self, now: Timestamp, service_load: &ServiceLoad) -> f64 {
         let slots = self.load.slots;
         let processing = processing_millis(&self.load, service_load.processing_millis());
@@ -173,9 +177,10 @@
         short_flow_millis * (1.0 - weight) + (long_flow_millis + wait) * weight
     }
 
-    /// Slots that the open flows, those sent since and a new one need in the mean, on a
-    /// back end whose work takes this many times as long as usual. A flow that has just
-    /// come has not shown what it needs: it counts as one like the others.
+    /// Mean number of slots that the open flows, the flows offered since the load message
+    /// and a new one keep busy. `relative_processing` is the back end's processing time
+    /// relative to the service's. As the demand of a flow is not known when it starts, a new
+    /// flow counts with the service's mean.
     fn expected_demand(&self, relative_processing: f64, service_load: &ServiceLoad) -> f64 {
         let new_flow = service_load.flow_demand() * relative_processing;
         let reported = f64::from(self.load.demand_millislots) / 1_000.0;
@@ -184,7 +189,8 @@
         (reported + offered * new_flow).max(flows * new_flow) + new_flow
     }
 
-    /// Requests in hand, as far as old news and what was sent since tell.
+    /// Estimated in-flight requests: those of the latest load message and the flows offered
+    /// since, halved every [`LOAD_HALF_LIFE`].
     fn expected_requests(&self, now: Timestamp) -> f64 {
         let age = now.saturating_since(self.load_at);
         let half_lives = age.as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
--- a/crates/petrellatch-core/src/pass_through/choice/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/mod.rs
@@ -1,5 +1,5 @@
-//! The choice of an agent for a new flow: which agents there are, how busy they
-//! are, and which of them answer; and when none is asked.
+//! Selection of an agent for a new flow: the known agents, their load and
+//! reachability, and load shedding while a service is overloaded.
 
 pub(crate) mod agent_directory;
 pub(crate) mod expected_completion;
--- a/crates/petrellatch-core/src/pass_through/choice/retry_budget.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/retry_budget.rs
@@ -1,23 +1,22 @@
-//! How many agents a balancer may ask for new flows beyond the first one of each.
+//! The limit on further offers of new flows, after the first offer of each.
 //!
-//! The first question is what placing a flow costs. Further ones are asked on the word
-//! that others are full or silent, and when many are, they fill the link that packets of
-//! open flows need.
+//! The first offer is the cost of placing a flow. Further ones are made because an agent
+//! declined or didn't reply; when many agents do so, these offers would fill the link,
+//! which packets of established flows need.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// The part of the balancer's link, in percent, that further questions with their
-/// answers may take: most of the link stays with packets of open flows. Chosen, not
-/// measured.
+/// Percentage of the balancer's link that further offers with their replies may take:
+/// most of the link is left to packets of established flows.
 const LINK_PERCENT: u64 = 20;
-/// Bytes a second if the link is not known: 1 % of 1 Gbit/s.
+/// Budget in bytes per second if the link's speed is not known: 1 % of 1 Gbit/s.
 const DEFAULT_BYTES_PER_SECOND: u64 = 1_250_000;
-/// Questions of so long may be asked at once after a rest.
+/// The budget of this time may be spent at once after an idle period.
 const BURST: Duration = Duration::from_millis(500);
-/// Bytes of a question and its answer without the packet that the question carries,
-/// with the heads of IP and UDP; an estimate.
+/// Estimated bytes of an offer and its reply, with the headers of IP and UDP, but
+/// without the SYN that the offer contains.
 const OFFER_AND_REPLY_BYTES: usize = 200;
 
 /// A token bucket; one token is one byte.
@@ -29,7 +28,7 @@
 }
 
 impl RetryBudget {
-    /// Starts with the tokens of a rest. The link's speed is in bytes a second.
+    /// Creates a full bucket.
     pub(crate) fn new(now: Timestamp, link_bytes_per_second: Option<u64>) -> Self {
         let budget = link_bytes_per_second.map(|bytes| bytes * LINK_PERCENT / 100);
         let bytes_per_second = budget.unwrap_or(DEFAULT_BYTES_PER_SECOND) as f64;
@@ -40,8 +39,8 @@
         }
     }
 
-    /// Pays a question that carries a packet of so many bytes. Returns whether there
-    /// was enough for it.
+    /// Spends the tokens of an offer that contains a SYN of `syn_bytes`. Returns false,
+    /// and spends nothing, if there are too few.
     pub(crate) fn try_spend(&mut self, now: Timestamp, syn_bytes: usize) -> bool {
         let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
         let max_tokens = self.bytes_per_second * BURST.as_secs_f64();
--- a/crates/petrellatch-core/src/pass_through/choice/service_load.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_load.rs
@@ -1,20 +1,20 @@
-//! What the agents and flows of one service have in common, as one balancer sees it.
+//! Mean load figures of one service, as one balancer sees it.
 
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::LoadMessage;
 
-/// Weight of one told load in the means over a service. Each new flow brings one, and
-/// a hundred of them come from all back ends of a service of some dozens.
+/// Weight of one load message in the means over a service. Each new flow brings one, so
+/// that a hundred messages cover all back ends of a service of some dozens.
 const LOAD_WEIGHT: f64 = 1.0 / 128.0;
-/// Weight of one request in the share of those on old flows.
+/// Weight of one request in the fraction of requests on old flows.
 const REQUEST_WEIGHT: f64 = 1.0 / 256.0;
-/// A flow of this age is old: a caller that keeps a flow for one request or one page
-/// is done by then, and loads that were told when it came say nothing any more.
+/// A flow of this age is old: a caller that uses a flow for one request or one page has
+/// closed it by then, and load messages from its start are out of date.
 const OLD_FLOW_AGE: Duration = Duration::from_secs(1);
 
-/// With this share of the requests on old flows, what comes later on a flow is more than
-/// what its first moment brings, and the open flows tell all of the load.
+/// With this fraction of the requests on old flows, most load arises later in a flow's
+/// life than at its start, so that only the demand of the open flows counts.
 const LONG_LIVED_FRACTION: f64 = 0.5;
 
 /// Means over the back ends and requests of a service.
@@ -26,7 +26,7 @@
 }
 
 impl ServiceLoad {
-    /// Takes the load that an agent of the service told.
+    /// Records a load message of an agent of the service.
     pub(crate) fn note_load(&mut self, load: &LoadMessage) {
         if load.processing_micros > 0 && !load.cold {
             let millis = f64::from(load.processing_micros) / 1_000.0;
@@ -38,25 +38,24 @@
         }
     }
 
-    /// Notes a request on a flow of this age.
+    /// Records a request on a flow of this age.
     pub(crate) fn note_request(&mut self, flow_age: Duration) {
         let is_old = f64::from(u8::from(flow_age >= OLD_FLOW_AGE));
         self.old_fraction += (is_old - self.old_fraction) * REQUEST_WEIGHT;
     }
 
-    /// The mean time of work of warm back ends, in milliseconds; none if nobody has told
-    /// one.
+    /// The mean processing time of warm back ends, in milliseconds; none if no agent has
+    /// reported one.
     pub(crate) fn processing_millis(&self) -> Option<f64> {
         self.processing_millis
     }
 
-    /// Slots that one open flow keeps busy in the mean.
+    /// Mean number of slots that one open flow keeps busy.
     pub(crate) fn flow_demand(&self) -> f64 {
         self.flow_demand.unwrap_or_default()
     }
 
-    /// How much the demand of open flows counts beside the requests in hand, from zero to
-    /// one.
+    /// Weight of the open flows' demand against the in-flight requests, from zero to one.
     pub(crate) fn demand_weight(&self) -> f64 {
         (self.old_fraction / LONG_LIVED_FRACTION).min(1.0)
     }
--- a/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
@@ -1,9 +1,9 @@
-//! Services that have no room: for how long a balancer refuses new flows of them
-//! without asking an agent.
+//! Load shedding: how long a balancer refuses new flows of an overloaded service without
+//! offering them.
 //!
-//! A flow that nobody has room for costs questions and answers on the balancer's link,
-//! and its caller is back at once. Without a pause these fill the link: answers come
-//! late, and flows that could be served are lost as well.
+//! A flow that no agent has capacity for costs offers and replies on the balancer's link,
+//! and its caller retries at once. Without a backoff these messages fill the link: replies
+//! come late, and flows that could be served are lost as well.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -11,114 +11,118 @@
 
 use crate::time::Timestamp;
 
-/// The shortest pause. Within it a balancer learns nothing new, as an answer takes some
-/// milliseconds.
+/// Shortest backoff. A reply takes some milliseconds, so that a balancer learns nothing new
+/// earlier.
 const MIN_BACKOFF: Duration = Duration::from_millis(5);
-/// The longest pause: room that is there again is found within this.
+/// Longest backoff, and so the longest time until returning capacity is found.
 const MAX_BACKOFF: Duration = Duration::from_millis(100);
-/// The first pause if agents don't foretell the balancer's turn: a back end works some
-/// 30 ms on a request, so that by then a place has come free at most of them.
+/// First backoff if agents report no expected wait. A back end takes some 30 ms for a
+/// request, so that a slot has become free at most back ends by then.
 const DEFAULT_BACKOFF: Duration = Duration::from_millis(20);
-/// How much longer a pause is than the one before.
+/// Factor from one backoff to the next.
 const BACKOFF_GROWTH: f64 = 1.3;
-/// If so many flows were taken between two pauses, the next one is shorter:
-/// so many flows served for a question in vain is little enough.
+/// If at least this many flows were accepted since a backoff, the next one is shorter:
+/// one declined flow for this many served ones is cheap enough.
 const SHORTEN_AFTER_ACCEPTED: u32 = 12;
-/// If so many flows were taken since a pause, there is room: the next pause is a first
-/// one again. At the longest pause that is what 320 places a second leave, which is
-/// more than one balancer has of a service.
+/// If at least this many flows were accepted since a backoff, the overload has ended,
+/// and the next backoff starts at the first length again. At the longest backoff that is
+/// 320 slots per second, more than one balancer's part of a service.
 const RESET_AFTER_ACCEPTED: u32 = 32;
-/// The flow that ends a pause is answered by then, or another one asks. It is longer
-/// than answers take over links that are busy.
+/// How long the reply to a trial flow is awaited before another trial flow is let
+/// through. It is longer than replies take over busy links.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(60);
-/// An agent that had no room is not asked again for so long while others are there, even
-/// if it tells that it is idle: half of what callers with an objective of half a second
-/// can lose.
+/// How long an agent that declined for lack of capacity gets no offers while there are
+/// others, even if its load message says that it is idle. The value is half of a latency
+/// objective of 500 ms.
 const DECLINE_TTL: Duration = Duration::from_millis(250);
-/// Agents that are remembered for that. One that lies is among the latest ones; more
-/// would leave few to ask of a small service.
+/// Number of agents that are excluded for that. An agent whose load message is wrong is
+/// among the latest that declined; a higher number would leave few agents of a small
+/// service.
 const MAX_RECENT_DECLINES: usize = 4;
-/// So many flows that are let wait, with none taken between, show that there is no room:
-/// of a large service a single agent may have a queue while others have none.
+/// Number of flows in a row that are queued, with none accepted between, from which a
+/// service counts as overloaded. It is more than one, since in a large service a single
+/// agent may have a queue while others have none.
 const MIN_QUEUED_RUN: u32 = 3;
-/// The same after a short pause since which no flow was taken, of a service with few
-/// agents: there is likely still no room.
+/// The same for a service with few agents, after a short backoff since which no flow was
+/// accepted: the service is likely still overloaded.
 const QUEUED_RUN_AFTER_BACKOFF: u32 = 2;
-/// More agents than these are not few.
+/// Highest number of agents for which [`QUEUED_RUN_AFTER_BACKOFF`] applies.
 const MAX_SMALL_SERVICE: usize = 64;
-/// A service without a pause for so long is no more under pressure.
+/// How long after its latest backoff a service counts as overloaded.
 const OVERLOAD_TTL: Duration = Duration::from_secs(1);
 
-/// Flows that find room, or none, alike. Those whose callers have waited for so long
-/// that their answers will be late get other places than fresh ones.
+/// Class of new flows that are shed alike. Agents treat a flow that will miss its latency
+/// objective differently from others, so that the two are different classes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowClass {
     pub(crate) service: u64,
+    /// The caller has already waited for its latency objective.
     pub(crate) is_late: bool,
-    /// Zero is the most urgent.
+    /// Zero is the highest priority.
     pub(crate) priority: u32,
 }
 
-/// What becomes of a new flow.
+/// What to do with a new flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SheddingDecision {
-    /// Agents are asked.
+    /// Offer it to agents.
     Offer,
-    /// It is refused at once.
+    /// Refuse it without an offer.
     Shed,
 }
 
-/// How a service came to its present state.
+/// A change of a service's overload level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverloadChange {
     pub(crate) service: u64,
-    /// The most urgent priority that is refused at times; none if pressure has ended.
+    /// The highest priority of which flows are shed; none if the overload has ended.
     pub(crate) level: Option<u32>,
-    /// The level before.
+    /// The level before the change.
     pub(crate) previous_level: Option<u32>,
-    /// A route whose flows found no room.
+    /// A route whose flows are or were shed.
     pub(crate) route: SocketAddrV4,
 }
 
-/// The pauses of one kind of flows.
+/// The latest backoff of one class of flows.
 #[derive(Debug)]
 struct OverloadBackoff {
     length: Duration,
     until: Timestamp,
-    /// Until then the answer to the flow that asks after the pause is expected.
+    /// Until then the reply to the trial flow is expected.
     trial_until: Timestamp,
-    /// Whether a flow that asked after the pause was taken.
+    /// Whether a flow was accepted after the backoff.
     is_over: bool,
-    /// Flows that were taken since.
+    /// Number of flows accepted since.
     accepted: u32,
-    /// The route of the flow that began it.
+    /// The route of the flow that started the backoff.
     route: SocketAddrV4,
 }
 
-/// Flows of one kind that were let wait, with none taken between.
+/// Flows of one class that were queued in a row, with none accepted between.
 #[derive(Debug)]
 struct QueuedRun {
     flows: u32,
     latest_at: Timestamp,
 }
 
-/// The services that have lately had no room.
+/// Services that have recently been overloaded.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceOverload {
     backoffs: BTreeMap<FlowClass, OverloadBackoff>,
-    /// Flows that were let wait since the latest one that was taken.
+    /// Flows that were queued since the latest one that was accepted.
     queued_runs: BTreeMap<FlowClass, QueuedRun>,
-    /// Agents that have lately had no room, the latest last.
+    /// Agents that have recently declined for lack of capacity, in order of time.
     recent_declines: VecDeque<(Timestamp, SocketAddrV4)>,
-    /// The shortest turn that agents of a service have foretold since its latest pause.
+    /// The shortest expected wait that agents of a service reported since its latest
+    /// backoff.
     expected_waits: BTreeMap<u64, Duration>,
-    /// The most urgent priority that finds no room, and a route of it.
+    /// The highest priority of which flows are shed, and a route of such a flow.
     levels: BTreeMap<u64, (u32, SocketAddrV4)>,
 }
 
 impl ServiceOverload {
-    /// Whether agents are asked for a new flow. It is refused while flows of its
-    /// priority, or of a more urgent one, find no room; after each pause one asks.
+    /// Decides whether a new flow is offered. It is shed during a backoff of its own or a
+    /// higher priority; after each backoff one trial flow is let through.
     pub(crate) fn decide(&mut self, now: Timestamp, class: FlowClass) -> SheddingDecision {
         let relevant = self
             .backoffs
@@ -138,7 +142,7 @@
         SheddingDecision::Offer
     }
 
-    /// Whether flows of this kind have lately found no room.
+    /// Whether the service has recently been overloaded for flows of this class.
     pub(crate) fn is_overloaded(&self, now: Timestamp, class: FlowClass) -> bool {
         let mut relevant = self.backoffs.range(highest_priority_class(class)..=class);
         relevant.any(|(_, backoff)| {
@@ -146,14 +150,14 @@
         })
     }
 
-    /// Whether an agent has just had no room.
+    /// Whether an agent has declined for lack of capacity within [`DECLINE_TTL`].
     pub(crate) fn declined_recently(&self, now: Timestamp, agent: SocketAddrV4) -> bool {
         let is_recent = |at| now.saturating_since(at) < DECLINE_TTL;
         let mut recent_declines = self.recent_declines.iter();
         recent_declines.any(|(at, other)| *other == agent && is_recent(*at))
     }
 
-    /// An agent had no room, not even in its queue.
+    /// Notes that an agent declined, as its slots and its queue are full.
     pub(crate) fn note_declined(&mut self, now: Timestamp, agent: SocketAddrV4) {
         if self.recent_declines.len() == MAX_RECENT_DECLINES {
             self.recent_declines.pop_front();
@@ -161,8 +165,8 @@
         self.recent_declines.push_back((now, agent));
     }
 
-    /// At an agent without room a place comes free for this balancer after `turn`, zero
-    /// if that is not known.
+    /// Notes after which time an agent that declined expects a free slot for this balancer;
+    /// zero if that is not known.
     pub(crate) fn note_expected_wait(&mut self, service: u64, expected_wait: Duration) {
         if !expected_wait.is_zero() {
             let shortest = self.expected_waits.entry(service).or_insert(expected_wait);
@@ -170,8 +174,8 @@
         }
     }
 
-    /// All agents that were asked for a flow that came at `created_at` had no room;
-    /// the service has so many. Returns whether a pause begins.
+    /// Notes that a flow that arrived at `created_at` found no capacity. `agents` is the number
+    /// of the service's agents. Returns whether a backoff starts.
     pub(crate) fn note_all_full(
         &mut self,
         now: Timestamp,
@@ -212,9 +216,9 @@
         true
     }
 
-    /// An agent whose back end works at its usual rate lets a flow wait that came at
-    /// `created_at`; the service has so many agents. Returns whether this shows that there
-    /// is no room.
+    /// Notes that an agent with a warm back end queued a flow that arrived at `created_at`.
+    /// `agents` is the number of the service's agents. Returns whether the service is
+    /// overloaded, by the number of flows queued in a row.
     pub(crate) fn note_queued(
         &mut self,
         now: Timestamp,
@@ -245,8 +249,8 @@
         run.flows >= min_run
     }
 
-    /// A flow that came at `created_at` was taken: there is room for its kind, and for
-    /// the more urgent ones.
+    /// Notes that a flow that arrived at `created_at` was accepted, which ends the backoffs
+    /// of its class and of higher priorities.
     pub(crate) fn note_accepted(&mut self, class: FlowClass, created_at: Timestamp) {
         let accepted_classes = highest_priority_class(class)..=class;
         self.queued_runs
@@ -260,8 +264,8 @@
         }
     }
 
-    /// The flow that asked after a pause found no room for another reason, which says
-    /// nothing: the next one asks.
+    /// Notes that a trial flow was not accepted for a reason other than capacity. As this
+    /// says nothing about the overload, the next flow becomes the trial flow.
     pub(crate) fn note_inconclusive(&mut self, class: FlowClass) {
         for (_, backoff) in self
             .backoffs
@@ -271,8 +275,7 @@
         }
     }
 
-    /// Forgets what is over, and says which services have come under pressure, are
-    /// under more or less of it, or under none any more.
+    /// Removes expired backoffs, and returns the services whose overload level has changed.
     pub(crate) fn take_changes(&mut self, now: Timestamp) -> Vec<OverloadChange> {
         self.backoffs
             .retain(|_, backoff| now < backoff.until + OVERLOAD_TTL);
@@ -307,7 +310,7 @@
     }
 }
 
-/// The first kind that pauses a kind as well.
+/// The class of the highest priority whose backoff also applies to `class`.
 fn highest_priority_class(class: FlowClass) -> FlowClass {
     FlowClass {
         priority: 0,
--- a/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
@@ -1,5 +1,5 @@
-//! Agents of one weight compete with each other; agents of different weights share new
-//! flows by their weights.
+//! Groups of agents by policy weight. New flows are spread over the groups in proportion
+//! to weight and size; within a group agents are compared by cost.
 
 /// Agents of one weight.
 #[derive(Clone, Copy, Debug)]
@@ -9,8 +9,8 @@
     best: T,
 }
 
-/// Groups of agents by weight, in the order in which they were met. Mostly there is one,
-/// which takes no memory from the heap.
+/// Groups of agents by weight, in the order in which their weights were first seen.
+/// Mostly there is one group, which needs no heap allocation.
 #[derive(Debug)]
 pub(super) struct WeightGroups<T> {
     first: Option<WeightGroup<T>>,
@@ -27,8 +27,8 @@
 }
 
 impl<T: Default> WeightGroups<T> {
-    /// Counts an agent of this weight, which is more than zero. Returns what is kept for
-    /// its group.
+    /// Counts an agent of this weight, which is greater than zero. Returns the data of its
+    /// group.
     pub(super) fn add(&mut self, weight: f64) -> &mut T {
         let new_group = || WeightGroup {
             weight,
@@ -50,9 +50,10 @@
         &mut group.best
     }
 
-    /// The group that a flow falls to, at a `point` from 0 to 1 of all weights. If it has
-    /// nobody who is likely to take the flow, the next one that has, and otherwise the
-    /// next one that has anybody. `is_likely` tells that of a group; none if it has nobody.
+    /// Selects a group by a `point` from 0 to 1 on the sum of all weights. If that group has
+    /// no agent that is likely to accept, the next group with such an agent is selected, or
+    /// else the next group with any agent. `is_likely` returns whether a group has an agent
+    /// that is likely to accept, or `None` if it has no agent at all.
     pub(super) fn select(&self, point: f64, is_likely: impl Fn(&T) -> Option<bool>) -> Option<&T> {
         let first = self.index_at(point);
         let count = self.groups().count();
@@ -74,7 +75,7 @@
             remaining -= group_weight(group);
             remaining <= 0.0
         };
-        // What sums of floats leave over belongs to the last one.
+        // Rounding may leave a remainder, which belongs to the last group.
         self.groups().position(reaches).unwrap_or(self.others.len())
     }
 }
