--- a/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
@@ -1,21 +1,25 @@
-//! What replicas tell: configuration, agents and the group.
+//! Updates from replicas: configuration, directory, zones, policies, and the members of the
+//! replica group.
 
 use super::*;
 
-/// When nobody was heard for so long, replicas are asked.
+/// If no message came from any agent or replica for this time, replicas are polled at
+/// once.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Between two questions for the newest version before the first answer.
+/// Interval between requests to confirm the newest version.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(60);
-/// After so many of them the time between two doubles with each.
+/// Number of such requests after which the interval doubles with each one.
 const FAST_CONFIRMATION_ATTEMPTS: u32 = 16;
 const MAX_CONFIRMATION_DOUBLINGS: u32 = 4;
-/// Replicas that a balancer is attached to.
+/// Number of preferred replicas.
 const PREFERRED_REPLICAS: usize = 2;
-/// Replicas that are asked when nobody is heard.
+/// Number of replicas that are polled while no message arrives.
 const REPLICAS_POLLED_IN_SILENCE: usize = 5;
-/// Between two questions for a newer configuration; parts may be on their way.
+/// Interval between requests for a newer configuration, as parts of an earlier response may
+/// still arrive.
 const FETCH_INTERVAL: Duration = Duration::from_millis(150);
-/// Between two news after a part of a change did not arrive.
+/// Time until replicas are polled again after an update was lost or a replica stopped
+/// serving, and minimum interval of polls while no message arrives.
 const REPAIR_INTERVAL: Duration = Duration::from_millis(100);
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
@@ -31,10 +35,10 @@
         self.preferred_replicas
             .note_reply(now, from, status.has_leader);
         if !status.has_leader {
-            // Another replica takes its place.
+            // Another replica replaces it as a preferred one.
             self.subscribe_at = self.subscribe_at.min(now + REPAIR_INTERVAL);
         } else if !self.is_up_to_date && self.known_replicas.leader() != self.confirmation_leader {
-            // A leader that was not asked yet can confirm what is newest.
+            // A new leader can confirm the newest version.
             self.subscribe(now);
         }
         let revision = status.directory_revision;
@@ -59,10 +63,10 @@
             };
             self.send(from, PassThroughBody::Subscribe(message));
         } else if status.version > self.routes.version() {
-            // Of an earlier answer something was lost.
+            // A part of an earlier response was lost.
             self.subscribe_at = self.subscribe_at.min(self.next_fetch_at);
         } else if directory_is_outdated && self.is_up_to_date {
-            // The answer to the next question has it.
+            // The reply to the next poll contains it.
             self.subscribe_at = self.subscribe_at.min(now + REPAIR_INTERVAL);
         }
     }
@@ -89,7 +93,7 @@
         }
     }
 
-    /// Takes orders about zones, if they are newer.
+    /// Applies the states of zones, if they are newer.
     fn handle_zones(&mut self, update: Option<&ZoneStatuses>) {
         let Some(update) = update else { return };
         if self.evacuations.take_newer(update) {
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Takes placement policies, if they are newer.
+    /// Applies placement policies, if they are newer.
     fn handle_policies(&mut self, update: Option<&PolicySet>) {
         let Some(update) = update else { return };
         if self.policies.take_newer(update) {
@@ -109,8 +113,8 @@
         }
     }
 
-    /// The balancer is current once it has what was the newest version at
-    /// some time of its life.
+    /// Checks whether the balancer has become up to date: whether it has reached the version
+    /// that was confirmed as the newest at some time since its start.
     fn check_up_to_date(&mut self, now: Timestamp) {
         let reached = |version| self.routes.version() >= version;
         if !self.is_up_to_date && self.confirmed_version.is_some_and(reached) {
@@ -122,7 +126,7 @@
         }
     }
 
-    /// When replicas are asked because nobody has been heard for a while.
+    /// When replicas are polled because no message has arrived for a while.
     pub(super) fn silence_check_at(&self) -> Timestamp {
         (self.last_message_at + SILENCE_TIMEOUT).max(self.subscribed_at + REPAIR_INTERVAL)
     }
@@ -164,8 +168,8 @@
         CONFIRMATION_INTERVAL * (1 << slow_attempts.min(MAX_CONFIRMATION_DOUBLINGS))
     }
 
-    /// Who is asked for the newest version beside the attached replicas: the
-    /// leader, or everybody as long as no leader is known.
+    /// The replicas that are asked to confirm the newest version, in addition to the preferred
+    /// ones: the leader, or all as long as no leader is known.
     fn confirmation_replicas(&self, known: &BTreeSet<SocketAddrV4>) -> Vec<SocketAddrV4> {
         match (self.is_up_to_date, self.known_replicas.leader()) {
             (true, _) => Vec::new(),
--- a/crates/petrellatch-core/src/pass_through/balancer/established_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/established_flows.rs
@@ -1,4 +1,4 @@
-//! Packets of open flows.
+//! Packets of established flows.
 
 use super::*;
 
--- a/crates/petrellatch-core/src/pass_through/balancer/load_shedding.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/load_shedding.rs
@@ -1,22 +1,21 @@
-//! New flows that are refused without asking an agent, and how much is asked for those
-//! that are not.
+//! Load shedding, and the number of offers for flows that are not shed.
 
 use petrellatch_proto::pass_through::LoadMessage;
 
 use super::*;
 
-/// Agents that are asked to take a flow into a free slot, before full ones
-/// are asked to queue it.
+/// Number of agents that a flow is offered to for a free slot, before it is offered to
+/// their admission queues.
 const MAX_OFFERS: usize = 4;
-/// Agents that are asked to queue a flow.
+/// Number of agents that a flow is offered to for their admission queues.
 pub(super) const MAX_QUEUE_OFFERS: usize = 4;
 
-/// Agents that are asked for a flow while its service is under pressure, other ones
-/// than those that have just declined. With two, twice as many messages go into flows
-/// that are refused.
+/// Number of agents that a flow is offered to while its service is overloaded; those that
+/// declined recently are excluded. Two would double the messages for flows that are
+/// refused.
 const OFFERS_UNDER_OVERLOAD: usize = 1;
 
-/// A flow that agents were asked for.
+/// A new flow that was offered to agents.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OfferedFlow {
     pub(super) class: FlowClass,
@@ -25,13 +24,12 @@
 }
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// New flows that were refused without asking an agent, by priority.
+    /// Number of new flows that were shed since the start, by priority.
     pub fn shed_flows(&self) -> &BTreeMap<u32, u64> {
         &self.shed_flows
     }
 
-    /// What a new flow is for the room that it needs, if its caller had waited for
-    /// `age` when it came.
+    /// The class of a new flow whose caller had waited for `age` when the flow arrived.
     pub(super) fn flow_class(&self, flow: FlowId, service: u64, age: Duration) -> FlowClass {
         let request_class = self.routes.request_class(flow);
         let objective = Duration::from_millis(u64::from(request_class.latency_objective_millis));
@@ -42,7 +40,7 @@
         }
     }
 
-    /// Whether agents are asked for a new flow; otherwise it is refused.
+    /// Decides whether a new flow is offered to agents, and otherwise refuses it.
     pub(super) fn should_offer(
         &mut self,
         now: Timestamp,
@@ -64,7 +62,8 @@
         false
     }
 
-    /// How many agents are asked for a flow, in each of the two rounds.
+    /// The maximum number of offers for a flow, in each of the two rounds (free slots, then
+    /// admission queues).
     pub(super) fn offer_limit(&mut self, now: Timestamp, flow: FlowId) -> usize {
         let Some(cached) = self.flow_cache.get_mut(flow) else {
             return 0;
@@ -78,9 +77,8 @@
         }
     }
 
-    /// Notes that no agent takes a flow. If most of those that were asked had no room,
-    /// the next ones are refused for a while. Silence, or back ends that leave, are no
-    /// lack of room.
+    /// Notes that no agent accepted a flow. If most of them lacked capacity, a backoff starts.
+    /// Missing replies and draining back ends are not lack of capacity.
     pub(super) fn note_refused(&mut self, now: Timestamp, flow: FlowId, cached: &CachedFlow) {
         let offered_flow = OfferedFlow {
             class: self.flow_class(flow, cached.service, cached.syn_age),
@@ -95,10 +93,10 @@
         }
     }
 
-    /// Notes that an agent lets a flow wait for a place, which ends no pause. At back ends
-    /// that are warm and whose times of work are known there is no more room for now, and
-    /// those that wait find the next. After an outage back ends warm up, or agents have
-    /// just started: they will soon take more, so that more flows may wait for it.
+    /// Notes that an agent queued a flow, which doesn't end a backoff. A warm back end with a
+    /// known processing time has no capacity left for now, and the next free slots go to the
+    /// queued flows. After an outage, when back ends warm up and agents have just started,
+    /// capacity will soon increase, so that more flows may be queued for it.
     pub(super) fn note_queued(&mut self, now: Timestamp, flow: OfferedFlow, load: LoadMessage) {
         let is_warming_up = load.cold || load.processing_micros == 0;
         let agents = self.agents.agent_counts(flow.class.service).serving();
@@ -114,7 +112,7 @@
         }
     }
 
-    /// Refuses the next flows of a kind for a while, as one of it found no room.
+    /// Starts a backoff for the class of a flow that found no capacity.
     fn start_backoff(&mut self, now: Timestamp, flow: OfferedFlow) {
         let OfferedFlow {
             class,
@@ -131,7 +129,7 @@
         }
     }
 
-    /// Logs which services have come under pressure, or are under none any more.
+    /// Logs the services whose overload level has changed.
     pub(super) fn log_overload_changes(&mut self, now: Timestamp) {
         for change in self.overload.take_changes(now) {
             let OverloadChange {
@@ -154,7 +152,8 @@
         }
     }
 
-    /// Resets a flow. `detail` goes into the log, after a blank.
+    /// Refuses a flow with a reset. `detail` is appended to the log line; it starts with a
+    /// space or is empty.
     pub(super) fn refuse(&mut self, flow: FlowId, reason: &str, detail: &str) {
         self.counters.refused += 1;
         let version = self.routes.version();
@@ -171,14 +170,14 @@
     }
 }
 
-/// Whether a caller that has waited for `age` has given up its opening packet, or its
-/// request. The deadline is in milliseconds, zero if it is not known.
+/// Whether a caller that has waited for `age` has given up its SYN or its request. The
+/// deadline is in milliseconds; zero if it is not configured.
 pub(super) fn deadline_passed(age: Duration, deadline_millis: u32) -> bool {
     let deadline = Duration::from_millis(u64::from(deadline_millis));
     age >= SYN_TIMEOUT || (!deadline.is_zero() && age >= deadline)
 }
 
-/// Whether the caller of a flow that nobody has taken has given it up.
+/// Whether the caller of a flow that no agent has accepted has given it up.
 pub(super) fn caller_gave_up(now: Timestamp, cached: &CachedFlow) -> bool {
     let age = cached.syn_age + now.saturating_since(cached.created_at);
     cached.syn.is_some() && deadline_passed(age, 0)
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -1,5 +1,5 @@
-//! The balancer: chooses an agent for each new flow, and hands on the packets
-//! of open ones.
+//! The balancer selects an agent for each new flow, and forwards the packets of
+//! established flows.
 
 mod control_updates;
 mod established_flows;
@@ -46,21 +46,22 @@
 use super::policies::active_policies::{ActivePolicies, PolicyStats};
 use super::routes::route_table::RouteTable;
 
-/// When nobody was heard for so long, the balancer counts as cut off.
+/// If no message came from any agent or replica for this time, the balancer counts as
+/// isolated.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(600);
-/// Between two sweeps over the hints.
+/// Interval between removals of expired entries from the flow cache.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Packets that are kept until the balancer is current.
+/// Maximum number of packets that are buffered until the balancer is up to date.
 const MAX_BUFFERED_PACKETS: usize = 1_024;
-/// An opening packet that was kept for longer is dropped: its caller has sent a copy.
+/// A SYN that was buffered for longer is dropped: its caller has sent a retransmission.
 const BUFFERED_SYN_TTL: Duration = Duration::from_millis(200);
-/// For so long after it is current, a balancer that knows no agent of a service keeps
-/// opening packets, unless a replica says that there is none.
+/// How long a balancer that has just become up to date buffers SYNs for a service without
+/// a known agent, unless a replica's complete directory shows that there is none.
 const FIRST_DIRECTORY_TIMEOUT: Duration = Duration::from_millis(500);
-/// A process that did nothing for longer stood still: opening packets that
-/// came meanwhile are from callers that have sent copies since, or given up.
+/// A longer time without input means that the process was not scheduled. SYNs that
+/// arrived meanwhile are from callers that have retransmitted them or given up.
 const PROCESS_PAUSE: Duration = Duration::from_millis(1_200);
-/// How long opening packets are dropped after a standstill.
+/// How long SYNs are dropped after a process pause.
 const SYN_DROP_TIME: Duration = Duration::from_millis(30);
 
 /// Settings of a balancer.
@@ -68,63 +69,63 @@
 pub struct PassThroughBalancerSettings {
     /// The balancer's zone.
     pub zone: String,
-    /// Between two questions for news.
+    /// Interval between polls of replicas for updates.
     pub subscribe_interval: Duration,
-    /// A flow that rested for so long is forgotten.
+    /// A flow that was idle for this time is removed from the flow cache.
     pub flow_lifetime: Duration,
-    /// How long a planned stop goes on handing packets after it said that it
-    /// isn't ready any more.
+    /// How long a balancer that is stopped goes on forwarding packets after it reports that
+    /// it is no longer ready.
     pub stop_delay: Duration,
-    /// What the link of the balancer's machine carries each way, in bytes a
-    /// second; none if that is not known.
+    /// Speed of the machine's link in each direction, in bytes per second; none if it is not
+    /// known.
     pub link_bytes_per_second: Option<u64>,
 }
 
-/// Counters of a balancer.
+/// Counters of a balancer since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PassThroughBalancerCounters {
-    /// Packets that could not be read.
+    /// Packets that could not be parsed.
     pub malformed: u64,
-    /// Packets that came before a configuration was confirmed.
+    /// Packets that arrived before the balancer was up to date.
     pub not_current: u64,
     /// Packets to addresses without a route.
     pub no_route: u64,
-    /// New flows offered to an agent.
+    /// Offers of new flows to agents.
     pub placed: u64,
-    /// New flows refused with a reset.
+    /// New flows that were refused with a reset, including those that were shed.
     pub refused: u64,
-    /// Opening packets that came while the process stood still.
+    /// SYNs that were dropped because they arrived during a process pause.
     pub stale: u64,
-    /// Opening packets that an agent did not answer in time.
+    /// Offers without a reply within the timeout.
     pub unanswered: u64,
-    /// Packets of flows whose agent was not known.
+    /// Packets of established flows whose owner was not known.
     pub sought: u64,
-    /// Flows whose agent was found.
+    /// Flows whose owner was found by a search.
     pub found: u64,
-    /// Packets handed to back ends that may have a flow.
+    /// Speculative deliveries of packets to back ends.
     pub tried: u64,
-    /// Flows reset because no back end has them.
+    /// Flows that were reset because no back end owns them.
     pub gone: u64,
-    /// Flows that were sought until their callers gave up.
+    /// Searches that ended inconclusively.
     pub not_found: u64,
-    /// Packets handed on.
+    /// Packets of established flows that were forwarded to their owners.
     pub delivered: u64,
-    /// Times that a service's new flows are refused at once, as it has no room.
+    /// Backoffs of overloaded services.
     pub pauses: u64,
-    /// Flows whose callers left before an agent took them.
+    /// New flows whose callers gave up before an agent accepted them.
     pub left: u64,
-    /// Questions beyond the first of a flow.
+    /// Offers after the first one of a flow.
     pub further_asked: u64,
-    /// Such questions that were not asked, as the link's budget was used.
+    /// Offers after the first one that were not made, as the retry budget was used up.
     pub further_unpaid: u64,
 }
 
-/// Times that a balancer measures.
+/// Latencies that a balancer measures, since its start.
 #[derive(Clone, Debug, Default)]
 pub struct PassThroughBalancerLatencies {
-    /// From the first packet of a flow until a back end has answered it.
+    /// From the first SYN of a flow until an agent reports that its back end accepted it.
     pub placement: LatencyHistogram,
-    /// From the first word of a newer configuration until one is in force.
+    /// From the first message about a newer configuration until a newer one is active.
     pub configuration_lag: LatencyHistogram,
 }
 
@@ -143,37 +144,37 @@
     flow_cache: FlowCache,
     searches: FlowSearches,
     query_budget: QueryBudget,
-    /// Number of the latest question that one agent passes on to others.
+    /// Identifier of the latest relayed query.
     last_query_id: u64,
-    /// Such questions, with the agents in the order that their answers use.
+    /// The latest relayed queries, with their agents in the order of the indexes that
+    /// aggregated replies use.
     relayed_queries: VecDeque<(u64, Vec<SocketAddrV4>)>,
-    /// Packets that came before the balancer was current, and when.
+    /// Packets that wait until the balancer is up to date, with their arrival times.
     buffered: VecDeque<(Timestamp, Vec<u8>)>,
-    /// Opening packets that wait for an answer, with the limits of it, in the
-    /// order of the questions.
+    /// Offers, in order of time, with the times at which their replies are overdue.
     pending_offers: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
     reply_timeout: ReplyTimeoutEstimator,
     retry_budget: RetryBudget,
     overload: ServiceOverload,
     shed_flows: BTreeMap<u32, u64>,
-    /// Flows that wait for a place at an agent, with the time by which it is to say
-    /// what became of them, in that order.
+    /// Flows in agents' admission queues, with the times by which the agents must accept or
+    /// decline them, in that order.
     queued_flows: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
-    /// Number of the question for the newest version, until it is answered
-    /// and that version is in force.
+    /// Identifier of the request to confirm the newest version. It is sent until the balancer
+    /// is up to date.
     confirmation_id: u64,
     confirmed_version: Option<u64>,
     is_up_to_date: bool,
     up_to_date_since: Timestamp,
     subscribe_at: Timestamp,
-    /// Questions before the first confirmation.
+    /// Number of requests before the balancer was up to date.
     confirmation_attempts: u32,
-    /// The leader that was asked for a confirmation last.
+    /// The leader that the latest confirmation request went to.
     confirmation_leader: Option<SocketAddrV4>,
     subscribed_at: Timestamp,
-    /// When another process was heard last.
+    /// When the latest message of an agent or replica came.
     last_message_at: Timestamp,
-    /// Before this, no replica is asked for a newer configuration.
+    /// Earliest time of the next request for a newer configuration.
     next_fetch_at: Timestamp,
     sweep_at: Timestamp,
     /// Time of the latest input.
@@ -183,15 +184,15 @@
     stopped: bool,
     counters: PassThroughBalancerCounters,
     latencies: PassThroughBalancerLatencies,
-    /// Since when a newer configuration is known of that is not in force.
+    /// When the balancer first learned of a newer configuration that is not active yet.
     lagging_since: Option<Timestamp>,
     outputs: VecDeque<PassThroughOutput>,
-    /// What waits for the link; none if its speed is not known.
+    /// Datagrams that wait for the link; none if the link's speed is not known.
     link: Option<LinkQueue>,
 }
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// Starts a life of a balancer.
+    /// Starts an incarnation of a balancer.
     pub fn new(
         now: Timestamp,
         settings: PassThroughBalancerSettings,
@@ -245,21 +246,20 @@
         }
     }
 
-    /// The replicas that this balancer knows.
+    /// The replicas that this balancer knows, for changes of the settings.
     pub fn known_replicas_mut(&mut self) -> &mut KnownReplicas {
         &mut self.known_replicas
     }
 
-    /// Whether new flows may come: the newest configuration was confirmed in
-    /// this life, there is one, no stop was asked for, and some other process
-    /// was heard lately.
+    /// Whether the balancer is ready for new flows: it has become up to date since its start,
+    /// there is a configuration, no stop was requested, and it is not isolated.
     pub fn is_ready(&self, now: Timestamp) -> bool {
         let is_set_up = self.is_up_to_date && self.routes.version() > 0;
         is_set_up && self.stop_at.is_none() && !self.is_isolated(now)
     }
 
-    /// Whether nobody answers any more, neither agents nor replicas. Callers
-    /// are better off with another balancer.
+    /// Whether neither agents nor replicas are reachable. Another balancer serves callers
+    /// better then.
     fn is_isolated(&self, now: Timestamp) -> bool {
         now.saturating_since(self.last_message_at) >= ISOLATION_TIMEOUT
     }
@@ -269,7 +269,7 @@
         self.stopped
     }
 
-    /// The version in force.
+    /// The active configuration version; zero for none.
     pub fn version(&self) -> u64 {
         self.routes.version()
     }
@@ -279,40 +279,40 @@
         self.counters
     }
 
-    /// Times since the start.
+    /// Latencies since the start.
     pub fn latencies(&self) -> &PassThroughBalancerLatencies {
         &self.latencies
     }
 
-    /// The zones out of service, as far as this balancer knows.
+    /// The evacuated zones, as far as this balancer knows.
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Index of the placement policies in force; zero if there was never one.
+    /// Log index of the active placement policies; zero if there has never been one.
     pub fn policies_index(&self) -> u64 {
         self.policies.index()
     }
 
-    /// What each placement policy did so far.
+    /// Statistics of each placement policy.
     pub fn policy_stats(&self) -> Vec<PolicyStats> {
         self.policies
             .stats(|address| self.agents.get(address).is_some())
     }
 
-    /// Flows and agents that are known, for metrics.
+    /// Number of cached flows and of known agents, for metrics.
     pub fn table_sizes(&self) -> (usize, usize) {
         (self.flow_cache.len(), self.agents.len())
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub fn begin_stop(&mut self, now: Timestamp) {
         if self.stop_at.is_none() {
             self.stop_at = Some(now + self.settings.stop_delay);
         }
     }
 
-    /// Takes a packet of a caller.
+    /// Handles a packet of a caller.
     pub fn handle_packet(&mut self, now: Timestamp, packet: &[u8]) {
         let view = self.codec.view(packet).filter(|view| !view.returned);
         let Some(view) = view else {
@@ -334,7 +334,8 @@
         }
     }
 
-    /// Keeps a packet until the balancer is current.
+    /// Buffers a packet until the balancer is up to date. Duplicates are dropped, and the
+    /// oldest packet if the buffer is full.
     fn buffer_packet(&mut self, now: Timestamp, packet: &[u8]) {
         if self.buffered.iter().any(|(_, buffered)| buffered == packet) {
             return;
@@ -345,7 +346,7 @@
         self.buffered.push_back((now, packet.to_vec()));
     }
 
-    /// Handles the packets that were kept.
+    /// Handles the buffered packets.
     fn handle_buffered(&mut self, now: Timestamp) {
         for (arrived_at, packet) in std::mem::take(&mut self.buffered) {
             let waited = now.saturating_since(arrived_at);
@@ -360,15 +361,15 @@
         }
     }
 
-    /// Whether agents of a service may be there that this balancer, which has just
-    /// started, has not been told of.
+    /// Whether there may be agents of a service that are not known yet because this balancer
+    /// has just started.
     fn awaits_agents(&self, now: Timestamp, service: u64) -> bool {
         let has_just_started =
             now.saturating_since(self.up_to_date_since) < FIRST_DIRECTORY_TIMEOUT;
         has_just_started && !self.agents.is_complete(now) && !self.agents.has_service(service)
     }
 
-    /// Takes the time of an input, and notices a standstill.
+    /// Notes the time of an input, and detects a process pause.
     fn observe_clock(&mut self, now: Timestamp) {
         if now.saturating_since(self.last_input_at) >= PROCESS_PAUSE {
             self.drop_syns_until = now + SYN_DROP_TIME;
@@ -376,7 +377,7 @@
         self.last_input_at = now;
     }
 
-    /// Takes a message of an agent or replica.
+    /// Handles a message of an agent or replica.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         self.observe_clock(now);
         self.last_message_at = now;
@@ -407,7 +408,7 @@
         }
     }
 
-    /// Does what has become due.
+    /// Handles all timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.observe_clock(now);
         while let Some((due_at, flow, agent)) = self.pending_offers.front().copied() {
@@ -436,7 +437,7 @@
         }
     }
 
-    /// When [`PassThroughBalancer::handle_timeout`] is wanted.
+    /// When to call [`PassThroughBalancer::handle_timeout`] next.
     pub fn poll_timeout(&self) -> Timestamp {
         let pending_offers = self.pending_offers.front().map(|(due_at, ..)| *due_at);
         let queued = self.queued_flows.front().map(|(due_at, ..)| *due_at);
--- a/crates/petrellatch-core/src/pass_through/balancer/new_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/new_flows.rs
@@ -1,10 +1,10 @@
-//! New flows: which agent is asked, and what its answer leads to.
+//! Offers of new flows to agents, and the agents' replies.
 
 use super::load_shedding::{MAX_QUEUE_OFFERS, OfferedFlow, caller_gave_up, deadline_passed};
 use super::*;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// Takes an opening packet that was kept for `waited`.
+    /// Handles a SYN that was buffered for `waited`.
     pub(super) fn handle_syn(
         &mut self,
         now: Timestamp,
@@ -52,10 +52,10 @@
         self.offer_next(now, flow);
     }
 
-    /// What is known of a flow with its first packet here. If its caller has waited
-    /// for as long as an answer may take, agents are asked at once to queue it: they
-    /// let it wait behind fresh ones. So are they while the service is under pressure,
-    /// when to ask for a free slot first is a question in vain.
+    /// The cache entry of a flow whose first SYN has arrived here. A flow that will miss its
+    /// latency objective is offered to admission queues at once, where it comes after others.
+    /// So is each flow while its service is overloaded, as an offer for a free slot would be
+    /// useless.
     fn new_cached_flow(
         &self,
         now: Timestamp,
@@ -72,8 +72,9 @@
         }
     }
 
-    /// Asks the next agent to take a flow; refuses it if nobody is left, or no further
-    /// question can be paid. For a caller that has left nobody is asked.
+    /// Offers a flow to the next agent. Continues with [`Self::offer_to_queues`] if there is
+    /// none, if the limit of offers or the retry budget is used up, or if the caller has given
+    /// up.
     pub(super) fn offer_next(&mut self, now: Timestamp, flow: FlowId) {
         let max_offers = self.offer_limit(now, flow);
         let Some(cached) = self.flow_cache.get_mut(flow) else {
@@ -157,7 +158,8 @@
         self.send(agent, PassThroughBody::ForwardedPacket(forwarded));
     }
 
-    /// Nobody has a free slot: asks whether somebody queues the flow.
+    /// Offers a flow to admission queues, as no agent has a free slot. Refuses the flow if that
+    /// was done before and no reply is pending.
     fn offer_to_queues(&mut self, now: Timestamp, flow: FlowId) {
         let Some(cached) = self.flow_cache.get_mut(flow) else {
             return;
@@ -213,8 +215,8 @@
         }
     }
 
-    /// An agent lets a flow wait for a place. That must not last for long without a
-    /// word of it.
+    /// Notes that an agent queued a flow. If it neither accepts nor declines the flow within
+    /// [`SYN_TIMEOUT`], the flow is offered to others.
     pub(super) fn handle_flow_queued(
         &mut self,
         now: Timestamp,
@@ -246,7 +248,7 @@
         self.queued_flows.push_back((due_at, flow, from));
     }
 
-    /// Asks others for flows whose agents have said nothing since they let them wait.
+    /// Offers queued flows to others if their agents have not reported the outcome in time.
     pub(super) fn check_queued_flows(&mut self, now: Timestamp) {
         while let Some((due_at, flow, agent)) = self.queued_flows.front().copied() {
             if now < due_at {
@@ -358,8 +360,8 @@
     }
 }
 
-/// The agent that is asked next: another one than those that have just had no room, as
-/// long as one is there that answers.
+/// Selects the agent for the next offer of a flow. Agents that declined recently are
+/// selected only if no other agent is left but suspected ones.
 fn choose_agent(
     now: Timestamp,
     flow: FlowId,
--- a/crates/petrellatch-core/src/pass_through/balancer/searches.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/searches.rs
@@ -1,35 +1,36 @@
-//! The search for flows that are not known.
+//! Searches for the owners of flows that are not in the flow cache.
 
 use super::*;
 use crate::pass_through::flows::flow_search::FlowSearch;
 
-/// In a directory of at most so many agents all are asked for a flow at once. Among
-/// more, those of the service that its route names now are asked first: they have
-/// most flows, and a list of all costs more than a second message.
+/// Highest number of known agents for which all are queried at once. With more agents,
+/// those of the route's present service are queried first: they own most flows, and a list
+/// of all agents costs more than a second message.
 const MAX_AGENTS_QUERIED_AT_ONCE: usize = 64;
-/// Agents that one agent asks, or passes a packet on to: their addresses take 8 KB,
-/// an eighth of the largest datagram.
+/// Maximum number of agents that one agent relays a query or packet to. Their addresses
+/// take 8 KB, an eighth of the largest datagram.
 const AGENTS_PER_QUERY: usize = 1_000;
-/// Flows in one question.
+/// Maximum number of flows in one query.
 const FLOWS_PER_QUERY: usize = 200;
-/// If more agents are to be asked for a flow, one of them asks the others: below
-/// that, a message each costs no more than the list of the others.
+/// Maximum number of agents that are queried directly. If there are more, one of them
+/// relays the query; up to this number, one message per agent costs no more than the list
+/// of agents.
 const MAX_QUERIED_DIRECTLY: usize = 8;
-/// Questions whose gathered answers are understood; each second a balancer asks
-/// some ten of them, and answers come within 0.6 s.
+/// Number of relayed queries whose aggregated replies can be handled. A balancer sends some
+/// ten of them per second, and replies arrive within 0.6 s.
 const MAX_RELAYED_QUERIES: usize = 64;
-/// Bytes of a question without its flows and agents, with the heads of IP and UDP.
+/// Bytes of a query without its flows and agents, with the headers of IP and UDP.
 const QUERY_BYTES: usize = 48;
-/// Bytes of one flow in a question.
+/// Bytes of one flow in a query.
 const FLOW_BYTES: usize = 28;
-/// Bytes of one agent that another one asks.
+/// Bytes of one agent in the list of a relayed query.
 const AGENT_BYTES: usize = 8;
-/// A packet that is tried at more agents is sent to one of them, which passes it
-/// on to the others.
+/// Maximum number of agents that are sent a packet directly for speculative delivery. If
+/// there are more, one of them relays it.
 const MAX_SENT_DIRECTLY: usize = 8;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// Asks the agents who has the flows that are sought.
+    /// Continues the searches whose rounds have ended.
     pub(super) fn continue_searches(&mut self, now: Timestamp) {
         for flow in self.searches.take_due(now) {
             self.take_search_step(now, flow);
@@ -45,7 +46,7 @@
         self.send_queries(now);
     }
 
-    /// Asks for the flows whose rounds begin, unless they are still gathered.
+    /// Sends queries for the flows whose rounds begin, once their batch is complete.
     pub(super) fn send_queries(&mut self, now: Timestamp) {
         let mut queries: BTreeMap<Vec<SocketAddrV4>, Vec<QueriedFlow>> = BTreeMap::new();
         for flow in self.searches.take_unqueried(now) {
@@ -74,7 +75,7 @@
                 queries.entry(targets).or_default().push(queried);
             }
         }
-        // Flows of one service mostly have the same agents, and share a message.
+        // Flows of one service mostly have the same agents, so that they share a message.
         for (agents, flows) in queries {
             for flows in flows.chunks(FLOWS_PER_QUERY) {
                 for agents in agents.chunks(AGENTS_PER_QUERY) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Asks agents for flows. If they are many, one of them asks the others.
+    /// Queries agents for flows. If there are many agents, one of them relays the query.
     fn query_agents(&mut self, now: Timestamp, agents: &[SocketAddrV4], flows: &[QueriedFlow]) {
         let query = FlowQuery {
             flows: flows.to_vec(),
@@ -112,12 +113,12 @@
         if self.relayed_queries.len() > MAX_RELAYED_QUERIES {
             self.relayed_queries.pop_front();
         }
-        // Whether the others were asked is known with the first answer.
+        // The first reply will show that the query was relayed to the others.
         self.agents.note_queried(now, relay);
         self.send(relay, PassThroughBody::FlowQuery(query));
     }
 
-    /// Does what the answers of agents allow.
+    /// Takes the next step of a search, by the replies so far.
     pub(super) fn take_search_step(&mut self, now: Timestamp, flow: FlowId) {
         let Some(search) = self.searches.get_mut(flow) else {
             return;
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Does what waited for a whole directory: the rounds of searches may end much
-    /// later. Those that have not asked the latest agents do so now.
+    /// Takes the steps that had to wait for a complete directory, as the rounds of some
+    /// searches end much later. Searches that have not queried the latest agents do so now.
     pub(super) fn finish_searches(&mut self, now: Timestamp) {
         for flow in self.searches.flows() {
             self.take_search_step(now, flow);
@@ -169,7 +170,7 @@
             return;
         }
         for agents in agents.chunks(AGENTS_PER_QUERY) {
-            // Flows and rounds take turns among the agents.
+            // The relay differs between flows and between rounds.
             let rotation = u64::from(rounds).wrapping_add(flow_digest(flow, 0));
             let relay = agents[(rotation % agents.len() as u64) as usize];
             let others = agents.iter().filter(|agent| **agent != relay);
@@ -184,8 +185,7 @@
         }
     }
 
-    /// Tells the caller that no back end has its flow, so that it can open
-    /// another one.
+    /// Resets a flow that no back end owns, so that its caller can open another one.
     fn reset_orphaned(&mut self, now: Timestamp, flow: FlowId) {
         let Some(search) = self.searches.remove(flow) else {
             return;
@@ -205,7 +205,7 @@
         });
     }
 
-    /// The caller has given up.
+    /// Ends a search inconclusively, as the caller has given up.
     fn give_up_search(&mut self, now: Timestamp, flow: FlowId) {
         let Some(search) = self.searches.remove(flow) else {
             return;
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Takes what many agents have answered to one question.
+    /// Handles the replies of many agents to one relayed query.
     pub(super) fn handle_aggregated_replies(
         &mut self,
         now: Timestamp,
@@ -295,8 +295,7 @@
         }
     }
 
-    /// Notes which agents of a question have answered, and that the others were
-    /// asked.
+    /// Notes which agents of a relayed query have replied, and that the others were queried.
     fn note_replies(
         &mut self,
         now: Timestamp,
@@ -318,8 +317,8 @@
         }
     }
 
-    /// A back end returned a packet. If the flow was open there, it is gone;
-    /// otherwise another back end may have it.
+    /// Handles a packet that a back end returned. If the flow was open there, the flow is
+    /// orphaned; otherwise another back end may own it.
     pub(super) fn handle_returned_packet(
         &mut self,
         now: Timestamp,
@@ -330,7 +329,7 @@
         let mut service = None;
         if let Some(cached) = self.flow_cache.get_mut(flow) {
             if cached.owner.is_some_and(|owner| owner != from) {
-                // It was tried as well before the owner was found.
+                // A speculative delivery from before the owner was found.
                 return;
             }
             service = Some(cached.service);
@@ -358,9 +357,9 @@
         }
     }
 
-    /// The back end that had a flow has it no more, so no other agent can have it. Its
-    /// caller is told if it waits for an answer, with what it acknowledged last as far as
-    /// this balancer knows.
+    /// Ends a flow whose owner no longer has it, so that no back end owns it. If the caller
+    /// waits for a response, the flow is reset, with the caller's last acknowledgement number
+    /// that this balancer knows.
     fn end_orphaned_flow(&mut self, from: SocketAddrV4, returned: &ReturnedPacket) {
         let flow = FlowId::from(returned.flow);
         let search = self.searches.remove(flow);
@@ -378,8 +377,8 @@
     }
 }
 
-/// Bytes of a question for one flow on the balancer's link. `is_shared` says
-/// whether another flow is asked for with the same message.
+/// Bytes that a query for one flow takes of the balancer's link. `is_shared` is set if the
+/// message already contains another flow.
 fn query_bytes(agents: usize, is_shared: bool) -> usize {
     if agents <= MAX_QUERIED_DIRECTLY {
         let message = if is_shared { 0 } else { QUERY_BYTES };
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -1,17 +1,17 @@
-//! What goes out over the balancer's link, and when.
+//! Outputs, and their queue for the balancer's link.
 
 use super::*;
 use crate::pass_through::link::link_queue::{LinkChange, LinkClass, LinkCounters};
 
-/// Bytes that a datagram takes of a link beside its data: heads of UDP and IP (28), and on
-/// Ethernet the frame with its preamble and the gap behind it (38). Counted without these, a
-/// busy link with many small datagrams gets a tenth more than it carries.
+/// Bytes that a datagram takes of a link in addition to its data: headers of UDP and IP (28),
+/// and the Ethernet frame with preamble and interframe gap (38). Without these, a busy link
+/// with many small datagrams would be given a tenth more than it carries.
 const DATAGRAM_HEADER_BYTES: usize = 28 + 38;
-/// Bytes of a message beside its body: the mark in front of it.
+/// Bytes of a message in addition to its body: the magic bytes before it.
 const MESSAGE_HEADER_BYTES: usize = 4;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// The next thing to do, as of the latest input.
+    /// The next output to perform, as of the time of the latest input; none if nothing is due.
     pub fn poll_output(&mut self) -> Option<PassThroughOutput> {
         if self.link.is_none() {
             return self.outputs.pop_front();
@@ -23,20 +23,22 @@
             self.queue_for_link(output);
         }
         let (link, now) = (self.link.as_mut()?, self.last_input_at);
-        // Nobody sends later what waits when the process ends: the link's buffer takes some.
+        // Datagrams still queued when the process ends would be lost, so a stopped balancer
+        // leaves them to the buffer of the link.
         match self.stopped {
             true => link.pop_immediate(now),
             false => link.pop(now),
         }
     }
 
-    /// Counters of the link; all zero if its speed is not known.
+    /// Counters of the link; all zero if the link's speed is not known.
     pub fn link_counters(&self) -> LinkCounters {
         let link = self.link.as_ref();
         link.map_or(LinkCounters::default(), LinkQueue::counters)
     }
 
-    /// How long datagrams waited for the link that had to; none if its speed is not known.
+    /// Wait times of the datagrams that were queued for the link; none if the link's speed is
+    /// not known.
     pub fn link_wait_times(&self) -> Option<&LatencyHistogram> {
         self.link.as_ref().map(LinkQueue::wait_times)
     }
@@ -67,7 +69,7 @@
         flow.map_or(LinkClass::Control, LinkClass::Flow)
     }
 
-    /// Logs that the link has become full, or clear again.
+    /// Logs that the link has become congested, or that this has ended.
     pub(super) fn log_link_change(&mut self, now: Timestamp) {
         let Some(link) = &mut self.link else { return };
         let backlog = link.backlog().as_millis();
@@ -93,7 +95,7 @@
     }
 }
 
-/// Bytes of what an output hands to UDP.
+/// Bytes of the UDP payload, or of the packet, of an output.
 fn data_bytes(output: &PassThroughOutput) -> usize {
     match output {
         PassThroughOutput::Send { body, .. } => MESSAGE_HEADER_BYTES + body.encoded_len(),
