--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -1,5 +1,5 @@
-//! The policies in force at a balancer, compiled once, with their results for each agent
-//! as long as what they read stays the same.
+//! The policies that a balancer uses. They are compiled once, and their results are cached
+//! for each agent until an input changes.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -12,21 +12,21 @@
 use crate::policy::{Policy, PolicyError, PolicySource, ServiceView};
 use crate::time::Timestamp;
 
-/// What of an agent a result rests on.
+/// Identifies the inputs of an agent's cached result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InputStamp {
-    /// Number of the agent's profile, or of its load where the policy reads that.
+    /// Revision of the agent's profile, or of its load if the policy reads that.
     revision: u64,
     is_ejected: bool,
-    /// Age of the back end where the policy reads it.
+    /// Age of the back end if the policy reads it, or else zero.
     age_seconds: u64,
 }
 
-/// A result with what it rests on.
+/// A cached result.
 #[derive(Clone, Copy, Debug)]
 struct Evaluated {
     stamp: InputStamp,
-    /// None if the back end is not eligible.
+    /// None if the back end is not eligible or the policy failed for it.
     weight: Option<f64>,
 }
 
@@ -38,42 +38,43 @@
     results: HashMap<SocketAddrV4, Evaluated>,
     /// New flows that it placed.
     placed: u64,
+    /// Evaluations for one back end.
     evaluations: u64,
-    /// Services for which it made no back end eligible when it was asked last.
+    /// Services that had no eligible back end at the latest choice.
     without_backend: BTreeSet<u64>,
 }
 
-/// All policies in force at a balancer.
+/// All active policies of a balancer.
 #[derive(Debug, Default)]
 pub(crate) struct ActivePolicies {
-    /// The balancer's zone, which is its callers'.
+    /// The balancer's zone. Policies see it as the callers' zone.
     zone: String,
     definitions: PlacementPolicies,
     policies: Vec<ActivePolicy>,
     by_service: HashMap<u64, usize>,
     by_route: HashMap<SocketAddrV4, usize>,
     choice: ChoiceCounts,
-    /// The policy that has just been found to make no back end of a service eligible.
+    /// The policy that has just left a service without an eligible back end.
     newly_without_backend: Option<usize>,
 }
 
-/// Agents that one choice has looked at.
+/// Number of agents considered in one choice.
 #[derive(Clone, Copy, Debug, Default)]
 struct ChoiceCounts {
     agents: usize,
     eligible: usize,
 }
 
-/// What a policy did so far, for metrics.
+/// Statistics of one policy since the start, for metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PolicyStats {
-    /// The policy.
+    /// Name of the policy.
     pub name: String,
     /// New flows that it placed.
     pub placed: u64,
-    /// Its evaluations.
+    /// Evaluations for one back end.
     pub evaluations: u64,
-    /// Back ends that were eligible by its latest results.
+    /// Back ends that are eligible by its latest results.
     pub eligible: usize,
 }
 
@@ -89,13 +90,14 @@
         self.definitions.index()
     }
 
-    /// What each policy did. Of back ends only those count whose agents are known.
+    /// Statistics of each policy. Only back ends whose agents are known are counted.
     pub(crate) fn stats(&self, is_known: impl Fn(SocketAddrV4) -> bool) -> Vec<PolicyStats> {
         let policies = self.policies.iter();
         policies.map(|policy| policy.stats(&is_known)).collect()
     }
 
-    /// Takes what a replica told, if that is newer. Returns whether it is.
+    /// Replaces the policies by those of a replica, if these are newer. Returns whether they
+    /// were.
     pub(crate) fn take_newer(&mut self, update: &PolicySet) -> bool {
         if !self.definitions.take_newer(update) {
             return false;
@@ -116,19 +118,20 @@
         true
     }
 
-    /// The policy that places the new flows of a route and service.
+    /// Index of the policy that places the new flows of a route and service. A policy of the
+    /// route takes precedence.
     pub(crate) fn find(&self, route: SocketAddrV4, service: u64) -> Option<usize> {
         let of_route = self.by_route.get(&route);
         of_route.or_else(|| self.by_service.get(&service)).copied()
     }
 
-    /// Name of a policy that [`ActivePolicies::find`] found.
+    /// Name of a policy, by an index from [`ActivePolicies::find`].
     pub(crate) fn name(&self, index: usize) -> &str {
         self.policies.get(index).map_or("", |it| it.name.as_str())
     }
 
-    /// The weight that a policy gives an agent; none if that is zero or its back end is not
-    /// eligible.
+    /// The weight that a policy gives an agent; none if the weight is zero or the back end
+    /// is not eligible.
     pub(crate) fn weight(
         &mut self,
         index: usize,
@@ -144,13 +147,13 @@
         weight
     }
 
-    /// Begins to count the agents of a choice.
+    /// Starts to count the agents of a choice.
     pub(crate) fn begin_choice(&mut self) {
         self.choice = ChoiceCounts::default();
     }
 
-    /// Notes whether a policy left any agent of a service to choose from. That it left none
-    /// counts only if the choice was among `all` agents, also those that have just started.
+    /// Notes whether a policy left any eligible agent of a service. That it left none is
+    /// noted only if the choice `includes_starting` agents, as otherwise some may be eligible.
     pub(crate) fn end_choice(&mut self, index: usize, service: u64, includes_starting: bool) {
         let ChoiceCounts { agents, eligible } = self.choice;
         let Some(policy) = self.policies.get_mut(index).filter(|_| agents > 0) else {
@@ -163,14 +166,14 @@
         }
     }
 
-    /// Whether the policy of a route and service leaves no agent to choose from.
+    /// Whether the policy of a route and service leaves no eligible agent.
     pub(crate) fn excludes_all(&self, route: SocketAddrV4, service: u64) -> bool {
         let policy = self.find(route, service);
         let policy = policy.and_then(|index| self.policies.get(index));
         policy.is_some_and(|policy| policy.without_backend.contains(&service))
     }
 
-    /// Name of the policy that has begun to leave no agent to choose from, once.
+    /// Takes the name of a policy that has just left a service without an eligible agent.
     pub(crate) fn take_policy_without_backend(&mut self) -> Option<String> {
         let index = self.newly_without_backend.take()?;
         Some(self.name(index).to_owned())
@@ -220,8 +223,8 @@
         address: SocketAddrV4,
         agent: &KnownAgent,
     ) -> Option<f64> {
-        // A policy that was accepted elsewhere and can't be compiled here lets nobody
-        // through, as one that fails for a back end does.
+        // A policy that the replicas accepted but that doesn't compile here makes no back end
+        // eligible, like a policy that fails for a back end.
         let policy = self.compiled.as_ref().ok()?;
         let stamp = InputStamp::of(policy, now, agent);
         let known = self.results.get(&address);
--- a/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/backend_profile.rs
@@ -1,4 +1,4 @@
-//! What a policy reads of a back end, from the words of its agent.
+//! The properties of a back end that policies read, from its agent's reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,32 +8,32 @@
 use crate::policy::{BackendView, HEALTH_SCALE};
 use crate::time::Timestamp;
 
-/// Health of a back end that is left out, as it fails requests.
+/// Health of a back end that is ejected because it fails requests.
 const EJECTED_HEALTH: u32 = HEALTH_SCALE / 2;
 
-/// Two times of a start that differ by less are the same one: ages are told in messages
-/// that take a while.
+/// Start times that differ by less are regarded as equal: they are computed from ages in
+/// messages, whose delays vary.
 const START_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// What does not change with each request.
+/// The properties of a back end that don't change with each request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct BackendProfile {
     pub(crate) service: String,
     zone: String,
     pub(crate) name: String,
     labels: BTreeMap<String, String>,
-    /// When it was started, as far as its agent has seen.
+    /// When it was started, by the age that its agent reported.
     started_at: Timestamp,
 }
 
-/// What is known of a back end at a moment.
+/// The state and load of a back end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BackendCondition {
     pub(crate) state: AgentState,
     pub(crate) load: LoadMessage,
-    /// New flows that were offered to it since the load was told.
+    /// New flows offered to its agent since the load message.
     pub(crate) flows_since_report: u32,
-    /// It is left out, as it fails requests.
+    /// Whether it is ejected because it fails requests.
     pub(crate) is_ejected: bool,
 }
 
@@ -50,7 +50,8 @@
         }
     }
 
-    /// The same, but for the time of the start if it differs by no more than messages take.
+    /// Returns this profile with the start time of the `previous` one, if the two differ by
+    /// less than [`START_TOLERANCE`].
     pub(crate) fn with_stable_start(self, previous: &BackendProfile) -> BackendProfile {
         let later = self.started_at.saturating_since(previous.started_at);
         let earlier = previous.started_at.saturating_since(self.started_at);
@@ -71,8 +72,8 @@
         let in_flight = load
             .in_flight_requests
             .saturating_add(condition.flows_since_report);
-        // Who answers is the system's own concern: one that is silent for a moment is asked
-        // last, and is not taken for down.
+        // Whether an agent replies is not part of the health that policies see: the choice
+        // itself ranks suspected agents last.
         let health = match condition.is_ejected {
             true => EJECTED_HEALTH,
             false => HEALTH_SCALE,
--- a/crates/petrellatch-core/src/pass_through/policies/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/mod.rs
@@ -1,6 +1,6 @@
 //! Placement policies: which back ends may receive the new flows of a service or route,
-//! and what share each receives. Replicas keep them beside the configuration, balancers
-//! evaluate them from what agents tell.
+//! and in which proportions. Replicas store them beside the configuration; balancers
+//! evaluate them with the data of agents' reports.
 
 pub(crate) mod active_policies;
 pub(crate) mod backend_profile;
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -1,4 +1,4 @@
-//! The replicated policies: what operators put and removed, as of an index of the log.
+//! The replicated placement policies, as of an index of the log.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -7,45 +7,47 @@
 use prost::Message;
 use snafu::Snafu;
 
-/// Most policies at once.
+/// Maximum number of policies.
 pub const MAX_PLACEMENT_POLICIES: usize = 64;
-/// Largest encoded size of all policies together, in bytes: balancers get them in one
+/// Maximum encoded size of all policies together, in bytes: balancers receive them in one
 /// datagram.
 pub const MAX_POLICY_BYTES: usize = 24 * 1024;
-/// Longest name of a policy, in bytes.
+/// Maximum length of a policy's name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Why a change of the policies is refused; nothing of it is done.
+/// Why a change of the policies is refused. A refused change has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PolicyRefusal {
     /// The name is empty or too long.
-    #[snafu(display("a policy needs a name of at most {MAX_NAME_BYTES} bytes"))]
+    #[snafu(display("a policy needs a name of 1 to {MAX_NAME_BYTES} bytes"))]
     BadName,
-    /// The change is based on older policies than those in force.
-    #[snafu(display("the policies have changed since {based_on}; they are at {current}"))]
+    /// The change is not based on the current policies.
+    #[snafu(display(
+        "the change is based on policies of index {based_on}; the current index is {current}"
+    ))]
     Conflict {
-        /// The index that it is based on.
+        /// The index that the change is based on.
         based_on: u64,
-        /// The index in force.
+        /// The current index.
         current: u64,
     },
-    /// There are too many policies, or they are too large together.
+    /// There would be too many policies, or they would be too large together.
     #[snafu(display(
-        "there may be {MAX_PLACEMENT_POLICIES} policies of {MAX_POLICY_BYTES} bytes together"
+        "at most {MAX_PLACEMENT_POLICIES} policies of {MAX_POLICY_BYTES} bytes in total are allowed"
     ))]
     TooLarge,
-    /// Another policy places the flows of a service or route already.
-    #[snafu(display("the policy {other} places flows of {scope} already"))]
+    /// Another policy already places the flows of a service or route.
+    #[snafu(display("the policy {other} already places the flows of {scope}"))]
     SharedScope {
         /// The other policy.
         other: String,
         /// The service or route.
         scope: String,
     },
-    /// The text of the policy, or its result for a back end, is wrong.
+    /// The policy doesn't compile, or its result for a back end is not valid.
     #[snafu(display("{message}"))]
     Invalid {
-        /// What is wrong, and where.
+        /// The error and its position in the policy.
         message: String,
     },
 }
@@ -58,7 +60,7 @@
 }
 
 impl PlacementPolicies {
-    /// Index of the latest change that had an effect; zero if there was none.
+    /// Log index of the latest change that had an effect; zero if there was none.
     pub fn index(&self) -> u64 {
         self.index
     }
@@ -75,12 +77,12 @@
         self.iter().find(places_service)
     }
 
-    /// Applies a change. One that leads to what holds already changes nothing and is not
-    /// refused, so that it can be sent again. Returns whether it changed something.
+    /// Applies a change. A change whose result is already there is not refused and has no
+    /// effect, so that it can be sent again. Returns whether anything changed.
     ///
     /// # Errors
     ///
-    /// A refused change has no effect, at any replica.
+    /// Returns why the change is refused. It has no effect at any replica then.
     pub(crate) fn apply(
         &mut self,
         index: u64,
@@ -103,7 +105,7 @@
         Ok(true)
     }
 
-    /// Whether a change would make no difference.
+    /// Whether a change would have no effect.
     fn has_no_effect(&self, change: &PolicyChange) -> bool {
         match &change.put {
             Some(policy) => self.policies.get(&policy.name) == Some(policy),
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Refuses a policy for a service or route that another policy has.
+    /// Refuses a policy for a service or route that another policy already has.
     fn check_scope(&self, policy: &PlacementPolicy) -> Result<(), PolicyRefusal> {
         for other in self.iter().filter(|other| other.name != policy.name) {
             let service = policy
@@ -145,7 +147,8 @@
         Ok(())
     }
 
-    /// Takes what another process told, if that is newer. Returns whether it is.
+    /// Replaces the policies by those of another process, if these are newer. Returns
+    /// whether they were.
     pub(crate) fn take_newer(&mut self, update: &PolicySet) -> bool {
         let is_newer = update.index > self.index;
         if is_newer {
@@ -170,7 +173,8 @@
         }
     }
 
-    /// What somebody who knows the policies up to `known` has to be told, if anything.
+    /// The update for a process that has the policies of index `known`; none if it is up to
+    /// date.
     pub(crate) fn updates_since(&self, known: u64) -> Option<PolicySet> {
         (self.index > known).then(|| self.to_message())
     }
--- a/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
@@ -1,4 +1,4 @@
-//! Checks and explanations of policies, from the reports of agents.
+//! Checks and explanations of policies, with the data of agents' reports.
 
 use petrellatch_proto::pass_through::{PlacementPolicy, Report};
 
@@ -14,29 +14,29 @@
 pub(crate) struct ReportedBackend {
     service: String,
     view: BackendView,
-    /// When its agent reported last.
+    /// When its agent's latest report came.
     reported_at: Timestamp,
 }
 
-/// What a policy decides for one back end, and from what.
+/// The result of a policy for one back end, and its inputs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainedBackend {
-    /// What it gets, and why.
+    /// Its part of the new flows, and why.
     pub explanation: BackendExplanation,
-    /// How old the agent's words are that it rests on, in milliseconds.
+    /// Age of the agent's report that the result is based on, in milliseconds.
     pub age_millis: u64,
 }
 
-/// What the policy of a service decides.
+/// The results of a service's policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainedPolicy {
     /// The service.
     pub service: String,
-    /// The policy's name; empty if the service has none.
+    /// Name of the policy; empty if the service has none.
     pub policy: String,
-    /// Index of the policies.
+    /// Log index of the policies.
     pub index: u64,
-    /// Its back ends.
+    /// The back ends of the service.
     pub backends: Vec<ExplainedBackend>,
 }
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Checks a policy: its text, and its results for the back ends of its services (for all
-/// of them if it names none) and for edge cases.
+/// Checks that a policy compiles, and that its results are valid for the back ends of its
+/// services (for all back ends if it names no service) and for edge cases.
 pub(crate) fn check(
     policy: &PlacementPolicy,
     backends: &[ReportedBackend],
@@ -98,8 +98,7 @@
     Ok(())
 }
 
-/// What a policy decides for the back ends of a service, as callers of no particular
-/// zone would have it.
+/// The results of a policy for the back ends of a service, for callers without a zone.
 pub(crate) fn explain(
     now: Timestamp,
     service: &str,
