--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -1,51 +1,50 @@
-//! The configuration as a whole: routes under a version that is chosen
-//! outside.
+//! The configuration: all routes, under a version number that the operator's interface
+//! chooses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use petrellatch_proto::pass_through::{ConfigurationChange, RouteRecord, ServiceRecord};
 use snafu::Snafu;
 
-/// Between the places of two routes of a new configuration.
+/// Interval between the positions of two routes of a new configuration.
 const POSITION_GAP: u64 = 1 << 24;
 
-/// Routes and what the operator's interface keeps with them.
+/// The routes and service settings of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Configuration {
-    /// The version; zero before the first configuration.
+    /// The version number; zero before the first configuration.
     pub version: u64,
     /// The routes by packed address.
     pub routes: BTreeMap<u64, RouteRecord>,
-    /// What is said of services, by their names. Services of which nothing is
-    /// said are left out.
+    /// Settings of services, by name. Services without settings are omitted.
     pub services: BTreeMap<String, ServiceRecord>,
-    /// Kept for the operator's interface, which alone knows what it means.
+    /// Opaque data of the operator's interface.
     pub annotation: Vec<u8>,
 }
 
-/// Why a configuration is refused as a whole.
+/// Why a configuration is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ConfigurationError {
     /// The version is zero.
     #[snafu(display("the version must be greater than zero"))]
     NoVersion,
-    /// Two routes have one address.
+    /// Two routes have the same address.
     #[snafu(display("two routes have the address {address}"))]
     SameAddress {
         /// The address.
         address: std::net::SocketAddrV4,
     },
-    /// A route leads to a service that the configuration does not have.
-    #[snafu(display("the route {address} names the unknown service {service}"))]
+    /// A route refers to a service that the configuration doesn't have.
+    #[snafu(display("the route {address} refers to the unknown service {service}"))]
     UnknownService {
         /// The route.
         address: std::net::SocketAddrV4,
         /// The service.
         service: String,
     },
-    /// The weights of a route add up to nothing.
-    #[snafu(display("the route {address} has no weight"))]
+    /// The weights of a route's services add up to zero.
+    #[snafu(display("the weights of the route {address} add up to zero"))]
     NoWeight {
         /// The route.
         address: std::net::SocketAddrV4,
@@ -53,8 +52,11 @@
 }
 
 impl Configuration {
-    /// Makes a configuration, if it is valid. Routes may lead to `services`, all
-    /// of them.
+    /// Creates a configuration. `services` lists all services that routes may refer to.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the configuration is not valid.
     pub fn new(
         version: u64,
         routes: Vec<RouteRecord>,
@@ -96,7 +98,7 @@
         })
     }
 
-    /// The records in which `next` differs from this configuration.
+    /// The change that leads from this configuration to `next`.
     pub fn change_to(&self, next: &Configuration) -> ConfigurationChange {
         let next = &next.with_positions_of(self);
         let differs = |route: &&RouteRecord| self.routes.get(&route.address) != Some(*route);
@@ -126,8 +128,8 @@
         }
     }
 
-    /// The same configuration, in which routes that `former` has too keep
-    /// their places there, as far as that leaves the order as it is.
+    /// Returns this configuration with the positions of `previous` for routes that are in
+    /// both, as far as the order of the routes allows. A change then contains few routes.
     fn with_positions_of(&self, previous: &Configuration) -> Configuration {
         let mut result = self.clone();
         let mut last_position = 0;
@@ -146,12 +148,13 @@
         let end = last_position.saturating_add(POSITION_GAP * (unplaced.len() as u64 + 1));
         match result.spread(&unplaced, last_position, end) {
             true => result,
-            // There is no room left at the end: all get new places.
+            // No positions are left at the end, so that all routes get new ones.
             false => self.clone(),
         }
     }
 
-    /// Spreads routes evenly between two places. Returns whether there is room.
+    /// Spreads routes evenly between two positions. Returns false if there are too few
+    /// positions between them.
     fn spread(&mut self, addresses: &[u64], after: u64, before: u64) -> bool {
         let step = (before - after) / (addresses.len() as u64 + 1);
         if step == 0 {
@@ -169,8 +172,8 @@
         }
     }
 
-    /// Applies a change. One that is based on another version, or doesn't
-    /// raise the version, has no effect. Returns whether it had one.
+    /// Applies a change. A change that is based on another version, or doesn't increase the
+    /// version, has no effect. Returns whether the change was applied.
     pub fn apply(&mut self, change: &ConfigurationChange) -> bool {
         if change.base_version != self.version || change.version <= self.version {
             return false;
@@ -194,7 +197,7 @@
         true
     }
 
-    /// The routes in the order of the operator's list.
+    /// The routes in the operator's order.
     pub fn ordered_routes(&self) -> Vec<&RouteRecord> {
         let mut routes: Vec<&RouteRecord> = self.routes.values().collect();
         routes.sort_by_key(|route| route.position);
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -1,4 +1,4 @@
-//! The replicated state: what the commands of the log lead to.
+//! The replicated state machine: the state that follows from the commands of the log.
 
 use petrellatch_proto::pass_through::{
     ConfigurationChange, LogCommand, PolicyChange, PolicySet, ZoneCommand, ZoneStatuses,
@@ -10,48 +10,48 @@
 use crate::pass_through::group::evacuations::Evacuations;
 use crate::pass_through::policies::placement_policies::{PlacementPolicies, PolicyRefusal};
 
-/// Largest part of a change in one command, in bytes.
+/// Maximum size of the part of a change in one command, in bytes.
 const COMMAND_PART_BYTES: usize = 6 * 1024;
 
-/// A change that took effect, or did not, when its last part was applied.
+/// The outcome of a configuration change whose last part was applied.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AppliedChange {
-    /// Number of the change.
+    /// Identifier of the change.
     pub(crate) id: u64,
-    /// What it changed; `None` if it was based on another version.
+    /// The change; `None` if it had no effect, as it was based on another version.
     pub(crate) change: Option<ConfigurationChange>,
 }
 
-/// What a command has led to.
+/// The outcome of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Applied {
-    /// A change of the configuration is complete.
+    /// The last part of a configuration change was applied.
     Change(AppliedChange),
-    /// An order about a zone holds.
+    /// A zone command was applied.
     ZoneCommand {
-        /// The order.
+        /// The command.
         command: ZoneCommand,
         /// Whether it changed something.
         changed: bool,
     },
-    /// A change of the placement policies was applied, or refused.
+    /// A change of the placement policies was applied or refused.
     PolicyChange {
         /// The change.
         change: PolicyChange,
-        /// Whether it changed something.
+        /// Whether it changed something, or why it was refused.
         outcome: Result<bool, PolicyRefusal>,
     },
 }
 
-/// The configuration, the zones out of service, the placement policies, and the change whose parts are
-/// being applied.
+/// The configuration, the evacuated zones, the placement policies, and the configuration
+/// change of which some parts were applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ConfigurationState {
     configuration: Configuration,
     evacuations: Evacuations,
     policies: PlacementPolicies,
     reassembly: Reassembly,
-    /// Commands of the change that is not complete yet, for snapshots.
+    /// Commands of the incomplete change, which snapshots have to contain.
     pending: Vec<Vec<u8>>,
 }
 
@@ -80,7 +80,7 @@
         &self.policies
     }
 
-    /// The command that makes a change of the placement policies.
+    /// Encodes a change of the placement policies as a command.
     pub(crate) fn policy_command(change: &PolicyChange) -> Vec<u8> {
         let command = LogCommand {
             policy_change: Some(change.clone()),
@@ -89,7 +89,7 @@
         command.encode_to_vec()
     }
 
-    /// The command that makes an order about a zone.
+    /// Encodes a zone command as a command of the log.
     pub(crate) fn zone_command(zone_command: &ZoneCommand) -> Vec<u8> {
         let command = LogCommand {
             zone_command: Some(zone_command.clone()),
@@ -98,7 +98,7 @@
         command.encode_to_vec()
     }
 
-    /// The commands that make a change.
+    /// Encodes a configuration change as one or more commands.
     pub(crate) fn commands(id: u64, change: &ConfigurationChange) -> Vec<Vec<u8>> {
         let bytes = compress(&change.encode_to_vec());
         let parts = split(&bytes, COMMAND_PART_BYTES);
@@ -114,7 +114,7 @@
         commands.map(|command| command.encode_to_vec()).collect()
     }
 
-    /// Applies the command at `index` of the log. One that can't be decoded has no
+    /// Applies the command at `index` of the log. A command that can't be decoded has no
     /// effect at any replica.
     pub(crate) fn apply(&mut self, index: u64, bytes: &[u8]) -> Option<Applied> {
         let command = LogCommand::decode(bytes).ok()?;
--- a/crates/petrellatch-core/src/pass_through/routes/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/mod.rs
@@ -1,5 +1,5 @@
-//! Configurations: what operators replace, how changes reach balancers in parts,
-//! and the routes as balancers use them.
+//! The configuration, its replicated state, the transfer of changes to balancers in
+//! parts, and the balancers' route table.
 
 pub(crate) mod configuration;
 pub(crate) mod configuration_state;
--- a/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
@@ -1,4 +1,4 @@
-//! Replacements of the configuration that wait to be accepted.
+//! Replacements of the configuration that are not committed yet.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,20 @@
 
 use super::configuration::Configuration;
 
-/// Replacements under one version. Of different contents the first counts.
+/// The requests to replace the configuration by one version. If their contents differ, the
+/// first one is used.
 #[derive(Debug)]
 struct PendingReplacement {
     configuration: Configuration,
     tokens: Vec<(u64, Timestamp)>,
 }
 
-/// Replacements by version. Only the highest is proposed; the others are
-/// overtaken by it and acknowledged with it.
+/// Requested replacements by version. Only the highest version is proposed; lower ones are
+/// acknowledged along with it.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReplacements {
     pending: BTreeMap<u64, PendingReplacement>,
-    /// Number of the change that is in the log, not yet committed.
+    /// Identifier of the change that was proposed and is not applied yet.
     proposed: Option<u64>,
 }
 
@@ -32,7 +33,7 @@
         pending.tokens.push((token, deadline));
     }
 
-    /// The replacement to propose next, unless one is under way.
+    /// The replacement to propose next, unless a proposed one is not applied yet.
     pub(crate) fn next(&self) -> Option<&Configuration> {
         if self.proposed.is_some() {
             return None;
@@ -45,29 +46,28 @@
         self.proposed = Some(change);
     }
 
-    /// Notes that a change was applied or lost.
+    /// Notes that a proposed change was applied or lost.
     pub(crate) fn note_finished(&mut self, change: u64) {
         if self.proposed == Some(change) {
             self.proposed = None;
         }
     }
 
-    /// Takes out all who wait for a version up to `version`, with the times by
-    /// which they want their answers.
+    /// Removes the requests for versions up to `version`. Returns their tokens and deadlines.
     pub(crate) fn take_reached(&mut self, version: u64) -> Vec<(u64, Timestamp)> {
         let higher = self.pending.split_off(&(version + 1));
         let reached = std::mem::replace(&mut self.pending, higher);
         tokens(reached)
     }
 
-    /// Takes out all.
+    /// Removes all requests. Returns their tokens and deadlines.
     pub(crate) fn take_all(&mut self) -> Vec<(u64, Timestamp)> {
         self.proposed = None;
         tokens(std::mem::take(&mut self.pending))
     }
 
-    /// Takes out those who have waited too long. Their replacements may still
-    /// be accepted.
+    /// Removes the requests whose deadlines have passed, and returns their tokens. The
+    /// replacement of such a request may still be committed.
     pub(crate) fn take_expired(&mut self, now: Timestamp) -> Vec<u64> {
         let mut expired = Vec::new();
         for pending in self.pending.values_mut() {
--- a/crates/petrellatch-core/src/pass_through/routes/route_table.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/route_table.rs
@@ -1,4 +1,4 @@
-//! The routes as a balancer uses them.
+//! A balancer's routes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
@@ -11,13 +11,13 @@
 use crate::pass_through::digest::{flow_digest, service_digest};
 use crate::pass_through::packet::FlowId;
 
-/// Salt of the hash that spreads a route's flows over its shares.
+/// Salt of the hash that spreads a route's flows over its services.
 const SHARE_SALT: u64 = 0x5348_4152;
 
-/// Changes that are kept until those before them have come.
+/// Maximum number of changes that are buffered until the changes before them arrive.
 const MAX_BUFFERED_CHANGES: usize = 64;
 
-/// Routes of one version, which only moves forward.
+/// The routes of one configuration version. The version only increases.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: u64,
@@ -25,28 +25,26 @@
     /// See [`ServiceRecord::warm_up_millirequests_per_second`], by the service's digest.
     warm_up_rates: HashMap<u64, u32>,
     reassembly: Reassembly,
-    /// Changes that have overtaken others, by the version that they are based
-    /// on.
+    /// Changes that arrived before the changes they are based on, by base version.
     buffered: BTreeMap<u64, ConfigurationChange>,
 }
 
-/// Where the flows of one address go.
+/// The services that receive the flows of one address, and the class of its requests.
 #[derive(Debug)]
 struct Route {
     shares: Vec<Share>,
     class: RequestClass,
 }
 
-/// What the configuration says of the requests of a route. Times are in milliseconds,
-/// zero if they are not known.
+/// The configured properties of a route's requests. Times are in milliseconds; zero means
+/// not configured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestClass {
-    /// By when a request should be answered.
+    /// Time in which a request should be answered.
     pub latency_objective_millis: u32,
-    /// When callers give a request up.
+    /// Time after which callers give up a request.
     pub deadline_millis: u32,
-    /// How urgent they are among those that compete for a place: zero is the most
-    /// urgent.
+    /// Priority among requests that compete for a slot: zero is the highest.
     pub priority: u32,
 }
 
@@ -57,24 +55,23 @@
 }
 
 impl RouteTable {
-    /// The version; zero for none.
+    /// The configuration version; zero for none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether parts of a change are missing, or a change before one that has
-    /// come.
+    /// Whether parts of a change are missing, or a change that a buffered one is based on.
     pub fn is_incomplete(&self) -> bool {
         self.reassembly.is_incomplete() || !self.buffered.is_empty()
     }
 
-    /// Whether flows of this address are served.
+    /// Whether there is a route for this address.
     pub fn contains(&self, route: SocketAddrV4) -> bool {
         self.routes.contains_key(&route)
     }
 
-    /// The service that a new flow goes to. All copies of its opening packet
-    /// lead to the same one.
+    /// The service of a new flow. The choice depends only on the flow's addresses and the
+    /// route, so that SYN retransmissions get the same service.
     pub fn service_for(&self, flow: FlowId) -> Option<u64> {
         let shares = &self.routes.get(&flow.route)?.shares;
         let total: u64 = shares.iter().map(|share| u64::from(share.weight)).sum();
@@ -89,14 +86,14 @@
         None
     }
 
-    /// What is said of the requests of this flow.
+    /// The configured properties of this flow's requests.
     pub fn request_class(&self, flow: FlowId) -> RequestClass {
         let route = self.routes.get(&flow.route);
         route.map(|route| route.class).unwrap_or_default()
     }
 
-    /// Requests that a back end of a service bears in 1,000 s while it warms up; zero
-    /// if that is not known.
+    /// Rate limit of a back end of a service during warm-up, in requests per 1,000 s; zero if
+    /// it is not configured.
     pub fn warm_up_rate(&self, service: u64) -> u32 {
         self.warm_up_rates
             .get(&service)
@@ -104,8 +101,8 @@
             .unwrap_or_default()
     }
 
-    /// Takes a part of a compressed change. Changes may come in any order. Returns
-    /// whether another version is in force.
+    /// Handles one part of a compressed change. Changes may arrive in any order. Returns
+    /// whether the change was applied, so that the version is a newer one.
     pub fn handle_part(&mut self, part: ConfigurationPart) -> bool {
         let is_outdated = part.base_version != 0 && part.base_version < self.version;
         if part.version <= self.version || is_outdated {
