--- a/crates/petrellatch-core/tests/pass_through/changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/changes.rs
@@ -18,7 +18,7 @@
 fn the_highest_version_wins_and_all_are_acknowledged() {
     let mut group = Group::start(3);
     group.replace(4, 1);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("a leader");
     let tokens = [9, 7, 9, 12, 4].map(|version| group.request(leader, replace(version, 3)));
     group.run(SECOND);
     for token in tokens {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn other_content_under_the_held_version_has_no_effect() {
+fn different_content_under_the_current_version_has_no_effect() {
     let mut group = Group::start(3);
     group.replace(4, 1);
     group.replace(4, 2);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_large_configuration_is_read_back_whole_after_all_were_killed() {
+fn a_large_configuration_survives_a_kill_of_all_replicas() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
     group.replace(4, 250);
@@ -55,14 +55,12 @@
 }
 
 #[test]
-fn followers_name_the_leader_and_know_older_versions() {
+fn followers_refer_to_the_leader_and_acknowledge_older_versions() {
     let mut group = Group::start(3);
     group.replace(4, 1);
     group.run(SECOND);
-    let leader = group.leader().expect("there is one");
-    let follower = (1..=3)
-        .find(|index| *index != leader)
-        .expect("there is one");
+    let leader = group.leader().expect("a leader");
+    let follower = (1..=3).find(|index| *index != leader).expect("a follower");
     let newer = group.request(follower, replace(5, 1));
     let older = group.request(follower, replace(3, 1));
     assert_matches!(
@@ -76,10 +74,10 @@
 }
 
 #[test]
-fn a_leader_whose_disk_hangs_gives_way() {
+fn a_leader_whose_disk_hangs_is_replaced() {
     let mut group = Group::start(3);
     group.replace(4, 1);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("a leader");
     group.set_disk_responds(leader, false);
     let lost = group.request(leader, replace(5, 1));
     group.run_until(3 * SECOND, "another leader", |it| {
@@ -94,7 +92,7 @@
 }
 
 #[test]
-fn a_route_put_between_others_costs_one_record() {
+fn inserting_a_route_changes_one_record() {
     let before = configuration(4, 100);
     let mut routes: Vec<RouteRecord> = before.ordered_routes().into_iter().cloned().collect();
     let inserted = RouteRecord {
--- a/crates/petrellatch-core/tests/pass_through/late_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_callers.rs
@@ -7,92 +7,92 @@
 const AGENT: u8 = 1;
 /// The first copy of an opening packet, and the second one, which says that its caller
 /// has waited for 200 ms.
-const FRESH: u32 = 0;
-const OLD: u32 = 1;
-const OBJECTIVE_MILLIS: u32 = 200;
+const FIRST_SYN: u32 = 0;
+const RETRANSMITTED_SYN: u32 = 1;
+const LATENCY_OBJECTIVE_MILLIS: u32 = 200;
 
 fn world(agents: u8, slots: u32) -> World {
     let mut world = World::new(agents, slots);
-    world.latency_objective_millis = OBJECTIVE_MILLIS;
+    world.latency_objective_millis = LATENCY_OBJECTIVE_MILLIS;
     world.restart_balancer();
     world
 }
 
 /// A caller opens a flow at the only agent and sends a request.
-fn occupy(world: &mut World, port: u16) {
-    world.open(port, FRESH);
+fn occupy_slot(world: &mut World, port: u16) {
+    world.open(port, FIRST_SYN);
     world.request(port, agent_address(AGENT));
     assert_eq!(world.accepted_by(port), Some(agent_address(AGENT)));
 }
 
 #[test]
-fn an_old_caller_gets_a_free_place_at_once() {
+fn a_late_caller_gets_a_free_slot_at_once() {
     let mut world = world(1, 2);
-    world.open(1, OLD);
+    world.open(1, RETRANSMITTED_SYN);
     assert!(world.accepted_by(1).is_some());
 }
 
 #[test]
-fn an_old_caller_waits_until_fresh_ones_leave_a_place() {
+fn a_late_caller_waits_until_newer_ones_leave_a_slot() {
     let mut world = world(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
-    world.open(3, OLD);
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
+    world.open(3, RETRANSMITTED_SYN);
     assert_eq!((world.accepted_by(3), world.resets()), (None, 0));
     // A fresh one goes before it, into the queue of the back end.
-    occupy(&mut world, 4);
+    occupy_slot(&mut world, 4);
     world.send_backend_data(agent_address(AGENT), 1);
     assert_eq!(world.accepted_by(3), None, "no slot is free");
     // A further copy asks nobody.
-    world.open(3, OLD);
+    world.open(3, RETRANSMITTED_SYN);
     world.send_backend_data(agent_address(AGENT), 2);
     assert!(world.accepted_by(3).is_some());
     assert_eq!(world.resets(), 0);
 }
 
 #[test]
-fn who_has_waited_in_vain_is_told_and_the_next_one_at_once() {
+fn a_late_caller_is_refused_after_its_wait_and_the_next_one_at_once() {
     let mut world = world(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
-    world.open(3, OLD);
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
+    world.open(3, RETRANSMITTED_SYN);
     world.run(750 * MILLI);
     assert_eq!(world.resets(), 0);
     world.run(100 * MILLI);
     assert_eq!(world.resets(), 1);
-    world.open(4, OLD);
-    assert_eq!(world.resets(), 2, "no place was left");
+    world.open(4, RETRANSMITTED_SYN);
+    assert_eq!(world.resets(), 2, "no slot is expected to be free");
     world.run(500 * MILLI);
-    world.open(5, OLD);
+    world.open(5, RETRANSMITTED_SYN);
     assert_eq!(world.resets(), 2);
 }
 
 #[test]
-fn no_more_wait_than_places_are_likely_to_be_left() {
+fn late_callers_are_queued_only_for_slots_that_are_expected_to_be_free() {
     let mut world = world(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
     for port in 100..150 {
-        world.open(port, OLD);
+        world.open(port, RETRANSMITTED_SYN);
     }
-    assert_eq!(world.resets(), 30, "20 wait for two slots");
+    assert_eq!(world.resets(), 30, "20 are queued for two slots");
 }
 
 #[test]
-fn callers_without_an_objective_are_never_late() {
+fn callers_without_a_latency_objective_are_never_late() {
     let mut world = World::new(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
-    world.open(3, OLD);
-    assert!(world.accepted_by(3).is_some(), "it is queued as ever");
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
+    world.open(3, RETRANSMITTED_SYN);
+    assert!(world.accepted_by(3).is_some(), "it is queued like any flow");
 }
 
 #[test]
-fn who_waits_is_told_at_once_when_the_back_end_leaves() {
+fn queued_callers_are_refused_at_once_when_the_back_end_drains() {
     let mut world = world(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
-    world.open(3, OLD);
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
+    world.open(3, RETRANSMITTED_SYN);
     world.register(AGENT, 2, true, 9);
     world.send_backend_data(agent_address(AGENT), 1);
     world.send_backend_data(agent_address(AGENT), 2);
@@ -101,23 +101,23 @@
 }
 
 #[test]
-fn a_caller_whose_agent_falls_silent_while_it_waits_is_not_forgotten() {
+fn a_queued_caller_is_refused_when_its_agent_becomes_silent() {
     let mut world = world(1, 2);
-    occupy(&mut world, 1);
-    occupy(&mut world, 2);
-    world.open(3, OLD);
+    occupy_slot(&mut world, 1);
+    occupy_slot(&mut world, 2);
+    world.open(3, RETRANSMITTED_SYN);
     world.frozen = vec![agent_address(AGENT)];
     world.run(Duration::from_millis(2_000));
     assert_eq!(world.resets(), 1);
 }
 
 #[test]
-fn openings_that_come_before_the_balancer_is_current_are_placed_then() {
+fn syns_are_buffered_until_the_balancer_is_up_to_date() {
     let mut world = world(1, 2);
     world.start_balancer();
-    world.open(1, FRESH);
+    world.open(1, FIRST_SYN);
     world.run(250 * MILLI);
-    world.open(2, FRESH);
+    world.open(2, FIRST_SYN);
     world.run(100 * MILLI);
     assert_eq!((world.accepted_by(2), world.resets()), (None, 0));
     world.confirm();
@@ -126,14 +126,14 @@
     assert_eq!(
         world.accepted_by(1),
         None,
-        "its caller has sent a copy since"
+        "its caller has retransmitted it since"
     );
 }
 
 #[test]
-fn openings_wait_a_moment_for_the_first_agent_that_is_known() {
+fn syns_are_buffered_until_the_first_agent_is_known() {
     let mut world = World::new(0, 2);
-    world.open(1, FRESH);
+    world.open(1, FIRST_SYN);
     assert_eq!(world.resets(), 0);
     world.run(100 * MILLI);
     world.start_agent(AGENT);
--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -18,34 +18,34 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// The balancer of a [`World`] whose agents say what the test wants.
-struct Edge {
+struct LoadShedding {
     world: World,
     next_caller: u32,
-    asked: Vec<(SocketAddrV4, FlowId)>,
+    offers: Vec<(SocketAddrV4, FlowId)>,
     resets: usize,
     events: Vec<EventKind>,
 }
 
-impl Edge {
-    fn new() -> Edge {
-        Edge {
+impl LoadShedding {
+    fn new() -> LoadShedding {
+        LoadShedding {
             world: World::new(AGENTS, 2),
             next_caller: 0,
-            asked: Vec::new(),
+            offers: Vec::new(),
             resets: 0,
             events: Vec::new(),
         }
     }
 
-    fn drain(&mut self) {
+    fn process_outputs(&mut self) {
         while let Some(output) = self.world.balancer.poll_output() {
             match output {
                 PassThroughOutput::Send {
                     to,
-                    body: PassThroughBody::ForwardedPacket(carry),
-                } if carry.reason() != ForwardReason::Deliver => {
-                    let view = TestCodec.view(&carry.packet).expect("a packet");
-                    self.asked.push((to, view.flow_from_caller()));
+                    body: PassThroughBody::ForwardedPacket(forwarded),
+                } if forwarded.reason() != ForwardReason::Deliver => {
+                    let view = TestCodec.view(&forwarded.packet).expect("a packet");
+                    self.offers.push((to, view.flow_from_caller()));
                 }
                 PassThroughOutput::ToCaller { .. } => self.resets += 1,
                 PassThroughOutput::Event(event) => self.events.push(event.kind),
@@ -62,7 +62,7 @@
             if self.world.balancer.poll_timeout() <= self.world.now {
                 self.world.balancer.handle_timeout(self.world.now);
             }
-            self.drain();
+            self.process_outputs();
         }
     }
 
@@ -74,34 +74,34 @@
             syn: true,
             ..empty(caller, ROUTE)
         };
-        let before = self.asked.len();
+        let before = self.offers.len();
         self.world
             .balancer
             .handle_packet(self.world.now, &encode(&packet));
-        self.drain();
-        self.asked.len() - before
+        self.process_outputs();
+        self.offers.len() - before
     }
 
     /// All that were asked, and whoever is asked for that, say no.
-    fn decline_all(&mut self, reason: DeclineReason, turn_micros: u32) {
-        while let Some((agent, flow)) = self.asked.pop() {
+    fn decline_all(&mut self, reason: DeclineReason, expected_wait_micros: u32) {
+        while let Some((agent, flow)) = self.offers.pop() {
             let declined = Declined {
                 flow: flow.into(),
                 reason: reason.into(),
                 load: load(2),
-                expected_wait_micros: turn_micros,
+                expected_wait_micros,
             };
             let body = PassThroughBody::Declined(declined);
             self.world
                 .balancer
                 .handle_message(self.world.now, agent, body);
-            self.drain();
+            self.process_outputs();
         }
     }
 
     /// The agent that was asked last takes its flow.
     fn accept(&mut self) {
-        let (agent, flow) = self.asked.pop().expect("asked");
+        let (agent, flow) = self.offers.pop().expect("an offer");
         let accepted = Accepted {
             flow: flow.into(),
             sequence: 1,
@@ -111,37 +111,37 @@
         self.world
             .balancer
             .handle_message(self.world.now, agent, body);
-        self.drain();
+        self.process_outputs();
     }
 
     /// The agent that was asked last lets its flow wait.
-    fn let_wait(&mut self, load: LoadMessage) {
-        let (agent, flow) = self.asked.pop().expect("asked");
-        let waiting = FlowQueued {
+    fn queue(&mut self, load: LoadMessage) {
+        let (agent, flow) = self.offers.pop().expect("an offer");
+        let queued = FlowQueued {
             flow: flow.into(),
             load,
         };
-        let body = PassThroughBody::FlowQueued(waiting);
+        let body = PassThroughBody::FlowQueued(queued);
         self.world
             .balancer
             .handle_message(self.world.now, agent, body);
-        self.drain();
+        self.process_outputs();
     }
 
     /// Questions that so many flows cause, one a millisecond, while nobody answers.
-    fn questions(&mut self, flows: usize) -> usize {
-        let before = self.asked.len();
+    fn count_offers(&mut self, flows: usize) -> usize {
+        let before = self.offers.len();
         for _ in 0..flows {
             self.open();
             self.wait(MILLI);
         }
-        self.asked.len() - before
+        self.offers.len() - before
     }
 }
 
-fn load(busy: u32) -> LoadMessage {
+fn load(in_flight_requests: u32) -> LoadMessage {
     LoadMessage {
-        in_flight_requests: busy,
+        in_flight_requests,
         slots: 2,
         ..LoadMessage::default()
     }
@@ -157,64 +157,64 @@
 
 /// Callers press a service that has no room: a hundred a second of one balancer.
 #[test]
-fn flows_of_a_full_service_are_refused_without_a_message() {
-    let mut edge = Edge::new();
-    assert_eq!(edge.open(), 1);
-    edge.decline_all(DeclineReason::Full, 0);
-    assert_eq!(edge.resets, 1);
-    assert_eq!(edge.questions(15), 0);
-    assert_eq!(edge.resets, 16);
-    assert!(edge.events.contains(&EventKind::ServicePressed));
+fn flows_of_an_overloaded_service_are_shed_without_an_offer() {
+    let mut test = LoadShedding::new();
+    assert_eq!(test.open(), 1);
+    test.decline_all(DeclineReason::Full, 0);
+    assert_eq!(test.resets, 1);
+    assert_eq!(test.count_offers(15), 0);
+    assert_eq!(test.resets, 16);
+    assert!(test.events.contains(&EventKind::ServicePressed));
 }
 
 /// The turn at each of eight agents comes after 80 ms, so one place comes after 10 ms.
 #[test]
-fn a_pause_is_as_long_as_agents_foretell() {
-    let mut edge = Edge::new();
-    edge.open();
-    edge.decline_all(DeclineReason::Full, 80_000);
-    assert_eq!(edge.questions(9), 0);
-    edge.wait(2 * MILLI);
-    assert_eq!(edge.open(), 1);
+fn a_backoff_follows_the_reported_expected_waits() {
+    let mut test = LoadShedding::new();
+    test.open();
+    test.decline_all(DeclineReason::Full, 80_000);
+    assert_eq!(test.count_offers(9), 0);
+    test.wait(2 * MILLI);
+    assert_eq!(test.open(), 1);
 }
 
 /// After a pause all callers that were refused are back at once.
 #[test]
-fn one_flow_ends_a_pause_and_the_others_follow_if_it_is_taken() {
-    let mut edge = Edge::new();
-    edge.open();
-    edge.decline_all(DeclineReason::Full, 0);
-    edge.wait(25 * MILLI);
-    assert_eq!((edge.open(), edge.open(), edge.open()), (1, 0, 0));
-    edge.accept();
-    assert_eq!((edge.open(), edge.open()), (1, 1));
+fn an_accepted_trial_flow_ends_a_backoff() {
+    let mut test = LoadShedding::new();
+    test.open();
+    test.decline_all(DeclineReason::Full, 0);
+    test.wait(25 * MILLI);
+    assert_eq!((test.open(), test.open(), test.open()), (1, 0, 0));
+    test.accept();
+    assert_eq!((test.open(), test.open()), (1, 1));
 }
 
 /// However long a service was full, its room is found within a tenth of a second.
 #[test]
-fn room_is_found_within_a_tenth_of_a_second() {
-    let mut edge = Edge::new();
+fn returning_capacity_is_found_within_100_ms() {
+    let mut test = LoadShedding::new();
     for _ in 0..300 {
-        edge.open();
-        edge.decline_all(DeclineReason::Full, 1_000_000);
-        edge.wait(10 * MILLI);
+        test.open();
+        test.decline_all(DeclineReason::Full, 1_000_000);
+        test.wait(10 * MILLI);
     }
-    edge.asked.clear();
-    let asked_after = (0..=100).find(|_| {
-        edge.wait(MILLI);
-        edge.open() == 1
+    test.offers.clear();
+    let found_after = (0..=100).find(|_| {
+        test.wait(MILLI);
+        test.open() == 1
     });
-    assert!(asked_after.is_some());
-    edge.accept();
-    assert_eq!(edge.open(), 1);
-    edge.accept();
-    edge.wait(SECOND + 600 * MILLI);
-    assert!(edge.events.contains(&EventKind::PressureEnded));
+    assert!(found_after.is_some());
+    test.accept();
+    assert_eq!(test.open(), 1);
+    test.accept();
+    test.wait(SECOND + 600 * MILLI);
+    assert!(test.events.contains(&EventKind::PressureEnded));
 }
 
 /// A release, a zone out of service, or machines that died are no lack of room.
 #[test]
-fn other_reasons_are_no_pause() {
+fn declines_for_other_reasons_start_no_backoff() {
     for reason in [
         DeclineReason::Draining,
         DeclineReason::Evacuated,
@@ -222,13 +222,13 @@
         DeclineReason::Returned,
         DeclineReason::Failing,
     ] {
-        let mut edge = Edge::new();
-        edge.open();
-        edge.decline_all(reason, 0);
-        edge.open();
-        edge.decline_all(DeclineReason::Unspecified, 0);
+        let mut test = LoadShedding::new();
+        test.open();
+        test.decline_all(reason, 0);
+        test.open();
+        test.decline_all(DeclineReason::Unspecified, 0);
         assert!(
-            !edge.events.contains(&EventKind::ServicePressed),
+            !test.events.contains(&EventKind::ServicePressed),
             "{reason:?}"
         );
     }
@@ -237,20 +237,20 @@
 /// A burst presses a service whose back ends are warm: whoever waits there finds the next
 /// place, and more that wait would do so in vain.
 #[test]
-fn flows_that_wait_at_warm_back_ends_show_that_there_is_no_room() {
-    let mut edge = Edge::new();
+fn flows_queued_at_warm_back_ends_start_a_backoff() {
+    let mut test = LoadShedding::new();
     for _ in 0..3 {
-        assert_eq!(edge.open(), 1);
-        edge.let_wait(warm());
+        assert_eq!(test.open(), 1);
+        test.queue(warm());
     }
-    assert_eq!(edge.questions(15), 0);
-    assert!(edge.events.contains(&EventKind::ServicePressed));
+    assert_eq!(test.count_offers(15), 0);
+    assert!(test.events.contains(&EventKind::ServicePressed));
 }
 
 /// After an outage callers come to back ends that are cold, and will soon work faster, or
 /// to agents that have just started.
 #[test]
-fn flows_that_wait_after_an_outage_are_no_pause() {
+fn flows_queued_after_an_outage_start_no_backoff() {
     let cold = LoadMessage {
         cold: true,
         ..warm()
@@ -260,51 +260,51 @@
         ..warm()
     };
     for load in [cold, just_started] {
-        let mut edge = Edge::new();
+        let mut test = LoadShedding::new();
         for _ in 0..50 {
-            assert_eq!(edge.open(), 1);
-            edge.let_wait(load);
+            assert_eq!(test.open(), 1);
+            test.queue(load);
         }
-        assert!(!edge.events.contains(&EventKind::ServicePressed));
+        assert!(!test.events.contains(&EventKind::ServicePressed));
     }
 }
 
 /// One agent of a large service has a queue while others have room.
 #[test]
-fn flows_that_wait_between_others_that_are_taken_are_no_pause() {
-    let mut edge = Edge::new();
+fn flows_queued_between_accepted_ones_start_no_backoff() {
+    let mut test = LoadShedding::new();
     for _ in 0..10 {
         for _ in 0..2 {
-            assert_eq!(edge.open(), 1);
-            edge.let_wait(warm());
+            assert_eq!(test.open(), 1);
+            test.queue(warm());
         }
-        assert_eq!(edge.open(), 1);
-        edge.accept();
+        assert_eq!(test.open(), 1);
+        test.accept();
     }
-    assert!(!edge.events.contains(&EventKind::ServicePressed));
+    assert!(!test.events.contains(&EventKind::ServicePressed));
 }
 
 /// All agents are silent for two seconds.
 #[test]
-fn silence_is_no_pause() {
-    let mut edge = Edge::new();
+fn missing_replies_start_no_backoff() {
+    let mut test = LoadShedding::new();
     for _ in 0..200 {
-        edge.open();
-        edge.wait(10 * MILLI);
+        test.open();
+        test.wait(10 * MILLI);
     }
-    assert!(!edge.events.contains(&EventKind::ServicePressed));
-    assert!(edge.events.contains(&EventKind::AgentSuspected));
+    assert!(!test.events.contains(&EventKind::ServicePressed));
+    assert!(test.events.contains(&EventKind::AgentSuspected));
 }
 
 /// One agent says that it is idle and declines all, while others have room.
 #[test]
-fn an_agent_that_lies_low_is_not_asked_again_at_once() {
-    let mut edge = Edge::new();
-    edge.open();
-    edge.decline_all(DeclineReason::Full, 0);
-    edge.wait(25 * MILLI);
-    edge.open();
-    let (liar, flow) = edge.asked.pop().expect("asked");
+fn an_idle_agent_that_declines_gets_no_offer_for_a_while() {
+    let mut test = LoadShedding::new();
+    test.open();
+    test.decline_all(DeclineReason::Full, 0);
+    test.wait(25 * MILLI);
+    test.open();
+    let (idle_agent, flow) = test.offers.pop().expect("an offer");
     let declined = Declined {
         flow: flow.into(),
         reason: DeclineReason::Full.into(),
@@ -312,52 +312,56 @@
         expected_wait_micros: 0,
     };
     let body = PassThroughBody::Declined(declined);
-    edge.world
+    test.world
         .balancer
-        .handle_message(edge.world.now, liar, body);
-    edge.drain();
-    edge.asked.clear();
-    edge.wait(40 * MILLI);
-    edge.open();
-    assert_ne!(edge.asked.pop().map(|(agent, _)| agent), Some(liar));
+        .handle_message(test.world.now, idle_agent, body);
+    test.process_outputs();
+    test.offers.clear();
+    test.wait(40 * MILLI);
+    test.open();
+    assert_ne!(test.offers.pop().map(|(agent, _)| agent), Some(idle_agent));
 }
 
 /// A link that is full delays the answers of all agents by a fifth of a second, and no
 /// agent is at fault; agents that are silent are.
 #[test]
-fn answers_that_all_come_late_are_no_fault_of_the_agents() {
-    let mut edge = Edge::new();
+fn agents_are_not_suspected_if_all_replies_are_late() {
+    let mut test = LoadShedding::new();
     for _ in 0..40 {
-        edge.open();
-        edge.wait(10 * MILLI);
-        if edge.asked.len() > 20 {
-            edge.asked.rotate_left(1);
-            edge.accept();
+        test.open();
+        test.wait(10 * MILLI);
+        if test.offers.len() > 20 {
+            test.offers.rotate_left(1);
+            test.accept();
         }
     }
-    edge.events.clear();
-    let before = edge.asked.len();
+    test.events.clear();
+    let before = test.offers.len();
     for _ in 0..40 {
-        edge.open();
-        edge.wait(5 * MILLI);
-        edge.asked.rotate_left(1);
-        edge.accept();
+        test.open();
+        test.wait(5 * MILLI);
+        test.offers.rotate_left(1);
+        test.accept();
     }
-    assert!(!edge.events.contains(&EventKind::AgentSuspected));
-    assert_eq!(edge.asked.len(), before, "nobody else was asked");
+    assert!(!test.events.contains(&EventKind::AgentSuspected));
+    assert_eq!(
+        test.offers.len(),
+        before,
+        "no flow was offered to a second agent"
+    );
 }
 
 /// Under pressure one agent is asked. If it is gone, its silence says nothing of the room
 /// at others.
 #[test]
-fn under_pressure_another_agent_is_asked_for_one_that_is_silent() {
-    let mut edge = Edge::new();
-    edge.open();
-    edge.decline_all(DeclineReason::Full, 0);
-    edge.wait(25 * MILLI);
-    edge.resets = 0;
-    assert_eq!(edge.open(), 1);
-    edge.wait(100 * MILLI);
-    assert!(edge.asked.len() >= 2, "{} asked", edge.asked.len());
-    assert_eq!(edge.resets, 0);
+fn under_overload_a_flow_of_a_silent_agent_is_offered_to_another() {
+    let mut test = LoadShedding::new();
+    test.open();
+    test.decline_all(DeclineReason::Full, 0);
+    test.wait(25 * MILLI);
+    test.resets = 0;
+    assert_eq!(test.open(), 1);
+    test.wait(100 * MILLI);
+    assert!(test.offers.len() >= 2, "{} offers", test.offers.len());
+    assert_eq!(test.resets, 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -6,7 +6,7 @@
 
 use super::world::{MILLI, OTHER_SERVICE, SERVICE, World};
 
-const CAPACITY: u32 = 4;
+const SLOTS: u32 = 4;
 /// Below, at and above the sizes from which a search asks in steps.
 const SIZES: [u8; 3] = [5, 65, 200];
 
@@ -20,15 +20,15 @@
 
 /// A world with one open flow, and its agent.
 fn world_with_flow(agents: u8) -> (World, SocketAddrV4) {
-    let mut world = World::with_services(agents, CAPACITY, service_of);
+    let mut world = World::with_services(agents, SLOTS, service_of);
     world.open(1, 0);
-    let agent = world.accepted_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("an accepted flow");
     world.request(1, agent);
     (world, agent)
 }
 
 /// The balancer forgets all hints; then the caller repeats its request for a second.
-fn forget_and_repeat(world: &mut World, agent: SocketAddrV4) {
+fn restart_balancer_and_repeat(world: &mut World, agent: SocketAddrV4) {
     world.restart_balancer();
     for _ in 0..5 {
         world.notify_complete_directory();
@@ -38,7 +38,7 @@
 }
 
 fn assert_is_served(world: &World, agent: SocketAddrV4, subject: &str) {
-    assert_eq!(world.resets(), 0, "a living flow was reset: {subject}");
+    assert_eq!(world.resets(), 0, "an open flow was reset: {subject}");
     assert!(
         world.data_packets_at(agent) > 1,
         "it is not served: {subject}"
@@ -50,33 +50,33 @@
     for agents in SIZES {
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[(OTHER_SERVICE, 1)]);
-        forget_and_repeat(&mut world, agent);
+        restart_balancer_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("moved, {agents} agents"));
         world.open(2, 0);
-        let other = world.accepted_by(2).expect("an answer");
+        let other = world.accepted_by(2).expect("an accepted flow");
         world.request(2, other);
         world.change_route(&[(SERVICE, 1)]);
-        forget_and_repeat(&mut world, agent);
+        restart_balancer_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("moved back, {agents} agents"));
         world.request(2, other);
         world.run(200 * MILLI);
         assert!(
             world.data_packets_at(other) > 1,
-            "a flow of the time between"
+            "the flow that was opened between the moves"
         );
         assert_eq!(world.resets(), 0);
     }
 }
 
 #[test]
-fn a_flow_of_a_part_that_its_route_has_lost_stays_open() {
+fn a_flow_stays_open_when_its_route_loses_its_service() {
     for agents in SIZES {
-        let mut world = World::with_services(agents, CAPACITY, service_of);
+        let mut world = World::with_services(agents, SLOTS, service_of);
         world.change_route(&[(SERVICE, 1), (OTHER_SERVICE, 1)]);
         let mut flows = Vec::new();
         for port in 1..=4 {
             world.open(port, 0);
-            flows.push((port, world.accepted_by(port).expect("an answer")));
+            flows.push((port, world.accepted_by(port).expect("an accepted flow")));
         }
         for (lost, kept) in [(SERVICE, OTHER_SERVICE), (OTHER_SERVICE, SERVICE)] {
             world.change_route(&[(kept, 1)]);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_flow_stays_open_when_its_route_is_dropped_and_comes_back_elsewhere() {
+fn a_flow_stays_open_when_its_route_is_removed_and_added_for_another_service() {
     for agents in SIZES {
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[]);
@@ -105,19 +105,19 @@
         world.run(500 * MILLI);
         assert_eq!(world.resets(), 0, "dropped, {agents} agents");
         world.change_route(&[(OTHER_SERVICE, 1)]);
-        forget_and_repeat(&mut world, agent);
+        restart_balancer_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("back, {agents} agents"));
     }
 }
 
 #[test]
-fn a_flow_of_a_moved_route_is_tried_where_its_agent_has_forgotten_it() {
+fn a_flow_of_a_moved_route_is_found_after_a_restart_of_its_agent() {
     for agents in SIZES {
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[(OTHER_SERVICE, 1)]);
         world.backends_ack_at_once = true;
-        world.restart_agent(agent.ip().octets()[3], CAPACITY);
-        forget_and_repeat(&mut world, agent);
+        world.restart_agent(agent.ip().octets()[3], SLOTS);
+        restart_balancer_and_repeat(&mut world, agent);
         assert_is_served(&world, agent, &format!("{agents} agents"));
     }
 }
@@ -134,17 +134,21 @@
             world.request(1, agent);
             world.run(200 * MILLI);
         }
-        assert_eq!(world.resets(), 0, "its agent may have it, {agents} agents");
+        assert_eq!(
+            world.resets(),
+            0,
+            "its back end may own it, {agents} agents"
+        );
     }
 }
 
 #[test]
-fn a_dead_flow_of_a_moved_route_is_reset_once_every_agent_has_said_that_it_lacks_it() {
+fn an_orphaned_flow_of_a_moved_route_is_reset_once_all_agents_have_replied() {
     for agents in SIZES {
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[(OTHER_SERVICE, 1)]);
         let index = agent.ip().octets()[3];
-        world.restart_agent(index, CAPACITY);
+        world.restart_agent(index, SLOTS);
         world.backends.get_mut(&agent).expect("known").flows.clear();
         world.restart_balancer();
         world.notify_complete_directory();
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -21,47 +21,47 @@
 const BUFFER: Duration = Duration::from_millis(50);
 /// Frame, preamble and gap of Ethernet, heads of IP and of UDP, and the mark of a message, in
 /// bytes.
-const HEADS: usize = 38 + 28;
-const MARK: usize = 4;
-const DATA: u16 = 1_200;
+const HEADER_BYTES: usize = 38 + 28;
+const MAGIC_BYTES: usize = 4;
+const UPLOAD_DATA: u16 = 1_200;
 const WINDOW: usize = 16;
-const FIRST_TIMEOUT: Duration = Duration::from_millis(200);
-const LAST_TIMEOUT: Duration = Duration::from_millis(1_600);
-const COPIES: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
+const MIN_TIMEOUT: Duration = Duration::from_millis(200);
+const MAX_TIMEOUT: Duration = Duration::from_millis(1_600);
+const SYN_RETRANSMISSIONS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 /// Uploads under way at any time.
 const UPLOADS: usize = 8;
-const LOOKUP_EVERY: Duration = Duration::from_millis(25);
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(25);
 const LOOKUP_DATA: u16 = 200;
 /// What a back end works on a lookup.
-const WORK: Duration = Duration::from_millis(30);
-const MEASURED: Duration = Duration::from_secs(20);
+const PROCESSING_TIME: Duration = Duration::from_millis(30);
+const MEASURED_TIME: Duration = Duration::from_secs(20);
 
 struct Link {
     bytes_per_second: f64,
     free_at: Timestamp,
-    under_way: VecDeque<(Timestamp, PassThroughOutput)>,
-    lost: usize,
+    in_flight: VecDeque<(Timestamp, PassThroughOutput)>,
+    dropped: usize,
 }
 
 impl Link {
     fn send(&mut self, now: Timestamp, output: PassThroughOutput) {
         let starts = self.free_at.max(now);
         if starts.saturating_since(now) > BUFFER {
-            self.lost += 1;
+            self.dropped += 1;
             return;
         }
         let seconds = wire_bytes(&output) as f64 / self.bytes_per_second;
         self.free_at = starts + Duration::from_secs_f64(seconds);
-        self.under_way.push_back((self.free_at, output));
+        self.in_flight.push_back((self.free_at, output));
     }
 }
 
 fn wire_bytes(output: &PassThroughOutput) -> usize {
-    HEADS
+    HEADER_BYTES
         + match output {
             PassThroughOutput::Send { body, .. } => {
                 let body = Some(body.clone());
-                MARK + PassThroughMessage { body }.encoded_len()
+                MAGIC_BYTES + PassThroughMessage { body }.encoded_len()
             }
             PassThroughOutput::ToCaller { packet, .. } => packet.len(),
             _ => 0,
@@ -71,7 +71,7 @@
 struct Caller {
     is_lookup: bool,
     started_at: Timestamp,
-    copies: usize,
+    retransmissions: usize,
     agent: Option<SocketAddrV4>,
     arrived: Vec<bool>,
     /// Packets before this one have arrived.
@@ -79,10 +79,10 @@
     sent: usize,
     timeout: Duration,
     timer_at: Timestamp,
-    recovers: bool,
+    is_recovering: bool,
 }
 
-struct Narrow {
+struct LinkTest {
     world: World,
     link: Link,
     callers: BTreeMap<u16, Caller>,
@@ -90,18 +90,18 @@
     next_lookup: Timestamp,
     packets_per_upload: usize,
     /// Packets that each back end had got when it was looked at last.
-    seen: BTreeMap<SocketAddrV4, usize>,
+    handled: BTreeMap<SocketAddrV4, usize>,
     arrived_bytes: usize,
-    lookup_bytes: usize,
+    other_wire_bytes: usize,
     upload_wire_bytes: usize,
     lookup_times: Vec<Duration>,
     uploads_done: usize,
     /// Messages that tell a replica that the balancer leaves.
-    goodbyes: usize,
+    unsubscribe_messages: usize,
 }
 
-impl Narrow {
-    fn new(megabits: f64, upload_bytes: usize) -> Narrow {
+impl LinkTest {
+    fn new(megabits: f64, upload_bytes: usize) -> LinkTest {
         let bytes_per_second = megabits * 125_000.0;
         let mut world = World::new(AGENTS, SLOTS);
         world.restart_balancer_with_link(Some(bytes_per_second as u64));
@@ -109,23 +109,23 @@
         let link = Link {
             bytes_per_second,
             free_at: now,
-            under_way: VecDeque::new(),
-            lost: 0,
+            in_flight: VecDeque::new(),
+            dropped: 0,
         };
-        Narrow {
+        LinkTest {
             world,
             link,
             callers: BTreeMap::new(),
             next_port: FIRST_OWN_PORT,
             next_lookup: now,
-            packets_per_upload: upload_bytes.div_ceil(usize::from(DATA)),
-            seen: BTreeMap::new(),
+            packets_per_upload: upload_bytes.div_ceil(usize::from(UPLOAD_DATA)),
+            handled: BTreeMap::new(),
             arrived_bytes: 0,
-            lookup_bytes: 0,
+            other_wire_bytes: 0,
             upload_wire_bytes: 0,
             lookup_times: Vec::new(),
             uploads_done: 0,
-            goodbyes: 0,
+            unsubscribe_messages: 0,
         }
     }
 
@@ -140,8 +140,8 @@
         self.world.now = self.world.now + MILLI;
         let now = self.world.now;
         self.add_callers();
-        self.carry_messages();
-        self.hear_answers();
+        self.transfer_messages();
+        self.note_accepted_flows();
         self.note_arrivals();
         let ports: Vec<u16> = self.callers.keys().copied().collect();
         ports
@@ -150,13 +150,13 @@
         if self.world.balancer.poll_timeout() <= now {
             self.world.balancer.handle_timeout(now);
         }
-        self.carry_messages();
+        self.transfer_messages();
     }
 
     fn add_callers(&mut self) {
         let now = self.world.now;
         if now >= self.next_lookup {
-            self.next_lookup = now + LOOKUP_EVERY;
+            self.next_lookup = now + LOOKUP_INTERVAL;
             self.add_caller(true, 1);
         }
         let uploads = self.callers.values().filter(|it| !it.is_lookup).count();
@@ -170,14 +170,14 @@
         let caller = Caller {
             is_lookup,
             started_at: now,
-            copies: 0,
+            retransmissions: 0,
             agent: None,
             arrived: vec![false; packets],
             base: 0,
             sent: 0,
-            timeout: FIRST_TIMEOUT,
+            timeout: MIN_TIMEOUT,
             timer_at: now,
-            recovers: false,
+            is_recovering: false,
         };
         let port = self.next_port;
         self.next_port = port.checked_add(1).unwrap_or(FIRST_OWN_PORT);
@@ -185,10 +185,10 @@
         self.open(port, 0);
     }
 
-    fn open(&mut self, port: u16, copy: u32) {
+    fn open(&mut self, port: u16, retransmission: u32) {
         let packet = PacketView {
             syn: true,
-            ack_number: copy,
+            ack_number: retransmission,
             ..empty(caller(port), ROUTE)
         };
         let now = self.world.now;
@@ -205,7 +205,7 @@
             data_bytes: if caller_state.is_lookup {
                 LOOKUP_DATA
             } else {
-                DATA
+                UPLOAD_DATA
             },
             ..empty(caller(port), ROUTE)
         };
@@ -219,10 +219,12 @@
         let now = self.world.now;
         let state = self.callers.get_mut(&port).expect("known");
         let Some(_) = state.agent else {
-            if state.copies < COPIES.len() && now >= state.started_at + COPIES[state.copies] {
-                state.copies += 1;
-                let copy = state.copies as u32;
-                self.open(port, copy);
+            if state.retransmissions < SYN_RETRANSMISSIONS.len()
+                && now >= state.started_at + SYN_RETRANSMISSIONS[state.retransmissions]
+            {
+                state.retransmissions += 1;
+                let retransmission = state.retransmissions as u32;
+                self.open(port, retransmission);
             }
             return;
         };
@@ -232,8 +234,8 @@
             state.timer_at = now + state.timeout;
         } else if now >= state.timer_at {
             numbers.push(state.base);
-            state.recovers = true;
-            state.timeout = (state.timeout * 2).min(LAST_TIMEOUT);
+            state.is_recovering = true;
+            state.timeout = (state.timeout * 2).min(MAX_TIMEOUT);
             state.timer_at = now + state.timeout;
         }
         state.sent = end;
@@ -243,14 +245,14 @@
     }
 
     /// Callers whose opening packets were answered are open.
-    fn hear_answers(&mut self) {
+    fn note_accepted_flows(&mut self) {
         for view in std::mem::take(&mut self.world.callers) {
             let callers = self.callers.iter_mut();
             let state = callers.filter(|(port, _)| caller(**port) == view.destination);
             let Some((_, state)) = { state }.next() else {
                 continue;
             };
-            assert!(!view.rst, "nobody is refused here");
+            assert!(!view.rst, "no flow may be refused");
             if view.syn && state.agent.is_none() {
                 let mut agents = self.world.agents.keys();
                 state.agent = agents
@@ -264,10 +266,10 @@
     fn note_arrivals(&mut self) {
         let agents: Vec<SocketAddrV4> = self.world.backends.keys().copied().collect();
         for agent in agents {
-            let seen = self.seen.entry(agent).or_default();
+            let handled = self.handled.entry(agent).or_default();
             let received = &self.world.backends[&agent].received;
-            let views: Vec<PacketView> = received[*seen..].to_vec();
-            *seen = received.len();
+            let views: Vec<PacketView> = received[*handled..].to_vec();
+            *handled = received.len();
             let data = views.into_iter().filter(|view| view.data_bytes > 0);
             data.for_each(|view| self.acknowledge(agent, &view));
         }
@@ -294,25 +296,25 @@
         let advances = base > state.base;
         state.base = base;
         if advances {
-            state.timeout = FIRST_TIMEOUT;
+            state.timeout = MIN_TIMEOUT;
             state.timer_at = now + state.timeout;
         }
         if base == state.arrived.len() {
             let time = now.saturating_since(state.started_at);
             match state.is_lookup {
-                true => self.lookup_times.push(time + WORK),
+                true => self.lookup_times.push(time + PROCESSING_TIME),
                 false => self.uploads_done += 1,
             }
             self.callers.remove(&port);
-            let answer = PacketView {
+            let response = PacketView {
                 ack: true,
                 fin: true,
                 data_bytes: 10,
                 ..empty(ROUTE, caller(port))
             };
-            self.world.send_from_backend(agent, &answer);
-        } else if advances && state.recovers {
-            state.recovers = false;
+            self.world.send_from_backend(agent, &response);
+        } else if advances && state.is_recovering {
+            state.is_recovering = false;
             let missing = (base..state.sent).filter(|number| !state.arrived[*number]);
             let missing: Vec<usize> = missing.collect();
             missing
@@ -321,7 +323,7 @@
         }
     }
 
-    fn carry_messages(&mut self) {
+    fn transfer_messages(&mut self) {
         let now = self.world.now;
         while let Some(output) = self.world.balancer.poll_output() {
             if matches!(output, PassThroughOutput::Event(_)) {
@@ -333,11 +335,11 @@
         }
         while self
             .link
-            .under_way
+            .in_flight
             .front()
             .is_some_and(|(at, _)| *at <= now)
         {
-            let (_, output) = self.link.under_way.pop_front().expect("there is one");
+            let (_, output) = self.link.in_flight.pop_front().expect("a datagram");
             self.world.handle_output(BALANCER, output);
         }
         let agents: Vec<SocketAddrV4> = self.world.agents.keys().copied().collect();
@@ -362,23 +364,24 @@
         let bytes = wire_bytes(output);
         match output {
             PassThroughOutput::Send {
-                body: PassThroughBody::Subscribe(follow),
+                body: PassThroughBody::Subscribe(poll),
                 ..
-            } if follow.unsubscribe => self.goodbyes += 1,
+            } if poll.unsubscribe => self.unsubscribe_messages += 1,
             PassThroughOutput::Send {
-                body: PassThroughBody::ForwardedPacket(carry),
+                body: PassThroughBody::ForwardedPacket(forwarded),
                 ..
-            } if carry.packet.len() > usize::from(DATA) => {
+            } if forwarded.packet.len() > usize::from(UPLOAD_DATA) => {
                 self.upload_wire_bytes = bytes;
             }
-            _ => self.lookup_bytes += bytes,
+            _ => self.other_wire_bytes += bytes,
         }
     }
 
     /// The share of what the link can carry at most that arrived, each packet once.
     fn goodput(&self, time: Duration) -> f64 {
-        let carried = self.link.bytes_per_second * time.as_secs_f64() - self.lookup_bytes as f64;
-        let most = carried * f64::from(DATA) / self.upload_wire_bytes as f64;
+        let carried =
+            self.link.bytes_per_second * time.as_secs_f64() - self.other_wire_bytes as f64;
+        let most = carried * f64::from(UPLOAD_DATA) / self.upload_wire_bytes as f64;
         self.arrived_bytes as f64 / most
     }
 
@@ -389,21 +392,21 @@
 }
 
 #[test]
-fn a_narrow_link_carries_what_it_can_and_lookups_pass_uploads() {
-    let mut wide = Narrow::new(100.0, 20_000);
-    wide.run(MEASURED);
+fn uploads_fill_a_narrow_link_and_do_not_delay_lookups() {
+    let mut wide = LinkTest::new(100.0, 20_000);
+    wide.run(MEASURED_TIME);
     let wide_p99 = wide.lookup_p99();
     for megabits in [1.0, 2.0, 4.0, 8.0] {
         for kilobytes in [5, 20, 120] {
-            let mut narrow = Narrow::new(megabits, kilobytes * 1_000);
-            narrow.run(MEASURED);
-            let goodput = narrow.goodput(MEASURED);
+            let mut narrow = LinkTest::new(megabits, kilobytes * 1_000);
+            narrow.run(MEASURED_TIME);
+            let goodput = narrow.goodput(MEASURED_TIME);
             let p99 = narrow.lookup_p99();
-            let lost = narrow.link.lost;
+            let dropped = narrow.link.dropped;
             let done = narrow.uploads_done;
             println!(
                 "{megabits} Mbit/s, {kilobytes} KB: goodput {goodput:.3}, {done} uploads, \
-                 lookups' p99 {p99:?} (wide {wide_p99:?}), {lost} lost"
+                 lookups' p99 {p99:?} (wide {wide_p99:?}), {dropped} dropped"
             );
             assert!(goodput >= 0.9, "{goodput} at {megabits} Mbit/s");
             assert!(p99 <= 2 * wide_p99, "{p99:?} at {megabits} Mbit/s");
@@ -412,14 +415,17 @@
 }
 
 #[test]
-fn a_balancer_that_stops_sends_what_waits() {
-    let mut narrow = Narrow::new(1.0, 20_000);
+fn a_stopping_balancer_sends_its_queued_datagrams() {
+    let mut narrow = LinkTest::new(1.0, 20_000);
     narrow.run(500 * MILLI);
     let now = narrow.world.now;
     narrow.world.balancer.begin_stop(now);
     while !narrow.world.balancer.is_stopped() {
-        assert_eq!(narrow.goodbyes, 0);
+        assert_eq!(narrow.unsubscribe_messages, 0);
         narrow.step();
     }
-    assert!(narrow.goodbyes > 0, "replicas know that it left");
+    assert!(
+        narrow.unsubscribe_messages > 0,
+        "no replica was notified of the stop"
+    );
 }
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -12,7 +12,7 @@
 
 use super::world::{FIRST_OWN_PORT, MILLI, REPLICA, ROUTE, SERVICE, World, agent_address};
 
-const CAPACITY: u32 = 50;
+const SLOTS: u32 = 50;
 const SECOND: Duration = Duration::from_secs(1);
 
 fn policy(name: &str, eligible: &str, weight: &str) -> PlacementPolicy {
@@ -26,7 +26,7 @@
 }
 
 /// A replica tells the balancer which policies there are.
-fn tell(world: &mut World, index: u64, policies: &[PlacementPolicy]) {
+fn send_policies(world: &mut World, index: u64, policies: &[PlacementPolicy]) {
     let group = GroupStatus {
         directory_revision: world.revision,
         has_leader: true,
@@ -41,12 +41,12 @@
 }
 
 /// The back end beside an agent registers itself with a label, and its agent reports it.
-fn label(world: &mut World, index: u8, key: &str, value: &str) {
+fn register_with_label(world: &mut World, index: u8, key: &str, value: &str) {
     let call = Registration {
         id: format!("backend-{index}"),
         service: SERVICE.to_owned(),
         sequence: 2,
-        slots: CAPACITY,
+        slots: SLOTS,
         labels: BTreeMap::from([(key.to_owned(), value.to_owned())]),
         ..Registration::default()
     };
@@ -55,20 +55,20 @@
 
 /// A world in which the back ends of `labelled` have a label, and all have reported.
 fn labelled_world(agents: u8, labelled: &[u8], key: &str, value: &str) -> World {
-    let mut world = World::new(agents, CAPACITY);
+    let mut world = World::new(agents, SLOTS);
     for index in labelled {
-        label(&mut world, *index, key, value);
+        register_with_label(&mut world, *index, key, value);
     }
     world.run(SECOND);
     world
 }
 
 /// Lets seconds pass in which the back ends beside these agents go on calling.
-fn run_with_calls(world: &mut World, agents: &[u8], seconds: u64) {
+fn run_with_registrations(world: &mut World, agents: &[u8], seconds: u64) {
     for _ in 0..seconds {
         for index in agents {
             let call_number = world.now.as_micros();
-            world.register(*index, CAPACITY, false, call_number);
+            world.register(*index, SLOTS, false, call_number);
         }
         world.run(SECOND);
     }
@@ -80,54 +80,54 @@
     for port in ports {
         world.open(port, 0);
         world.run(2 * MILLI);
-        agents.push(world.accepted_by(port).expect("an answer"));
+        agents.push(world.accepted_by(port).expect("an accepted flow"));
     }
     agents
 }
 
 /// Opens flows that end at once, and returns how many landed at each agent.
-fn open_and_end(world: &mut World, ports: std::ops::Range<u16>) -> BTreeMap<SocketAddrV4, usize> {
-    let mut landed = BTreeMap::new();
+fn open_and_close(world: &mut World, ports: std::ops::Range<u16>) -> BTreeMap<SocketAddrV4, usize> {
+    let mut flows_of = BTreeMap::new();
     for port in ports {
         world.open(port, 0);
-        let agent = world.accepted_by(port).expect("an answer");
-        *landed.entry(agent).or_default() += 1;
+        let agent = world.accepted_by(port).expect("an accepted flow");
+        *flows_of.entry(agent).or_default() += 1;
         world.request(port, agent);
         world.send_backend_data(agent, port);
         world.close_flow(port, agent);
         world.run(MILLI);
     }
-    landed
+    flows_of
 }
 
 #[test]
-fn a_new_version_gets_its_share_of_new_flows_and_all_once_it_is_let() {
+fn a_canary_gets_its_share_of_new_flows_and_later_all_of_them() {
     let mut world = labelled_world(10, &[1], "version", "v2");
     let canary = "has(backend.labels.version) && backend.labels.version == 'v2'";
     let five_percent = format!("{canary} ? 9.0 / 19.0 : 1.0");
-    tell(&mut world, 1, &[policy("canary", "true", &five_percent)]);
-    let landed = open_and_end(&mut world, 1..1_001);
-    let share = landed.get(&agent_address(1)).copied().unwrap_or_default();
+    send_policies(&mut world, 1, &[policy("canary", "true", &five_percent)]);
+    let flows_of = open_and_close(&mut world, 1..1_001);
+    let share = flows_of.get(&agent_address(1)).copied().unwrap_or_default();
     assert!(
         (30..=70).contains(&share),
         "{share} of 1,000 at the new version"
     );
-    tell(&mut world, 2, &[policy("canary", canary, "1.0")]);
-    let landed = open_and_end(&mut world, 2_000..2_050);
-    assert_eq!(landed.get(&agent_address(1)), Some(&50));
+    send_policies(&mut world, 2, &[policy("canary", canary, "1.0")]);
+    let flows_of = open_and_close(&mut world, 2_000..2_050);
+    assert_eq!(flows_of.get(&agent_address(1)), Some(&50));
 }
 
 #[test]
-fn equal_weights_leave_the_choice_as_it_is_without_a_policy() {
-    let mut plain = World::new(6, CAPACITY);
-    let mut placed = World::new(6, CAPACITY);
-    tell(&mut placed, 1, &[policy("all", "true", "1.0")]);
+fn equal_weights_select_the_same_agents_as_no_policy() {
+    let mut plain = World::new(6, SLOTS);
+    let mut placed = World::new(6, SLOTS);
+    send_policies(&mut placed, 1, &[policy("all", "true", "1.0")]);
     let expected = open_flows(&mut plain, 1..60);
     assert_eq!(open_flows(&mut placed, 1..60), expected);
 }
 
 #[test]
-fn a_route_goes_by_its_own_policy_before_that_of_its_service() {
+fn a_policy_of_a_route_takes_precedence_over_one_of_its_service() {
     let mut world = labelled_world(4, &[3], "member", "two");
     let of_service = policy("others", "!has(backend.labels.member)", "1.0");
     let of_route = PlacementPolicy {
@@ -135,23 +135,23 @@
         routes: vec![pack_address(ROUTE)],
         ..policy("member", "has(backend.labels.member)", "1.0")
     };
-    tell(&mut world, 1, std::slice::from_ref(&of_service));
+    send_policies(&mut world, 1, std::slice::from_ref(&of_service));
     let agents = open_flows(&mut world, 1..20);
     assert!(!agents.contains(&agent_address(3)));
-    tell(&mut world, 2, &[of_service, of_route]);
+    send_policies(&mut world, 2, &[of_service, of_route]);
     let agents = open_flows(&mut world, 21..40);
     assert!(agents.iter().all(|agent| *agent == agent_address(3)));
 }
 
 #[test]
-fn the_callers_zone_is_preferred_while_it_has_room() {
+fn the_callers_zone_is_preferred_while_it_has_free_slots() {
     let mut world = World::new(2, 2);
     world.zone_of = |index| if index == 2 { "b" } else { "a" };
     world.start_agent(2);
     world.register(2, 2, false, 1);
     world.run(SECOND);
     let weight = "backend.zone == service.zone ? 1.0 : 0.000001";
-    tell(&mut world, 1, &[policy("near", "true", weight)]);
+    send_policies(&mut world, 1, &[policy("near", "true", weight)]);
     let agents = open_flows(&mut world, 1..3);
     assert!(agents.iter().all(|agent| *agent == agent_address(1)));
     // Both slots are taken: what comes next goes to the other zone.
@@ -160,28 +160,28 @@
 }
 
 #[test]
-fn what_started_a_moment_ago_gets_nothing_before_its_time() {
-    let mut world = World::new(3, CAPACITY);
-    let young = 3;
-    run_with_calls(&mut world, &[1, 2], 70);
-    world.start_agent(young);
-    run_with_calls(&mut world, &[1, 2, young], 1);
-    tell(
+fn a_back_end_gets_no_flow_before_the_age_that_a_policy_requires() {
+    let mut world = World::new(3, SLOTS);
+    let young_agent = 3;
+    run_with_registrations(&mut world, &[1, 2], 70);
+    world.start_agent(young_agent);
+    run_with_registrations(&mut world, &[1, 2, young_agent], 1);
+    send_policies(
         &mut world,
         1,
         &[policy("grown", "backend.age_seconds >= 60.0", "1.0")],
     );
     let agents = open_flows(&mut world, 1..30);
-    assert!(!agents.contains(&agent_address(young)));
-    run_with_calls(&mut world, &[1, 2, young], 61);
+    assert!(!agents.contains(&agent_address(young_agent)));
+    run_with_registrations(&mut world, &[1, 2, young_agent], 61);
     let agents = open_flows(&mut world, 31..60);
-    assert!(agents.contains(&agent_address(young)));
+    assert!(agents.contains(&agent_address(young_agent)));
 }
 
 #[test]
-fn nobody_eligible_is_refused_at_once_and_said_once() {
-    let mut world = World::new(3, CAPACITY);
-    tell(&mut world, 1, &[policy("none", "false", "1.0")]);
+fn flows_without_an_eligible_back_end_are_refused_and_this_is_logged_once() {
+    let mut world = World::new(3, SLOTS);
+    send_policies(&mut world, 1, &[policy("none", "false", "1.0")]);
     for port in 1..=5 {
         world.open(port, 0);
     }
@@ -193,33 +193,33 @@
             .all(|it| it.contains("no_eligible_backend"))
     );
     assert_eq!(world.without_eligible.len(), 1);
-    tell(&mut world, 2, &[]);
+    send_policies(&mut world, 2, &[]);
     open_flows(&mut world, 6..8);
-    tell(&mut world, 3, &[policy("none", "true", "0.0")]);
+    send_policies(&mut world, 3, &[policy("none", "true", "0.0")]);
     world.open(9, 0);
     assert_eq!(world.resets(), 6);
 }
 
 #[test]
-fn a_policy_that_fails_for_a_back_end_leaves_that_one_out() {
+fn a_policy_that_fails_for_a_back_end_excludes_it() {
     let mut world = labelled_world(3, &[2], "share", "many");
     let weight = "has(backend.labels.share) ? double(backend.labels.share) : 1.0";
-    tell(&mut world, 1, &[policy("by label", "true", weight)]);
+    send_policies(&mut world, 1, &[policy("by label", "true", weight)]);
     let agents = open_flows(&mut world, 1..30);
     assert!(!agents.contains(&agent_address(2)));
 }
 
 #[test]
-fn older_policies_change_nothing() {
-    let mut world = World::new(2, CAPACITY);
-    tell(&mut world, 5, &[]);
-    tell(&mut world, 4, &[policy("none", "false", "1.0")]);
+fn older_policies_have_no_effect() {
+    let mut world = World::new(2, SLOTS);
+    send_policies(&mut world, 5, &[]);
+    send_policies(&mut world, 4, &[policy("none", "false", "1.0")]);
     assert_eq!(world.balancer.policies_index(), 5);
     open_flows(&mut world, 1..3);
 }
 
 #[test]
-fn open_flows_stay_through_fifty_changes_and_new_ones_land_where_they_may() {
+fn open_flows_stay_through_fifty_policy_changes_that_new_flows_follow() {
     let mut world = labelled_world(8, &[1, 2, 3, 4], "half", "first");
     let first = "has(backend.labels.half)";
     let owners = open_flows(&mut world, 1..40);
@@ -234,11 +234,11 @@
         } else {
             format!("!{first}")
         };
-        tell(&mut world, change, &[policy("half", &eligible, "1.0")]);
+        send_policies(&mut world, change, &[policy("half", &eligible, "1.0")]);
         if change == 20 {
             // A balancer that joins gets its policies before it is current.
             world.restart_balancer();
-            tell(&mut world, change, &[policy("half", &eligible, "1.0")]);
+            send_policies(&mut world, change, &[policy("half", &eligible, "1.0")]);
         }
         if change == 30 {
             // An agent with an old state: its reports stop.
@@ -247,7 +247,7 @@
         for _ in 0..2 {
             world.open(port, 0);
             world.run(400 * MILLI);
-            let agent = world.accepted_by(port).expect("an answer");
+            let agent = world.accepted_by(port).expect("an accepted flow");
             let index = agent.ip().octets()[3];
             assert_eq!(index <= 4, is_first, "change {change}");
             port += 1;
@@ -266,84 +266,84 @@
 }
 
 #[test]
-fn a_policy_is_evaluated_only_when_what_it_reads_has_changed() {
-    let mut world = World::new(20, CAPACITY);
-    tell(
+fn a_policy_is_evaluated_only_when_its_inputs_change() {
+    let mut world = World::new(20, SLOTS);
+    send_policies(
         &mut world,
         1,
         &[policy("static", "backend.zone == 'a'", "backend.slots")],
     );
-    open_and_end(&mut world, 1..200);
-    let figures = world.balancer.policy_stats();
-    assert_eq!(figures[0].placed, 199);
-    assert!(figures[0].evaluations <= 2 * 20, "{figures:?}");
-    tell(
+    open_and_close(&mut world, 1..200);
+    let stats = world.balancer.policy_stats();
+    assert_eq!(stats[0].placed, 199);
+    assert!(stats[0].evaluations <= 2 * 20, "{stats:?}");
+    send_policies(
         &mut world,
         2,
         &[policy("load", "true", "1.0 + backend.free_slots")],
     );
-    open_and_end(&mut world, 200..400);
-    let figures = world.balancer.policy_stats();
-    let each = figures[0].evaluations as f64 / figures[0].placed as f64;
-    assert!(each <= 4.0, "{each} evaluations for each flow");
+    open_and_close(&mut world, 200..400);
+    let stats = world.balancer.policy_stats();
+    let each = stats[0].evaluations as f64 / stats[0].placed as f64;
+    assert!(each <= 4.0, "{each} evaluations per flow");
 }
 
 #[test]
-fn a_back_end_that_calls_after_its_agent_was_reported_ready_is_described_at_once() {
-    let mut world = World::new(2, CAPACITY);
+fn a_registration_with_a_ready_agent_is_reported_at_once() {
+    let mut world = World::new(2, SLOTS);
     world.start_agent(1);
     // Packets show that a back end is there, which has not called this life of its agent.
     world.send_backend_data(agent_address(1), 900);
     world.run(SECOND);
-    tell(
+    send_policies(
         &mut world,
         1,
         &[policy("one", "backend.name == 'backend-1'", "1.0")],
     );
     world.open(1, 0);
     assert_eq!(world.resets(), 1);
-    world.register(1, CAPACITY, false, 100);
+    world.register(1, SLOTS, false, 100);
     world.run(5 * MILLI);
     assert_eq!(open_flows(&mut world, 2..3), [agent_address(1)]);
 }
 
 /// Evaluations for each flow of policies that read no load, and that read it.
 fn evaluations_with(agents: u8) -> [f64; 2] {
-    let mut world = World::new(agents, CAPACITY);
-    let mut told = Vec::new();
+    let mut world = World::new(agents, SLOTS);
+    let mut per_flow = Vec::new();
     for (index, weight) in [(1, "backend.slots"), (2, "1.0 + backend.free_slots")] {
         let before = world.balancer.policy_stats();
         let before = before
             .first()
             .map_or((0, 0), |it| (it.placed, it.evaluations));
-        tell(&mut world, index, &[policy("counted", "true", weight)]);
+        send_policies(&mut world, index, &[policy("counted", "true", weight)]);
         let first = 1 + 1_000 * index as u16;
-        open_and_end(&mut world, first..first + 200);
+        open_and_close(&mut world, first..first + 200);
         let after = &world.balancer.policy_stats()[0];
         let placed = (after.placed - before.0) as f64;
         // Each back end has to be evaluated once before.
         let evaluations = (after.evaluations - before.1 - u64::from(agents)) as f64;
-        told.push(evaluations / placed);
+        per_flow.push(evaluations / placed);
     }
-    [told[0], told[1]]
+    [per_flow[0], per_flow[1]]
 }
 
 #[test]
-fn evaluations_for_each_flow_do_not_grow_with_the_back_ends() {
+fn evaluations_per_flow_do_not_grow_with_the_number_of_back_ends() {
     for agents in [35, 205] {
-        let [of_profile, of_load] = evaluations_with(agents);
+        let [without_load, with_load] = evaluations_with(agents);
         // An agent is evaluated anew after a flow was sent there, after its answer, after
         // packets that change its load, and after its reports.
-        assert!(of_profile <= 0.1, "{agents}: {of_profile}");
-        assert!(of_load <= 5.0, "{agents}: {of_load}");
+        assert!(without_load <= 0.1, "{agents} agents: {without_load}");
+        assert!(with_load <= 5.0, "{agents} agents: {with_load}");
     }
 }
 
 #[test]
-fn a_policy_that_the_balancer_cannot_compile_lets_nobody_through_until_it_is_replaced() {
-    let mut world = World::new(3, CAPACITY);
+fn a_policy_that_does_not_compile_makes_no_back_end_eligible() {
+    let mut world = World::new(3, SLOTS);
     let owner = open_flows(&mut world, 1..2)[0];
-    tell(
+    send_policies(
         &mut world,
         1,
         &[policy("newer", "backend.unheard_of > 1", "1.0")],
@@ -356,19 +356,19 @@
     world.request(1, owner);
     assert!(
         world.data_packets_at(owner) > before,
-        "an open flow was touched"
+        "an open flow was not served"
     );
-    tell(&mut world, 2, &[policy("newer", "true", "1.0")]);
+    send_policies(&mut world, 2, &[policy("newer", "true", "1.0")]);
     open_flows(&mut world, 3..6);
 }
 
 #[test]
-fn a_weight_of_zero_gets_nothing_when_the_others_are_full() {
+fn a_back_end_of_weight_zero_gets_no_flow_when_the_others_are_full() {
     let mut world = labelled_world(3, &[], "none", "");
     let weight = "backend.name == 'backend-2' ? 0.0 : 1.0";
-    tell(&mut world, 1, &[policy("spare", "true", weight)]);
-    world.fill_from_other_balancer(1, 4 * CAPACITY as u16);
-    world.fill_from_other_balancer(3, 4 * CAPACITY as u16);
+    send_policies(&mut world, 1, &[policy("spare", "true", weight)]);
+    world.fill_from_other_balancer(1, 4 * SLOTS as u16);
+    world.fill_from_other_balancer(3, 4 * SLOTS as u16);
     for port in 1..=10 {
         world.open(port, 0);
         world.run(20 * MILLI);
@@ -378,10 +378,10 @@
 }
 
 #[test]
-fn back_ends_of_weight_zero_are_no_reason_to_leave_out_the_one_that_gets_all() {
-    let mut world = World::new(10, CAPACITY);
+fn back_ends_of_weight_zero_do_not_count_for_the_ejection_limit() {
+    let mut world = World::new(10, SLOTS);
     let weight = "backend.name == 'backend-1' ? 1.0 : 0.0";
-    tell(&mut world, 1, &[policy("one", "true", weight)]);
+    send_policies(&mut world, 1, &[policy("one", "true", weight)]);
     world.resetting = vec![agent_address(1)];
     for port in FIRST_OWN_PORT..FIRST_OWN_PORT + 20 {
         world.open(port, 0);
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn a_share_whose_back_ends_are_all_busy_spills_over_however_many_they_are() {
+fn flows_of_a_weight_whose_back_ends_are_all_busy_go_to_another_weight() {
     let mut world = World::new(12, 2);
     world.zone_of = |_| "b";
     for index in 13..=24 {
@@ -409,7 +409,7 @@
     }
     world.run(SECOND);
     let weight = "backend.zone == service.zone ? 1.0 : 0.000001";
-    tell(&mut world, 1, &[policy("near", "true", weight)]);
+    send_policies(&mut world, 1, &[policy("near", "true", weight)]);
     for index in 1..=12 {
         world.fill_from_other_balancer(index, 2);
     }
@@ -417,18 +417,18 @@
     for port in 1..=10 {
         world.open(port, 0);
         world.run(5 * MILLI);
-        let agent = world.accepted_by(port).expect("an answer");
-        assert!(agent.ip().octets()[3] > 12, "{agent} has no room");
+        let agent = world.accepted_by(port).expect("an accepted flow");
+        assert!(agent.ip().octets()[3] > 12, "{agent} has no free slot");
     }
 }
 
 #[test]
 fn a_back_end_that_has_just_started_is_eligible() {
-    let mut world = World::new(3, CAPACITY);
+    let mut world = World::new(3, SLOTS);
     world.start_agent(2);
     world.run(SECOND);
     let eligible = "backend.name == ''";
-    tell(&mut world, 1, &[policy("unnamed", eligible, "1.0")]);
+    send_policies(&mut world, 1, &[policy("unnamed", eligible, "1.0")]);
     for port in 1..=3 {
         world.open(port, 0);
         world.run(5 * MILLI);
@@ -437,30 +437,30 @@
 }
 
 #[test]
-fn an_agent_at_the_address_of_a_forgotten_one_is_judged_anew() {
+fn an_agent_at_the_address_of_a_removed_one_is_evaluated_again() {
     let mut world = labelled_world(2, &[2], "version", "v1");
     let eligible = "has(backend.labels.version) && backend.labels.version == 'v1'";
-    tell(&mut world, 1, &[policy("v1", eligible, "1.0")]);
+    send_policies(&mut world, 1, &[policy("v1", eligible, "1.0")]);
     open_flows(&mut world, 1..3);
     world.agents.remove(&agent_address(2));
-    run_with_calls(&mut world, &[1], 12);
+    run_with_registrations(&mut world, &[1], 12);
     assert_eq!(world.balancer.table_sizes().1, 1);
     // The new one says as much of itself as the former one did.
     world.start_agent(2);
-    world.register(2, CAPACITY, false, 1);
+    world.register(2, SLOTS, false, 1);
     world.run(5 * MILLI);
-    label(&mut world, 2, "version", "v2");
+    register_with_label(&mut world, 2, "version", "v2");
     world.run(SECOND);
     world.open(10, 0);
     world.run(5 * MILLI);
-    assert_eq!(world.accepted_by(10), None, "its label is another one now");
-    let figures = world.balancer.policy_stats();
-    assert_eq!(figures[0].eligible, 0);
+    assert_eq!(world.accepted_by(10), None, "its label has changed");
+    let stats = world.balancer.policy_stats();
+    assert_eq!(stats[0].eligible, 0);
 }
 
 #[test]
-fn a_balancer_that_starts_has_the_policies_once_it_is_current() {
-    let mut world = World::new(3, CAPACITY);
+fn a_starting_balancer_has_the_policies_once_it_is_up_to_date() {
+    let mut world = World::new(3, SLOTS);
     let confirmed = VersionConfirmed {
         confirmation_id: 7,
         version: 3,
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -43,7 +43,7 @@
     }
 }
 
-fn founded(count: u8) -> Group {
+fn start_group(count: u8) -> Group {
     let mut group = Group::start(count);
     group.replace(3, 1);
     group.run_until(10 * SECOND, "all vote", |it| {
@@ -54,18 +54,18 @@
 
 fn leader(group: &mut Group) -> u8 {
     group.run_until(10 * SECOND, "a leader", |it| it.leader().is_some());
-    group.leader().expect("there is one")
+    group.leader().expect("a leader")
 }
 
 /// Asks the leader and waits for the answer.
-fn ask(group: &mut Group, request: ConfigurationRequest) -> ConfigurationResponse {
+fn send_request(group: &mut Group, request: ConfigurationRequest) -> ConfigurationResponse {
     let leader = leader(group);
     let token = group.request(leader, request);
-    group.run_until(2 * SECOND, "an answer", |it| it.response(token).is_some());
-    group.response(token).expect("there is one").clone()
+    group.run_until(2 * SECOND, "a response", |it| it.response(token).is_some());
+    group.response(token).expect("a response").clone()
 }
 
-fn index_of(response: &ConfigurationResponse) -> u64 {
+fn changed_index(response: &ConfigurationResponse) -> u64 {
     match response {
         ConfigurationResponse::PolicyChanged { index, .. } => *index,
         other => panic!("not accepted: {other:?}"),
@@ -78,10 +78,10 @@
 }
 
 #[test]
-fn an_accepted_policy_holds_at_all_replicas_and_survives_the_end_of_all() {
-    let mut group = founded(3);
+fn an_accepted_policy_reaches_all_replicas_and_survives_their_restart() {
+    let mut group = start_group(3);
     let near = policy("near", "true", &["desk"]);
-    index_of(&ask(&mut group, put(&near, None)));
+    changed_index(&send_request(&mut group, put(&near, None)));
     group.run(SECOND);
     for replica in 1..=3 {
         assert_eq!(names_at(&group, replica), ["near"]);
@@ -99,8 +99,8 @@
 
 #[test]
 fn a_policy_reaches_an_empty_replica_in_a_snapshot() {
-    let mut group = founded(5);
-    index_of(&ask(
+    let mut group = start_group(5);
+    changed_index(&send_request(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
@@ -115,20 +115,26 @@
 }
 
 #[test]
-fn a_change_that_is_sent_again_is_acknowledged_and_changes_nothing() {
-    let mut group = founded(3);
+fn a_repeated_change_is_acknowledged_and_has_no_effect() {
+    let mut group = start_group(3);
     let near = policy("near", "true", &["desk"]);
-    let first = index_of(&ask(&mut group, put(&near, None)));
+    let first = changed_index(&send_request(&mut group, put(&near, None)));
     // Its answer was lost; meanwhile nothing else has changed.
-    assert_eq!(index_of(&ask(&mut group, put(&near, None))), first);
-    let gone = index_of(&ask(&mut group, remove("near")));
-    assert_eq!(index_of(&ask(&mut group, remove("near"))), gone);
+    assert_eq!(
+        changed_index(&send_request(&mut group, put(&near, None))),
+        first
+    );
+    let removed = changed_index(&send_request(&mut group, remove("near")));
+    assert_eq!(
+        changed_index(&send_request(&mut group, remove("near"))),
+        removed
+    );
 }
 
 #[test]
-fn of_two_operators_with_one_base_only_one_gets_through() {
-    let mut group = founded(3);
-    let base = index_of(&ask(
+fn of_two_changes_with_the_same_base_one_is_refused() {
+    let mut group = start_group(3);
+    let base = changed_index(&send_request(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
@@ -140,27 +146,27 @@
         group.request(leader, put(&old, Some(base))),
     ];
     group.run(SECOND);
-    let answers = tokens.map(|token| group.response(token).expect("an answer").clone());
-    let index = index_of(&answers[0]);
+    let responses = tokens.map(|token| group.response(token).expect("a response").clone());
+    let index = changed_index(&responses[0]);
     let refusal = PolicyRefusal::Conflict {
         based_on: base,
         current: index,
     };
-    assert_eq!(answers[1], ConfigurationResponse::PolicyRefused(refusal));
-    let held = group.node(leader).policies().for_service("desk").cloned();
-    assert_eq!(held, Some(far));
+    assert_eq!(responses[1], ConfigurationResponse::PolicyRefused(refusal));
+    let stored = group.node(leader).policies().for_service("desk").cloned();
+    assert_eq!(stored, Some(far));
 }
 
 #[test]
-fn wrong_policies_are_refused_whole_with_the_place_of_the_fault() {
-    let mut group = founded(3);
+fn invalid_policies_are_refused_with_the_position_of_the_error() {
+    let mut group = start_group(3);
     for wrong in [
         "1.0 +",
         "backend.slots",
         "slots > 2",
         "backend.labels.x == 'y'",
     ] {
-        match ask(&mut group, put(&policy("wrong", wrong, &["desk"]), None)) {
+        match send_request(&mut group, put(&policy("wrong", wrong, &["desk"]), None)) {
             ConfigurationResponse::PolicyRefused(PolicyRefusal::Invalid { message }) => {
                 assert!(message.contains("eligible, line 1"), "{wrong}: {message}");
             }
@@ -169,38 +175,41 @@
     }
     let leader = leader(&mut group);
     assert_eq!(group.node(leader).policies().index(), 0);
-    let sound = ConfigurationRequest::CheckPolicy(policy("sound", "true", &[]));
-    assert_eq!(ask(&mut group, sound), ConfigurationResponse::PolicyValid);
+    let valid = ConfigurationRequest::CheckPolicy(policy("sound", "true", &[]));
+    assert_eq!(
+        send_request(&mut group, valid),
+        ConfigurationResponse::PolicyValid
+    );
 }
 
 #[test]
-fn a_service_has_one_policy_and_there_is_a_bound_on_all() {
-    let mut group = founded(3);
-    index_of(&ask(
+fn a_service_has_one_policy_and_the_number_of_policies_is_limited() {
+    let mut group = start_group(3);
+    changed_index(&send_request(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
-    let second = ask(&mut group, put(&policy("far", "true", &["desk"]), None));
+    let second = send_request(&mut group, put(&policy("far", "true", &["desk"]), None));
     assert!(matches!(
         second,
         ConfigurationResponse::PolicyRefused(PolicyRefusal::SharedScope { .. })
     ));
     for number in 1..MAX_PLACEMENT_POLICIES {
-        index_of(&ask(
+        changed_index(&send_request(
             &mut group,
             put(&policy(&format!("p{number}"), "true", &[]), None),
         ));
     }
-    let more = ask(&mut group, put(&policy("more", "true", &[]), None));
+    let more = send_request(&mut group, put(&policy("more", "true", &[]), None));
     let refusal = ConfigurationResponse::PolicyRefused(PolicyRefusal::TooLarge);
     assert_eq!(more, refusal);
 }
 
 #[test]
-fn balancers_that_follow_are_told_and_those_that_know_are_not_told_again() {
-    let mut group = founded(3);
+fn subscribed_balancers_are_notified_of_policies_that_they_lack() {
+    let mut group = start_group(3);
     let leader = leader(&mut group);
-    let attach = |known| {
+    let subscribe = |known| {
         PassThroughBody::Subscribe(Subscribe {
             incarnation: 1,
             wants_updates: true,
@@ -208,44 +217,44 @@
             ..Subscribe::default()
         })
     };
-    group.receive(leader, BALANCER, attach(0));
+    group.receive(leader, BALANCER, subscribe(0));
     group.sent_to_daemons.clear();
-    let index = index_of(&ask(
+    let index = changed_index(&send_request(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
-    let told = |group: &Group| {
+    let sent_indexes = |group: &Group| {
         let sent = group.sent_to_daemons.iter();
-        let told = sent.filter_map(|(_, _, body)| match body {
+        let sent_indexes = sent.filter_map(|(_, _, body)| match body {
             PassThroughBody::GroupStatus(group) => group.policies.as_ref().map(|it| it.index),
             _ => None,
         });
-        told.collect::<Vec<u64>>()
+        sent_indexes.collect::<Vec<u64>>()
     };
-    assert_eq!(told(&group), [index]);
+    assert_eq!(sent_indexes(&group), [index]);
     group.sent_to_daemons.clear();
-    group.receive(leader, BALANCER, attach(index));
-    assert!(told(&group).is_empty());
-    group.receive(leader, BALANCER, attach(0));
-    assert_eq!(told(&group), [index]);
+    group.receive(leader, BALANCER, subscribe(index));
+    assert!(sent_indexes(&group).is_empty());
+    group.receive(leader, BALANCER, subscribe(0));
+    assert_eq!(sent_indexes(&group), [index]);
 }
 
 #[test]
-fn the_confirmation_that_makes_a_balancer_current_has_the_policies() {
-    let mut group = founded(3);
-    let index = index_of(&ask(
+fn the_confirmation_of_the_newest_version_contains_the_policies() {
+    let mut group = start_group(3);
+    let index = changed_index(&send_request(
         &mut group,
         put(&policy("near", "true", &["desk"]), None),
     ));
     let leader = leader(&mut group);
     group.sent_to_daemons.clear();
-    let follow = Subscribe {
+    let poll = Subscribe {
         incarnation: 1,
         confirmation_id: 5,
         policies_index: index,
         ..Subscribe::default()
     };
-    group.receive(leader, BALANCER, PassThroughBody::Subscribe(follow));
+    group.receive(leader, BALANCER, PassThroughBody::Subscribe(poll));
     group.run(SECOND);
     let confirmed = group
         .sent_to_daemons
@@ -259,14 +268,14 @@
 }
 
 #[test]
-fn a_cut_off_leader_accepts_nothing() {
-    let mut group = founded(3);
+fn an_isolated_leader_accepts_no_change() {
+    let mut group = start_group(3);
     let first = leader(&mut group);
     group.cut_off(first);
     let token = group.request(first, put(&policy("near", "true", &["desk"]), None));
     group.run(3 * SECOND);
-    let answer = group.response(token);
-    assert_eq!(answer, Some(&ConfigurationResponse::Unavailable));
+    let response = group.response(token);
+    assert_eq!(response, Some(&ConfigurationResponse::Unavailable));
     group.heal();
     group.run(3 * SECOND);
     for replica in 1..=3 {
@@ -276,8 +285,8 @@
 
 #[test]
 fn an_explanation_names_the_condition_and_the_age_of_its_inputs() {
-    let mut group = founded(3);
-    index_of(&ask(
+    let mut group = start_group(3);
+    changed_index(&send_request(
         &mut group,
         put(
             &policy("new", "true && backend.labels.size() > 0", &["desk"]),
@@ -307,7 +316,8 @@
     let request = ConfigurationRequest::ExplainPolicy {
         service: "desk".to_owned(),
     };
-    let ConfigurationResponse::PolicyExplained(explained) = ask(&mut group, request) else {
+    let ConfigurationResponse::PolicyExplained(explained) = send_request(&mut group, request)
+    else {
         panic!("no explanation");
     };
     assert_eq!(explained.policy, "new");
@@ -323,23 +333,23 @@
 
 #[test]
 fn a_change_based_on_no_policies_is_refused_once_there_is_one() {
-    let mut group = founded(3);
+    let mut group = start_group(3);
     let near = policy("near", "true", &["desk"]);
-    let index = index_of(&ask(&mut group, put(&near, Some(0))));
+    let index = changed_index(&send_request(&mut group, put(&near, Some(0))));
     let far = policy("near", "false", &["desk"]);
     let refusal = PolicyRefusal::Conflict {
         based_on: 0,
         current: index,
     };
     assert_eq!(
-        ask(&mut group, put(&far, Some(0))),
+        send_request(&mut group, put(&far, Some(0))),
         ConfigurationResponse::PolicyRefused(refusal)
     );
     let again = ConfigurationResponse::PolicyChanged {
         index,
         changed: false,
     };
-    assert_eq!(ask(&mut group, put(&near, Some(0))), again);
+    assert_eq!(send_request(&mut group, put(&near, Some(0))), again);
 }
 
 #[derive(Clone, Debug)]
@@ -367,11 +377,11 @@
     /// What is acknowledged holds in the order of the acknowledgements, and the index
     /// never goes back.
     #[test]
-    fn acknowledged_changes_hold_and_the_index_rises(
+    fn acknowledged_changes_are_applied_and_the_index_increases(
         operations in prop::collection::vec(operation(), 1..14)
     ) {
-        let mut group = founded(3);
-        let mut held = std::collections::BTreeMap::new();
+        let mut group = start_group(3);
+        let mut stored = std::collections::BTreeMap::new();
         let mut last = 0;
         for operation in operations {
             let (name, expected, request) = match operation {
@@ -392,7 +402,7 @@
                 }
             };
             let index = loop {
-                match ask(&mut group, request.clone()) {
+                match send_request(&mut group, request.clone()) {
                     ConfigurationResponse::PolicyChanged { index, .. } => break index,
                     // Sent again unchanged, as operators do.
                     ConfigurationResponse::Unavailable
@@ -403,28 +413,28 @@
             prop_assert!(index >= last);
             last = index;
             match expected {
-                Some(policy) => held.insert(name, policy),
-                None => held.remove(&name),
+                Some(policy) => stored.insert(name, policy),
+                None => stored.remove(&name),
             };
-            let read = match ask(&mut group, ConfigurationRequest::ReadPolicies) {
+            let read = match send_request(&mut group, ConfigurationRequest::ReadPolicies) {
                 ConfigurationResponse::Policies(read) => read,
                 other => panic!("{other:?}"),
             };
             let read = read.policies.into_iter().map(|it| (it.name.clone(), it));
-            prop_assert_eq!(read.collect::<std::collections::BTreeMap<_, _>>(), held.clone());
+            prop_assert_eq!(read.collect::<std::collections::BTreeMap<_, _>>(), stored.clone());
         }
     }
 }
 
 #[test]
-fn a_policy_that_is_too_large_for_the_log_is_refused_for_good() {
-    let mut group = founded(3);
+fn a_policy_that_is_too_large_for_the_log_is_refused() {
+    let mut group = start_group(3);
     let names: Vec<String> = (0..8_000).map(|it| format!("service-{it}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let refusal = ConfigurationResponse::PolicyRefused(PolicyRefusal::TooLarge);
     for count in [2_000, 8_000] {
         let large = policy("large", "true", &names[..count]);
-        assert_eq!(ask(&mut group, put(&large, None)), refusal);
+        assert_eq!(send_request(&mut group, put(&large, None)), refusal);
     }
     let leader = leader(&mut group);
     assert_eq!(group.node(leader).policies().index(), 0);
--- a/crates/petrellatch-core/tests/pass_through/returned_syns.rs
+++ b/crates/petrellatch-core/tests/pass_through/returned_syns.rs
@@ -3,16 +3,16 @@
 use super::world::{World, agent_address};
 
 #[test]
-fn an_agent_whose_back_end_returned_an_opening_is_asked_last_for_a_while() {
+fn an_agent_whose_back_end_returned_a_syn_is_deprioritized() {
     let mut world = World::new(4, 8);
-    let shedding = agent_address(1);
-    world.returning_syns = vec![shedding];
+    let returning = agent_address(1);
+    world.returning_syns = vec![returning];
     // The others have 24 slots.
     for port in 1..=20 {
         world.open(port, 0);
     }
-    let returned = world.backends[&shedding].received.len();
-    assert!(returned <= 1, "{returned} flows went to it");
+    let returned = world.backends[&returning].received.len();
+    assert!(returned <= 1, "{returned} flows were offered to it");
     for port in 1..=20 {
         assert!(world.accepted_by(port).is_some());
     }
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -86,12 +86,12 @@
                     }
                 }
             }
-            self.answer();
+            self.run_replica();
         }
         reports
     }
 
-    fn answer(&mut self) {
+    fn run_replica(&mut self) {
         let now = self.now;
         if self.replica.poll_timeout() <= now {
             self.replica.handle_timeout(now);
@@ -112,13 +112,13 @@
     }
 
     /// Agents that the replica would tell a balancer of.
-    fn known(&mut self) -> u32 {
-        let follow = Subscribe {
+    fn known_agents(&mut self) -> u32 {
+        let poll = Subscribe {
             wants_updates: true,
             ..Subscribe::default()
         };
         let balancer = replica_address(200);
-        let body = PassThroughBody::Subscribe(follow);
+        let body = PassThroughBody::Subscribe(poll);
         self.replica.handle_message(self.now, balancer, body);
         while let Some(output) = self.replica.poll_output() {
             if let ConfigurationOutput::Send { to, body } = output
@@ -128,37 +128,37 @@
                 return group.report_interval_millis * 50 / 1_000;
             }
         }
-        panic!("no answer");
+        panic!("no reply");
     }
 }
 
 #[test]
-fn reports_of_many_agents_cost_a_replica_no_more_than_those_of_some() {
+fn reports_of_many_agents_are_limited_to_60_per_second() {
     let mut reports = Reports::new(1_000);
     reports.run(40 * SECOND);
     let count = reports.run(60 * SECOND);
     assert!(count <= 60 * 60, "{count} reports in a minute");
-    assert_eq!(reports.known(), 1_000);
+    assert_eq!(reports.known_agents(), 1_000);
 }
 
 #[test]
-fn agents_that_died_are_forgotten_in_a_large_fleet_too() {
+fn ended_agents_are_removed_in_a_large_fleet() {
     let mut reports = Reports::new(400);
     reports.run(30 * SECOND);
     for index in 0..100 {
         reports.agents.remove(&agent_address(index));
     }
     reports.run(60 * SECOND);
-    assert_eq!(reports.known(), 300);
+    assert_eq!(reports.known_agents(), 300);
 }
 
 /// Carries messages between a replica that has started and the first one.
-fn exchange(started: &mut ConfigurationNode, reports: &mut Reports) {
+fn exchange(starting: &mut ConfigurationNode, reports: &mut Reports) {
     let (first, newcomer) = (replica_address(1), replica_address(2));
     let now = reports.now;
-    started.handle_timeout(now);
+    starting.handle_timeout(now);
     for _ in 0..3 {
-        while let Some(output) = started.poll_output() {
+        while let Some(output) = starting.poll_output() {
             if let ConfigurationOutput::Send { to, body } = output
                 && to == first
             {
@@ -169,46 +169,46 @@
             if let ConfigurationOutput::Send { to, body } = output
                 && to == newcomer
             {
-                started.handle_message(now, first, body);
+                starting.handle_message(now, first, body);
             }
         }
     }
 }
 
 #[test]
-fn a_replica_that_starts_takes_over_which_agents_there_are() {
+fn a_starting_replica_fetches_the_directory_from_another() {
     let mut reports = Reports::new(300);
     reports.run(20 * SECOND);
-    let mut started = start_replica(reports.now, replica_address(2), replica_address(1));
-    exchange(&mut started, &mut reports);
-    reports.replica = started;
-    assert_eq!(reports.known(), 300);
+    let mut starting = start_replica(reports.now, replica_address(2), replica_address(1));
+    exchange(&mut starting, &mut reports);
+    reports.replica = starting;
+    assert_eq!(reports.known_agents(), 300);
 }
 
 #[test]
-fn a_replica_that_starts_asks_on_while_others_have_just_started_too() {
+fn a_starting_replica_repeats_its_fetch_while_others_start() {
     let mut reports = Reports::new(300);
-    let mut started = start_replica(reports.now, replica_address(2), replica_address(1));
-    exchange(&mut started, &mut reports);
+    let mut starting = start_replica(reports.now, replica_address(2), replica_address(1));
+    exchange(&mut starting, &mut reports);
     for _ in 0..5 {
         reports.run(Duration::from_millis(200));
-        exchange(&mut started, &mut reports);
+        exchange(&mut starting, &mut reports);
     }
-    reports.replica = started;
-    assert_eq!(reports.known(), 300);
+    reports.replica = starting;
+    assert_eq!(reports.known_agents(), 300);
 }
 
 /// A balancer among replicas that answer or not.
-struct Attached {
+struct PollingTest {
     now: Timestamp,
     balancer: PassThroughBalancer<TestCodec>,
     silent: Vec<u8>,
     leaderless: Vec<u8>,
     /// Questions by replica, attached ones only.
-    asked: BTreeMap<u8, usize>,
+    polled: BTreeMap<u8, usize>,
     version: u64,
     /// Questions that the leader got for the newest version.
-    confirms: usize,
+    confirmation_requests: usize,
 }
 
 const REPLICAS: u8 = 9;
@@ -226,19 +226,19 @@
     PassThroughBalancer::new(START, settings, TestCodec, incarnation, contacts)
 }
 
-impl Attached {
-    fn new(incarnation: u64) -> Attached {
-        let mut attached = Attached {
+impl PollingTest {
+    fn new(incarnation: u64) -> PollingTest {
+        let mut test = PollingTest {
             now: START,
             balancer: new_balancer(incarnation),
             silent: Vec::new(),
             leaderless: Vec::new(),
-            asked: BTreeMap::new(),
+            polled: BTreeMap::new(),
             version: 0,
-            confirms: 0,
+            confirmation_requests: 0,
         };
-        attached.run(SECOND);
-        attached
+        test.run(SECOND);
+        test
     }
 
     fn run(&mut self, duration: Duration) {
@@ -260,25 +260,25 @@
     fn exchange(&mut self) {
         while let Some(output) = self.balancer.poll_output() {
             if let PassThroughOutput::Send { to, body } = output
-                && let PassThroughBody::Subscribe(follow) = body
+                && let PassThroughBody::Subscribe(poll) = body
             {
-                self.answer(to, &follow);
+                self.reply(to, &poll);
             }
         }
     }
 
-    fn answer(&mut self, to: SocketAddrV4, follow: &Subscribe) {
+    fn reply(&mut self, to: SocketAddrV4, poll: &Subscribe) {
         let index = to.ip().octets()[3];
-        if follow.wants_updates {
-            *self.asked.entry(index).or_default() += 1;
+        if poll.wants_updates {
+            *self.polled.entry(index).or_default() += 1;
         }
         if self.silent.contains(&index) {
             return;
         }
-        if follow.confirmation_id != 0 && index == 1 && !self.leaderless.contains(&1) {
-            self.confirms += 1;
+        if poll.confirmation_id != 0 && index == 1 && !self.leaderless.contains(&1) {
+            self.confirmation_requests += 1;
             let confirmed = VersionConfirmed {
-                confirmation_id: follow.confirmation_id,
+                confirmation_id: poll.confirmation_id,
                 version: self.version,
                 zones: None,
                 ..VersionConfirmed::default()
@@ -305,68 +305,71 @@
     }
 
     /// Who was asked in the last while.
-    fn take_asked(&mut self) -> Vec<u8> {
-        std::mem::take(&mut self.asked).into_keys().collect()
+    fn take_polled(&mut self) -> Vec<u8> {
+        std::mem::take(&mut self.polled).into_keys().collect()
     }
 }
 
 #[test]
-fn balancers_spread_over_the_replicas_and_ask_two_of_them() {
-    let mut followers = BTreeMap::<u8, usize>::new();
+fn balancers_spread_over_the_replicas_and_poll_two_of_them() {
+    let mut subscribers = BTreeMap::<u8, usize>::new();
     for incarnation in 1..=200 {
-        let mut attached = Attached::new(incarnation);
-        attached.take_asked();
-        attached.run(3 * SECOND);
-        assert!(attached.asked.values().sum::<usize>() <= 8);
-        let asked = attached.take_asked();
-        assert_eq!(asked.len(), 2);
-        for replica in asked {
-            *followers.entry(replica).or_default() += 1;
+        let mut test = PollingTest::new(incarnation);
+        test.take_polled();
+        test.run(3 * SECOND);
+        assert!(test.polled.values().sum::<usize>() <= 8);
+        let polled = test.take_polled();
+        assert_eq!(polled.len(), 2);
+        for replica in polled {
+            *subscribers.entry(replica).or_default() += 1;
         }
     }
-    let busiest = followers.values().max().copied();
+    let busiest = subscribers.values().max().copied();
     assert!(
         busiest < Some(75),
-        "400 places among 9 replicas: {followers:?}"
+        "400 subscriptions at 9 replicas: {subscribers:?}"
     );
 }
 
 #[test]
-fn a_replica_that_is_silent_or_hears_no_leader_is_left_within_two_seconds() {
+fn a_replica_that_is_silent_or_leaderless_is_replaced_within_two_seconds() {
     for leaderless in [false, true] {
-        let mut attached = Attached::new(7);
-        attached.run(2 * SECOND);
-        attached.take_asked();
-        attached.run(2 * SECOND);
-        let chosen = attached.take_asked();
+        let mut test = PollingTest::new(7);
+        test.run(2 * SECOND);
+        test.take_polled();
+        test.run(2 * SECOND);
+        let preferred = test.take_polled();
         match leaderless {
-            true => attached.leaderless.clone_from(&chosen),
-            false => attached.silent.clone_from(&chosen),
+            true => test.leaderless.clone_from(&preferred),
+            false => test.silent.clone_from(&preferred),
         }
-        attached.run(1_500 * Duration::from_millis(1));
-        let asked = attached.take_asked();
-        let serving = asked.iter().filter(|it| !chosen.contains(it)).count();
-        assert!(serving >= 2, "{asked:?} after {chosen:?} stopped to serve");
+        test.run(1_500 * Duration::from_millis(1));
+        let polled = test.take_polled();
+        let serving = polled.iter().filter(|it| !preferred.contains(it)).count();
+        assert!(
+            serving >= 2,
+            "{polled:?} after {preferred:?} stopped serving"
+        );
     }
 }
 
 #[test]
-fn a_balancer_asks_a_new_leader_at_once() {
-    let mut attached = Attached::new(7);
-    attached.balancer = new_balancer(8);
-    attached.leaderless = (1..=REPLICAS).collect();
-    attached.run(100 * Duration::from_millis(1));
-    assert_eq!(attached.balancer.version(), 0);
-    attached.confirms = 0;
+fn a_balancer_asks_a_new_leader_for_confirmation_at_once() {
+    let mut test = PollingTest::new(7);
+    test.balancer = new_balancer(8);
+    test.leaderless = (1..=REPLICAS).collect();
+    test.run(100 * Duration::from_millis(1));
+    assert_eq!(test.balancer.version(), 0);
+    test.confirmation_requests = 0;
     // All replicas hear a leader now, and one says so by itself.
-    attached.leaderless.clear();
-    let group = attached.group(2);
-    let (now, from) = (attached.now, replica_address(2));
+    test.leaderless.clear();
+    let group = test.group(2);
+    let (now, from) = (test.now, replica_address(2));
     let body = PassThroughBody::GroupStatus(group);
-    attached.balancer.handle_message(now, from, body);
-    attached.exchange();
+    test.balancer.handle_message(now, from, body);
+    test.exchange();
     assert_eq!(
-        attached.confirms, 1,
-        "without waiting for the next question"
+        test.confirmation_requests, 1,
+        "without waiting for the next poll"
     );
 }
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -12,7 +12,7 @@
 const SLOW: u8 = 2;
 
 /// One back end answers after 20 ms, the other after 60 ms, and both have done so.
-fn known_speeds() -> World {
+fn world_with_known_speeds() -> World {
     let mut world = World::new(2, SLOTS);
     for round in 0..12 {
         serve(&mut world, FIRST_OWN_PORT + 2 * round, 2);
@@ -33,12 +33,12 @@
     }
     for (index, millis) in [(FAST, 20), (SLOW, 40)] {
         world.run(millis * MILLI);
-        answer(world, &flows, agent_address(index));
+        respond(world, &flows, agent_address(index));
     }
     world.run(20 * MILLI);
 }
 
-fn answer(world: &mut World, flows: &[(u16, SocketAddrV4)], agent: SocketAddrV4) {
+fn respond(world: &mut World, flows: &[(u16, SocketAddrV4)], agent: SocketAddrV4) {
     for (port, _) in flows.iter().filter(|(_, it)| *it == agent) {
         world.send_backend_data(agent, *port);
         world.close_flow(*port, agent);
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn three_callers_at_once_go_where_they_are_answered_first() {
-    let mut world = known_speeds();
+fn simultaneous_callers_go_to_the_back_end_that_responds_first() {
+    let mut world = world_with_known_speeds();
     for port in 50_001..50_004 {
         world.open(port, 0);
     }
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_back_end_that_is_slow_gets_what_the_others_have_no_room_for() {
-    let mut world = known_speeds();
+fn a_slow_back_end_gets_flows_when_the_fast_one_has_no_free_slot() {
+    let mut world = world_with_known_speeds();
     for port in 50_001..50_007 {
         world.open(port, 0);
     }
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn a_back_end_that_has_told_no_time_counts_as_one_like_the_others() {
-    let mut world = known_speeds();
+fn a_back_end_without_a_reported_processing_time_counts_with_the_mean() {
+    let mut world = world_with_known_speeds();
     world.start_agent(3);
     world.register(3, SLOTS, false, 1);
     world.run(20 * MILLI);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_cold_back_end_is_told_by_its_own_time() {
+fn a_cold_back_end_counts_with_its_own_processing_time() {
     let mut world = World::new(2, SLOTS);
     let call = Registration {
         id: "backend-2".to_owned(),
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
@@ -1,4 +1,4 @@
-//! Flows of several priorities ask an agent for more than its back end can do.
+//! Flows of several priorities at an agent whose back end is overloaded.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -11,43 +11,48 @@
 use super::queueing::{LoadedAgent, SLOTS};
 use super::world::MILLI;
 
-const URGENT: u32 = 1;
-const LESS_URGENT: u32 = 4;
-const OBJECTIVE_MILLIS: u32 = 250;
-/// Callers of such a deadline can't wait for a place: they are queued or declined.
-const IMPATIENT_MILLIS: u32 = 100;
-/// Three slots that work for so long do 100 requests a second.
-const WORK: Duration = Duration::from_millis(30);
+const HIGH_PRIORITY: u32 = 1;
+const LOW_PRIORITY: u32 = 4;
+const LATENCY_OBJECTIVE_MILLIS: u32 = 250;
+/// A deadline that is too short for the admission queue: a flow goes to the back end's queue
+/// at once or is declined.
+const SHORT_DEADLINE_MILLIS: u32 = 100;
+/// Processing time of a request. Three slots process 100 requests per second with it.
+const PROCESSING_TIME: Duration = Duration::from_millis(30);
+/// Requests per second.
 const CAPACITY: u32 = 100;
 
-/// What became of the flows of one priority, in milliseconds.
+/// When flows of one priority were accepted and declined, in milliseconds.
 #[derive(Default)]
 struct Outcome {
-    taken_at: Vec<u64>,
-    refused_at: Vec<u64>,
+    accepted_at: Vec<u64>,
+    declined_at: Vec<u64>,
 }
 
-/// An agent whose back end has answered requests, the last ones a while ago.
-fn rested_desk() -> LoadedAgent {
-    let mut desk = LoadedAgent::new(WORK);
-    desk.now = desk.now + Duration::from_secs(1);
-    desk.offer_template.deadline_millis = IMPATIENT_MILLIS;
-    desk
+/// An agent whose back end's processing time is known, after an idle second.
+fn idle_agent() -> LoadedAgent {
+    let mut loaded_agent = LoadedAgent::new(PROCESSING_TIME);
+    loaded_agent.now = loaded_agent.now + Duration::from_secs(1);
+    loaded_agent.offer_template.deadline_millis = SHORT_DEADLINE_MILLIS;
+    loaded_agent
 }
 
-/// Offers flows of some priorities, at so many a second each, for ten seconds.
+/// Offers flows for ten seconds, by priorities and their numbers of flows per second.
 fn offer(rates: &[(u32, u32)]) -> BTreeMap<u32, Outcome> {
-    let mut desk = rested_desk();
-    desk.offer_template.deadline_millis = 0;
+    let mut loaded_agent = idle_agent();
+    loaded_agent.offer_template.deadline_millis = 0;
     let mut priorities: BTreeMap<u64, u32> = BTreeMap::new();
     let mut outcomes: BTreeMap<u32, Outcome> = BTreeMap::new();
-    let mut inside: VecDeque<SocketAddrV4> = VecDeque::new();
-    let mut working: VecDeque<(u64, SocketAddrV4)> = VecDeque::new();
+    let mut accepted_flows: VecDeque<SocketAddrV4> = VecDeque::new();
+    let mut in_progress: VecDeque<(u64, SocketAddrV4)> = VecDeque::new();
     let mut random = 7_u64;
     for millis in 0..10_000 {
-        while working.front().is_some_and(|(ends, _)| *ends <= millis) {
-            let (_, flow) = working.pop_front().expect("seen");
-            desk.respond(flow);
+        while in_progress
+            .front()
+            .is_some_and(|(ends_at, _)| *ends_at <= millis)
+        {
+            let (_, flow) = in_progress.pop_front().expect("seen");
+            loaded_agent.respond(flow);
         }
         for (priority, rate) in rates {
             random = random
@@ -56,112 +61,138 @@
             if (random >> 33) % 1_000 >= u64::from(*rate) {
                 continue;
             }
-            desk.offer_template.priority = *priority;
-            let taken = desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
-            priorities.insert(pack_address(desk.latest_caller()), *priority);
-            inside.extend(taken);
-            let taken = taken.map(|_| millis);
+            loaded_agent.offer_template.priority = *priority;
+            let accepted =
+                loaded_agent.request(LATENCY_OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
+            priorities.insert(pack_address(loaded_agent.latest_caller()), *priority);
+            accepted_flows.extend(accepted);
+            let accepted = accepted.map(|_| millis);
             outcomes
                 .entry(*priority)
                 .or_default()
-                .taken_at
-                .extend(taken);
+                .accepted_at
+                .extend(accepted);
         }
-        if desk.agent.poll_timeout() <= desk.now {
-            desk.agent.handle_timeout(desk.now);
+        if loaded_agent.agent.poll_timeout() <= loaded_agent.now {
+            loaded_agent.agent.handle_timeout(loaded_agent.now);
         }
-        for flow in desk.take_dequeued() {
+        for flow in loaded_agent.take_dequeued() {
             let priority = priorities[&pack_address(flow)];
-            outcomes.entry(priority).or_default().taken_at.push(millis);
-            inside.push_back(flow);
+            outcomes
+                .entry(priority)
+                .or_default()
+                .accepted_at
+                .push(millis);
+            accepted_flows.push_back(flow);
         }
-        for body in desk.replies.drain(..) {
+        for body in loaded_agent.replies.drain(..) {
             if let PassThroughBody::Declined(declined) = body {
                 let priority = priorities[&declined.flow.caller];
                 outcomes
                     .entry(priority)
                     .or_default()
-                    .refused_at
+                    .declined_at
                     .push(millis);
             }
         }
-        while working.len() < SLOTS as usize
-            && let Some(flow) = inside.pop_front()
+        while in_progress.len() < SLOTS as usize
+            && let Some(flow) = accepted_flows.pop_front()
         {
-            working.push_back((millis + WORK.as_millis() as u64, flow));
+            in_progress.push_back((millis + PROCESSING_TIME.as_millis() as u64, flow));
         }
-        desk.now = desk.now + MILLI;
+        loaded_agent.now = loaded_agent.now + MILLI;
     }
     outcomes
 }
 
-/// The urgent class comes at twice its ordinary load, the other one at four times what
-/// the back end can do.
+/// High-priority flows arrive at 60 % of the capacity, which is twice their normal load, and
+/// low-priority ones at four times the capacity.
 #[test]
-fn the_urgent_find_a_place_beside_a_flood_of_less_urgent_ones() {
-    let outcomes = offer(&[(URGENT, CAPACITY * 6 / 10), (LESS_URGENT, CAPACITY * 4)]);
-    let (urgent, other) = (&outcomes[&URGENT], &outcomes[&LESS_URGENT]);
-    let asked = urgent.taken_at.len() + urgent.refused_at.len();
-    let share = urgent.taken_at.len() as f64 / asked as f64;
-    assert!(share >= 0.97, "{share:.3} of {asked} urgent ones taken");
-    let all = urgent.taken_at.len() + other.taken_at.len();
-    assert!(all >= 980, "{all} of 1,000 possible ones taken");
-    for refused in &urgent.refused_at {
-        let inverted = |taken: &&u64| taken.abs_diff(*refused) <= 100;
-        let inverted = other.taken_at.iter().find(inverted);
-        assert_eq!(inverted, None, "an urgent one was refused at {refused} ms");
+fn high_priority_flows_are_accepted_beside_excessive_low_priority_ones() {
+    let outcomes = offer(&[
+        (HIGH_PRIORITY, CAPACITY * 6 / 10),
+        (LOW_PRIORITY, CAPACITY * 4),
+    ]);
+    let (high, low) = (&outcomes[&HIGH_PRIORITY], &outcomes[&LOW_PRIORITY]);
+    let offered = high.accepted_at.len() + high.declined_at.len();
+    let fraction = high.accepted_at.len() as f64 / offered as f64;
+    assert!(
+        fraction >= 0.97,
+        "{fraction:.3} of {offered} high-priority flows accepted"
+    );
+    let all = high.accepted_at.len() + low.accepted_at.len();
+    assert!(all >= 980, "{all} of 1,000 possible flows accepted");
+    for declined in &high.declined_at {
+        let is_inverted = |accepted: &&u64| accepted.abs_diff(*declined) <= 100;
+        let inversion = low.accepted_at.iter().find(is_inverted);
+        assert_eq!(
+            inversion, None,
+            "a high-priority flow was declined at {declined} ms"
+        );
     }
 }
 
 #[test]
-fn the_less_urgent_do_not_starve_beside_a_flood_of_urgent_ones() {
-    let outcomes = offer(&[(URGENT, CAPACITY * 2), (LESS_URGENT, CAPACITY * 4)]);
-    let taken = outcomes[&LESS_URGENT].taken_at.len();
-    assert!((50..=100).contains(&taken), "{taken} of 1,000 places");
+fn low_priority_flows_do_not_starve_beside_excessive_high_priority_ones() {
+    let outcomes = offer(&[(HIGH_PRIORITY, CAPACITY * 2), (LOW_PRIORITY, CAPACITY * 4)]);
+    let accepted = outcomes[&LOW_PRIORITY].accepted_at.len();
+    assert!((50..=100).contains(&accepted), "{accepted} of 1,000 slots");
 }
 
 #[test]
-fn priorities_that_come_alone_have_the_whole_queue() {
-    for priority in [0, URGENT, LESS_URGENT] {
-        let mut desk = rested_desk();
-        desk.offer_template.priority = priority;
-        assert_eq!(desk.fill(OBJECTIVE_MILLIS), SLOTS * 4);
+fn a_single_priority_may_use_the_whole_queue() {
+    for priority in [0, HIGH_PRIORITY, LOW_PRIORITY] {
+        let mut loaded_agent = idle_agent();
+        loaded_agent.offer_template.priority = priority;
+        assert_eq!(loaded_agent.fill(LATENCY_OBJECTIVE_MILLIS), SLOTS * 4);
     }
 }
 
-/// The foretold turns of the declined flows, in microseconds.
-fn turns(desk: &mut LoadedAgent) -> Vec<u32> {
-    desk.agent.poll_output();
-    let told = desk.replies.drain(..).filter_map(|body| match body {
-        PassThroughBody::Declined(declined) => Some(declined),
-        _ => None,
-    });
-    let full = |declined: &Declined| declined.reason() == DeclineReason::Full;
-    told.filter(full)
+/// The expected waits in the agent's declines for lack of capacity, in microseconds.
+fn expected_waits(loaded_agent: &mut LoadedAgent) -> Vec<u32> {
+    loaded_agent.agent.poll_output();
+    let declines = loaded_agent
+        .replies
+        .drain(..)
+        .filter_map(|body| match body {
+            PassThroughBody::Declined(declined) => Some(declined),
+            _ => None,
+        });
+    let is_full = |declined: &Declined| declined.reason() == DeclineReason::Full;
+    declines
+        .filter(is_full)
         .map(|declined| declined.expected_wait_micros)
         .collect()
 }
 
 #[test]
-fn a_refusal_foretells_the_turn_of_each_balancer_that_asks() {
-    let mut desk = rested_desk();
-    desk.fill(OBJECTIVE_MILLIS);
-    assert_eq!(turns(&mut desk), [10_000], "one place each 10 ms");
+fn a_decline_reports_the_expected_wait_of_its_balancer() {
+    let mut loaded_agent = idle_agent();
+    loaded_agent.fill(LATENCY_OBJECTIVE_MILLIS);
+    assert_eq!(
+        expected_waits(&mut loaded_agent),
+        [10_000],
+        "one free slot every 10 ms"
+    );
     for last in 1..=4 {
-        desk.balancer = SocketAddrV4::new(Ipv4Addr::new(10, 0, 2, last), 7000);
-        desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
+        loaded_agent.balancer = SocketAddrV4::new(Ipv4Addr::new(10, 0, 2, last), 7000);
+        loaded_agent.request(LATENCY_OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
     }
-    let grown = turns(&mut desk);
-    assert_eq!(grown, [20_000, 30_000, 40_000, 50_000]);
-    desk.now = desk.now + Duration::from_secs(1);
-    desk.request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
-    assert_eq!(turns(&mut desk), [10_000], "the others ask no more");
+    let longer_waits = expected_waits(&mut loaded_agent);
+    assert_eq!(longer_waits, [20_000, 30_000, 40_000, 50_000]);
+    loaded_agent.now = loaded_agent.now + Duration::from_secs(1);
+    loaded_agent.request(LATENCY_OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
+    assert_eq!(
+        expected_waits(&mut loaded_agent),
+        [10_000],
+        "the other balancers no longer compete"
+    );
 }
 
 #[test]
-fn no_turn_is_foretold_without_known_times() {
-    let mut desk = LoadedAgent::without_responses();
-    desk.offer_template.deadline_millis = IMPATIENT_MILLIS;
-    desk.fill(OBJECTIVE_MILLIS);
-    assert_eq!(turns(&mut desk), [0]);
+fn no_expected_wait_is_reported_without_known_processing_times() {
+    let mut loaded_agent = LoadedAgent::without_responses();
+    loaded_agent.offer_template.deadline_millis = SHORT_DEADLINE_MILLIS;
+    loaded_agent.fill(LATENCY_OBJECTIVE_MILLIS);
+    assert_eq!(expected_waits(&mut loaded_agent), [0]);
 }
