--- a/crates/petrellatch-core/tests/pass_through/changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/changes.rs
@@ -1,4 +1,4 @@
-//! Replacements of the configuration and reads of it.
+//! Replacing and reading the configuration of a replica group.
 
 use std::time::Duration;
 
--- a/crates/petrellatch-core/tests/pass_through/late_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_callers.rs
@@ -1,12 +1,13 @@
-//! Callers that come after an outage: the old ones get the places that fresh ones leave.
+//! Late callers, which have waited for their latency objective, for example after an outage.
+//! They get the slots that newer callers leave free.
 
 use std::time::Duration;
 
 use super::world::{MILLI, World, agent_address};
 
 const AGENT: u8 = 1;
-/// The first copy of an opening packet, and the second one, which says that its caller
-/// has waited for 200 ms.
+/// Retransmission numbers of a first SYN, and of the first retransmission, whose caller has
+/// waited for 200 ms.
 const FIRST_SYN: u32 = 0;
 const RETRANSMITTED_SYN: u32 = 1;
 const LATENCY_OBJECTIVE_MILLIS: u32 = 200;
@@ -18,7 +19,7 @@
     world
 }
 
-/// A caller opens a flow at the only agent and sends a request.
+/// Occupies a slot of the only agent with a request on a new flow.
 fn occupy_slot(world: &mut World, port: u16) {
     world.open(port, FIRST_SYN);
     world.request(port, agent_address(AGENT));
@@ -39,11 +40,11 @@
     occupy_slot(&mut world, 2);
     world.open(3, RETRANSMITTED_SYN);
     assert_eq!((world.accepted_by(3), world.resets()), (None, 0));
-    // A fresh one goes before it, into the queue of the back end.
+    // A newer caller takes precedence and goes into the back end's queue.
     occupy_slot(&mut world, 4);
     world.send_backend_data(agent_address(AGENT), 1);
     assert_eq!(world.accepted_by(3), None, "no slot is free");
-    // A further copy asks nobody.
+    // A SYN retransmission causes no further offer.
     world.open(3, RETRANSMITTED_SYN);
     world.send_backend_data(agent_address(AGENT), 2);
     assert!(world.accepted_by(3).is_some());
--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -1,5 +1,4 @@
-//! When a balancer refuses new flows without asking an agent, and when it doesn't: one
-//! balancer, with agents that the test answers for.
+//! Load shedding by one balancer. The tests send the replies of the agents.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -17,7 +16,7 @@
 const AGENTS: u8 = 8;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The balancer of a [`World`] whose agents say what the test wants.
+/// The balancer of a [`World`], with agents whose replies the test sends.
 struct LoadShedding {
     world: World,
     next_caller: u32,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Time passes in which no agent says anything.
+    /// Lets time pass without a message of an agent.
     fn wait(&mut self, time: Duration) {
         let end = self.world.now + time;
         while self.world.now < end {
@@ -66,7 +65,7 @@
         }
     }
 
-    /// A new flow comes. Returns how many questions it caused at once.
+    /// Opens a new flow. Returns the number of offers that are made at once.
     fn open(&mut self) -> usize {
         self.next_caller += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + self.next_caller), 9000);
@@ -82,7 +81,7 @@
         self.offers.len() - before
     }
 
-    /// All that were asked, and whoever is asked for that, say no.
+    /// Declines all offers, including those that are made meanwhile.
     fn decline_all(&mut self, reason: DeclineReason, expected_wait_micros: u32) {
         while let Some((agent, flow)) = self.offers.pop() {
             let declined = Declined {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// The agent that was asked last takes its flow.
+    /// Accepts the latest offer.
     fn accept(&mut self) {
         let (agent, flow) = self.offers.pop().expect("an offer");
         let accepted = Accepted {
@@ -114,7 +113,7 @@
         self.process_outputs();
     }
 
-    /// The agent that was asked last lets its flow wait.
+    /// Queues the flow of the latest offer.
     fn queue(&mut self, load: LoadMessage) {
         let (agent, flow) = self.offers.pop().expect("an offer");
         let queued = FlowQueued {
@@ -128,7 +127,7 @@
         self.process_outputs();
     }
 
-    /// Questions that so many flows cause, one a millisecond, while nobody answers.
+    /// Opens one flow per millisecond without any reply. Returns the number of offers.
     fn count_offers(&mut self, flows: usize) -> usize {
         let before = self.offers.len();
         for _ in 0..flows {
@@ -147,7 +146,7 @@
     }
 }
 
-/// A back end that is warm and has a queue.
+/// The load of a warm back end with a queue.
 fn warm() -> LoadMessage {
     LoadMessage {
         processing_micros: 33_000,
@@ -155,7 +154,8 @@
     }
 }
 
-/// Callers press a service that has no room: a hundred a second of one balancer.
+/// Callers of an overloaded service retry at once. After one flow that no agent has capacity
+/// for, the next ones must be refused without an offer.
 #[test]
 fn flows_of_an_overloaded_service_are_shed_without_an_offer() {
     let mut test = LoadShedding::new();
@@ -167,7 +167,8 @@
     assert!(test.events.contains(&EventKind::ServicePressed));
 }
 
-/// The turn at each of eight agents comes after 80 ms, so one place comes after 10 ms.
+/// Each of eight agents expects a free slot after 80 ms, so that the service has one after
+/// 10 ms.
 #[test]
 fn a_backoff_follows_the_reported_expected_waits() {
     let mut test = LoadShedding::new();
@@ -178,7 +179,8 @@
     assert_eq!(test.open(), 1);
 }
 
-/// After a pause all callers that were refused are back at once.
+/// After a backoff all refused callers retry at once. Only one flow may be offered until an
+/// agent accepts it.
 #[test]
 fn an_accepted_trial_flow_ends_a_backoff() {
     let mut test = LoadShedding::new();
@@ -190,7 +192,8 @@
     assert_eq!((test.open(), test.open()), (1, 1));
 }
 
-/// However long a service was full, its room is found within a tenth of a second.
+/// Backoffs grow while a service stays overloaded, but returning capacity must be found
+/// within 100 ms.
 #[test]
 fn returning_capacity_is_found_within_100_ms() {
     let mut test = LoadShedding::new();
@@ -212,7 +215,7 @@
     assert!(test.events.contains(&EventKind::PressureEnded));
 }
 
-/// A release, a zone out of service, or machines that died are no lack of room.
+/// A release, an evacuated zone, or failed machines are not lack of capacity.
 #[test]
 fn declines_for_other_reasons_start_no_backoff() {
     for reason in [
@@ -234,8 +237,8 @@
     }
 }
 
-/// A burst presses a service whose back ends are warm: whoever waits there finds the next
-/// place, and more that wait would do so in vain.
+/// In a burst at warm back ends, the queued flows get the next free slots, and further
+/// queued ones would wait in vain.
 #[test]
 fn flows_queued_at_warm_back_ends_start_a_backoff() {
     let mut test = LoadShedding::new();
@@ -247,8 +250,8 @@
     assert!(test.events.contains(&EventKind::ServicePressed));
 }
 
-/// After an outage callers come to back ends that are cold, and will soon work faster, or
-/// to agents that have just started.
+/// After an outage, back ends are cold and will soon be faster, or agents have just
+/// started.
 #[test]
 fn flows_queued_after_an_outage_start_no_backoff() {
     let cold = LoadMessage {
@@ -269,7 +272,7 @@
     }
 }
 
-/// One agent of a large service has a queue while others have room.
+/// In a large service one agent may have a queue while others have free slots.
 #[test]
 fn flows_queued_between_accepted_ones_start_no_backoff() {
     let mut test = LoadShedding::new();
@@ -284,7 +287,7 @@
     assert!(!test.events.contains(&EventKind::ServicePressed));
 }
 
-/// All agents are silent for two seconds.
+/// No agent replies for two seconds, which is not lack of capacity.
 #[test]
 fn missing_replies_start_no_backoff() {
     let mut test = LoadShedding::new();
@@ -296,7 +299,8 @@
     assert!(test.events.contains(&EventKind::AgentSuspected));
 }
 
-/// One agent says that it is idle and declines all, while others have room.
+/// An agent declines all flows although its load message says that it is idle, while others
+/// have capacity.
 #[test]
 fn an_idle_agent_that_declines_gets_no_offer_for_a_while() {
     let mut test = LoadShedding::new();
@@ -322,8 +326,9 @@
     assert_ne!(test.offers.pop().map(|(agent, _)| agent), Some(idle_agent));
 }
 
-/// A link that is full delays the answers of all agents by a fifth of a second, and no
-/// agent is at fault; agents that are silent are.
+/// A congested link delays the replies of all agents by 200 ms. Unlike with agents that are
+/// silent, no agent is at fault: none may be suspected, and no flow may be offered to a second
+/// agent.
 #[test]
 fn agents_are_not_suspected_if_all_replies_are_late() {
     let mut test = LoadShedding::new();
@@ -351,8 +356,8 @@
     );
 }
 
-/// Under pressure one agent is asked. If it is gone, its silence says nothing of the room
-/// at others.
+/// Under overload a flow is offered to one agent only. If that agent doesn't reply, this says
+/// nothing about the capacity of others, so that the flow must be offered to another one.
 #[test]
 fn under_overload_a_flow_of_a_silent_agent_is_offered_to_another() {
     let mut test = LoadShedding::new();
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -1,5 +1,5 @@
-//! Open flows whose routes have moved to other services, at a balancer that has
-//! forgotten them. They stay at the back ends that took them.
+//! Open flows whose routes have moved to other services, at a balancer that has lost its flow
+//! cache. They must stay at the back ends that own them.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use super::world::{MILLI, OTHER_SERVICE, SERVICE, World};
 
 const SLOTS: u32 = 4;
-/// Below, at and above the sizes from which a search asks in steps.
+/// Numbers of agents below and above 64, up to which a search queries all agents at once.
 const SIZES: [u8; 3] = [5, 65, 200];
 
-/// One agent of five is of the other service.
+/// Every fifth agent belongs to the other service.
 fn service_of(index: u8) -> &'static str {
     match index % 5 {
         0 => OTHER_SERVICE,
@@ -27,7 +27,8 @@
     (world, agent)
 }
 
-/// The balancer forgets all hints; then the caller repeats its request for a second.
+/// Restarts the balancer, which loses its flow cache, and repeats the caller's request for a
+/// second.
 fn restart_balancer_and_repeat(world: &mut World, agent: SocketAddrV4) {
     world.restart_balancer();
     for _ in 0..5 {
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -1,7 +1,7 @@
-//! Uploads and lookups through one balancer whose link carries little.
+//! Uploads and lookups through one balancer with a narrow link.
 //!
-//! The link drops what would wait for longer than its buffer holds. Callers have sixteen
-//! packets under way, and send a lost one again after 200 ms.
+//! The link drops datagrams beyond its buffer. Callers have a window of sixteen packets, and
+//! retransmit a lost one after 200 ms.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -17,10 +17,10 @@
 
 const AGENTS: u8 = 8;
 const SLOTS: u32 = 4;
-/// What the buffer of a link holds.
+/// Size of a link's buffer, as the time to transmit it.
 const BUFFER: Duration = Duration::from_millis(50);
-/// Frame, preamble and gap of Ethernet, heads of IP and of UDP, and the mark of a message, in
-/// bytes.
+/// Bytes of a datagram in addition to its data: Ethernet frame with preamble and interframe
+/// gap, and headers of IP and UDP.
 const HEADER_BYTES: usize = 38 + 28;
 const MAGIC_BYTES: usize = 4;
 const UPLOAD_DATA: u16 = 1_200;
@@ -28,11 +28,11 @@
 const MIN_TIMEOUT: Duration = Duration::from_millis(200);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1_600);
 const SYN_RETRANSMISSIONS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
-/// Uploads under way at any time.
+/// Number of concurrent uploads.
 const UPLOADS: usize = 8;
 const LOOKUP_INTERVAL: Duration = Duration::from_millis(25);
 const LOOKUP_DATA: u16 = 200;
-/// What a back end works on a lookup.
+/// A back end's processing time of a lookup.
 const PROCESSING_TIME: Duration = Duration::from_millis(30);
 const MEASURED_TIME: Duration = Duration::from_secs(20);
 
@@ -74,7 +74,7 @@
     retransmissions: usize,
     agent: Option<SocketAddrV4>,
     arrived: Vec<bool>,
-    /// Packets before this one have arrived.
+    /// Number of the first packet that has not arrived.
     base: usize,
     sent: usize,
     timeout: Duration,
@@ -89,14 +89,14 @@
     next_port: u16,
     next_lookup: Timestamp,
     packets_per_upload: usize,
-    /// Packets that each back end had got when it was looked at last.
+    /// Number of packets of each back end that were already handled.
     handled: BTreeMap<SocketAddrV4, usize>,
     arrived_bytes: usize,
     other_wire_bytes: usize,
     upload_wire_bytes: usize,
     lookup_times: Vec<Duration>,
     uploads_done: usize,
-    /// Messages that tell a replica that the balancer leaves.
+    /// Messages that end the balancer's subscription at a replica.
     unsubscribe_messages: usize,
 }
 
@@ -214,7 +214,7 @@
         self.world.balancer.handle_packet(now, &packet);
     }
 
-    /// What a caller sends now.
+    /// Sends the packets of a caller that are due.
     fn continue_caller(&mut self, port: u16) {
         let now = self.world.now;
         let state = self.callers.get_mut(&port).expect("known");
@@ -244,7 +244,7 @@
             .for_each(|number| self.send_data(port, number));
     }
 
-    /// Callers whose opening packets were answered are open.
+    /// Notes the agents of callers whose SYNs were accepted.
     fn note_accepted_flows(&mut self) {
         for view in std::mem::take(&mut self.world.callers) {
             let callers = self.callers.iter_mut();
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Packets that reached back ends are acknowledged to their callers.
+    /// Acknowledges packets that reached back ends to their callers.
     fn note_arrivals(&mut self) {
         let agents: Vec<SocketAddrV4> = self.world.backends.keys().copied().collect();
         for agent in agents {
@@ -359,7 +359,7 @@
         }
     }
 
-    /// Counts what one packet of an upload takes of the link, and what all else takes.
+    /// Counts the bytes on the link of one upload packet, and of all other datagrams.
     fn count_bytes(&mut self, output: &PassThroughOutput) {
         let bytes = wire_bytes(output);
         match output {
@@ -377,7 +377,8 @@
         }
     }
 
-    /// The share of what the link can carry at most that arrived, each packet once.
+    /// Upload data that arrived, each packet counted once, as a fraction of what the link can
+    /// carry at most.
     fn goodput(&self, time: Duration) -> f64 {
         let carried =
             self.link.bytes_per_second * time.as_secs_f64() - self.other_wire_bytes as f64;
--- a/crates/petrellatch-core/tests/pass_through/overload.rs
+++ b/crates/petrellatch-core/tests/pass_through/overload.rs
@@ -1,36 +1,36 @@
-//! Callers press a service beyond its capacity, through balancers with links of
-//! 3.7 Mbit/s: what is refused must not cost what could be served.
+//! Overload of a service through balancers with links of 3.7 Mbit/s: refused flows must not
+//! reduce the number of flows that are served.
 
 use std::sync::OnceLock;
 
 use super::fleet::Fleet;
 
-/// Seconds of ordinary load before, of pressure, and of ordinary load after.
+/// Seconds of normal load, of overload, and of normal load again.
 const BEFORE: u64 = 1;
 const OVERLOADED: u64 = 3;
 const AFTER: u64 = 3;
-/// What callers ask for at ordinary times, of the capacity.
+/// Normal load as a fraction of the capacity.
 const NORMAL_LOAD: f64 = 0.6;
-/// Of what back ends can do, so much is to be served while pressed.
+/// Minimum fraction of the possible requests that must be served during overload.
 const MIN_SERVED: f64 = 0.9;
 
-/// Messages for a refused flow that the balancers' links bear beside the ordinary load,
-/// in the mean of all loads.
+/// Maximum number of messages per refused flow, in the mean of all loads, that the
+/// balancers' links carry beside the normal load.
 const MAX_MESSAGES: f64 = 0.1;
 
-/// What came of one load.
+/// The result of one load.
 struct OverloadResult {
     load_factor: f64,
-    /// Served of what could be, while pressed.
+    /// Fraction of the possible requests that were served during overload.
     served: f64,
-    /// Served of what was asked, from a second later on.
+    /// Fraction of the requests that were served from one second after the overload on.
     after: f64,
     refused: f64,
-    /// Questions and answers for refused flows, while pressed.
+    /// Offers and replies for refused flows during overload.
     messages: f64,
 }
 
-/// Callers ask for `times` the capacity.
+/// Runs a fleet whose callers send `load_factor` times the capacity during overload.
 fn run_overload(balancers: usize, agents: u16, load_factor: f64) -> OverloadResult {
     let mut fleet = Fleet::new(balancers, agents);
     let capacity = fleet.max_request_rate();
@@ -57,17 +57,17 @@
     result
 }
 
-/// Balancers, agents, and the loads that callers press them with.
+/// Number of balancers and agents, and the load factors.
 type Case = (usize, u16, &'static [f64]);
 
-/// Twelve agents, with a few balancers.
+/// Four balancers and twelve agents.
 const SMALL: Case = (4, 12, &[1.0, 1.5, 2.0, 4.0]);
-/// 51 agents.
+/// 16 balancers and 51 agents.
 const MEDIUM: Case = (16, 51, &[1.0, 1.5, 2.0, 4.0]);
-/// 204 agents.
+/// 64 balancers and 204 agents.
 const LARGE: Case = (64, 204, &[1.5, 4.0]);
 
-/// What came of each load of a case; each case is played once for all tests.
+/// The results of all loads of a case. Each case runs once for all tests.
 fn results(case: Case) -> &'static [OverloadResult] {
     static SMALL_RESULTS: OnceLock<Vec<OverloadResult>> = OnceLock::new();
     static MEDIUM_RESULTS: OnceLock<Vec<OverloadResult>> = OnceLock::new();
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -1,5 +1,5 @@
-//! Placement policies at a balancer: where new flows land, what each evaluation costs, and
-//! that open flows stay where they are.
+//! Placement policies at a balancer: which back ends receive new flows, how often policies
+//! are evaluated, and that open flows don't move.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A replica tells the balancer which policies there are.
+/// Sends a replica's update with these policies to the balancer.
 fn send_policies(world: &mut World, index: u64, policies: &[PlacementPolicy]) {
     let group = GroupStatus {
         directory_revision: world.revision,
@@ -40,7 +40,7 @@
     world.balancer.handle_message(world.now, REPLICA, body);
 }
 
-/// The back end beside an agent registers itself with a label, and its agent reports it.
+/// Registers the back end of an agent with a label, which the agent reports.
 fn register_with_label(world: &mut World, index: u8, key: &str, value: &str) {
     let call = Registration {
         id: format!("backend-{index}"),
@@ -53,7 +53,8 @@
     world.send_registration(index, &call);
 }
 
-/// A world in which the back ends of `labelled` have a label, and all have reported.
+/// A world in which the back ends of the agents `labelled` have a label, and all agents have
+/// sent a report.
 fn labelled_world(agents: u8, labelled: &[u8], key: &str, value: &str) -> World {
     let mut world = World::new(agents, SLOTS);
     for index in labelled {
@@ -63,7 +64,7 @@
     world
 }
 
-/// Lets seconds pass in which the back ends beside these agents go on calling.
+/// Lets seconds pass in which the back ends of these agents repeat their registrations.
 fn run_with_registrations(world: &mut World, agents: &[u8], seconds: u64) {
     for _ in 0..seconds {
         for index in agents {
@@ -85,7 +86,7 @@
     agents
 }
 
-/// Opens flows that end at once, and returns how many landed at each agent.
+/// Opens flows that are closed at once. Returns the number of flows of each agent.
 fn open_and_close(world: &mut World, ports: std::ops::Range<u16>) -> BTreeMap<SocketAddrV4, usize> {
     let mut flows_of = BTreeMap::new();
     for port in ports {
@@ -154,7 +155,7 @@
     send_policies(&mut world, 1, &[policy("near", "true", weight)]);
     let agents = open_flows(&mut world, 1..3);
     assert!(agents.iter().all(|agent| *agent == agent_address(1)));
-    // Both slots are taken: what comes next goes to the other zone.
+    // Both slots are busy, so that the next flow goes to the other zone.
     let agents = open_flows(&mut world, 3..4);
     assert_eq!(agents, [agent_address(2)]);
 }
@@ -236,12 +237,12 @@
         };
         send_policies(&mut world, change, &[policy("half", &eligible, "1.0")]);
         if change == 20 {
-            // A balancer that joins gets its policies before it is current.
+            // A restarted balancer gets the policies before it is up to date.
             world.restart_balancer();
             send_policies(&mut world, change, &[policy("half", &eligible, "1.0")]);
         }
         if change == 30 {
-            // An agent with an old state: its reports stop.
+            // One agent stops to report, so that its state becomes outdated.
             world.frozen = vec![agent_address(8)];
         }
         for _ in 0..2 {
@@ -292,7 +293,8 @@
 fn a_registration_with_a_ready_agent_is_reported_at_once() {
     let mut world = World::new(2, SLOTS);
     world.start_agent(1);
-    // Packets show that a back end is there, which has not called this life of its agent.
+    // The agent sees packets of a back end that has not registered with the agent's
+    // present incarnation.
     world.send_backend_data(agent_address(1), 900);
     world.run(SECOND);
     send_policies(
@@ -307,7 +309,7 @@
     assert_eq!(open_flows(&mut world, 2..3), [agent_address(1)]);
 }
 
-/// Evaluations for each flow of policies that read no load, and that read it.
+/// Evaluations per flow of a policy that doesn't read the load, and of one that does.
 fn evaluations_with(agents: u8) -> [f64; 2] {
     let mut world = World::new(agents, SLOTS);
     let mut per_flow = Vec::new();
@@ -321,7 +323,7 @@
         open_and_close(&mut world, first..first + 200);
         let after = &world.balancer.policy_stats()[0];
         let placed = (after.placed - before.0) as f64;
-        // Each back end has to be evaluated once before.
+        // The first evaluation for each back end is not counted.
         let evaluations = (after.evaluations - before.1 - u64::from(agents)) as f64;
         per_flow.push(evaluations / placed);
     }
@@ -332,8 +334,8 @@
 fn evaluations_per_flow_do_not_grow_with_the_number_of_back_ends() {
     for agents in [35, 205] {
         let [without_load, with_load] = evaluations_with(agents);
-        // An agent is evaluated anew after a flow was sent there, after its answer, after
-        // packets that change its load, and after its reports.
+        // A policy that reads the load is evaluated again for an agent after an offer, after
+        // its reply, after packets that change its load, and after its reports.
         assert!(without_load <= 0.1, "{agents} agents: {without_load}");
         assert!(with_load <= 5.0, "{agents} agents: {with_load}");
     }
@@ -391,8 +393,8 @@
         world.run(MILLI);
     }
     let before = world.balancer.counters().further_asked;
-    // Nobody else may take flows: it gets them in spite of its failures, without a
-    // further question.
+    // No other back end is eligible, so that this one gets the flow despite its failures, with
+    // the first offer.
     world.open(100, 0);
     world.run(5 * MILLI);
     assert_eq!(world.accepted_by(100), Some(agent_address(1)));
@@ -413,7 +415,7 @@
     for index in 1..=12 {
         world.fill_from_other_balancer(index, 2);
     }
-    // By the balancer's old news all of them have room.
+    // By the outdated load messages at the balancer, all of them have free slots.
     for port in 1..=10 {
         world.open(port, 0);
         world.run(5 * MILLI);
@@ -445,7 +447,8 @@
     world.agents.remove(&agent_address(2));
     run_with_registrations(&mut world, &[1], 12);
     assert_eq!(world.balancer.table_sizes().1, 1);
-    // The new one says as much of itself as the former one did.
+    // The new agent sends as many updates as the removed one did, so that without distinct
+    // revisions a cached result of the removed agent would be used.
     world.start_agent(2);
     world.register(2, SLOTS, false, 1);
     world.run(5 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/policy_changes.rs
+++ b/crates/petrellatch-core/tests/pass_through/policy_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of placement policies: what is acknowledged holds at all replicas, and what is
-//! refused changes nothing.
+//! Changes of placement policies in a replica group: an acknowledged change is applied at all
+//! replicas, and a refused one has no effect.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use super::group::{Group, address};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Numbers of machines with an agent and a balancer.
+/// Indexes of the machines with an agent and with a balancer.
 const AGENT: u8 = 120;
 const BALANCER: u8 = 130;
 
@@ -57,7 +57,7 @@
     group.leader().expect("a leader")
 }
 
-/// Asks the leader and waits for the answer.
+/// Sends a request to the leader and waits for its response.
 fn send_request(group: &mut Group, request: ConfigurationRequest) -> ConfigurationResponse {
     let leader = leader(group);
     let token = group.request(leader, request);
@@ -119,7 +119,7 @@
     let mut group = start_group(3);
     let near = policy("near", "true", &["desk"]);
     let first = changed_index(&send_request(&mut group, put(&near, None)));
-    // Its answer was lost; meanwhile nothing else has changed.
+    // The response is regarded as lost, and the operator repeats the change.
     assert_eq!(
         changed_index(&send_request(&mut group, put(&near, None))),
         first
@@ -374,8 +374,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// What is acknowledged holds in the order of the acknowledgements, and the index
-    /// never goes back.
+    /// Acknowledged changes are applied in the order of their acknowledgements, and the index
+    /// never decreases, also when leaders are killed.
     #[test]
     fn acknowledged_changes_are_applied_and_the_index_increases(
         operations in prop::collection::vec(operation(), 1..14)
@@ -404,7 +404,7 @@
             let index = loop {
                 match send_request(&mut group, request.clone()) {
                     ConfigurationResponse::PolicyChanged { index, .. } => break index,
-                    // Sent again unchanged, as operators do.
+                    // Operators send the request again unchanged.
                     ConfigurationResponse::Unavailable
                     | ConfigurationResponse::NotLeader { .. } => {}
                     other => panic!("{other:?}"),
--- a/crates/petrellatch-core/tests/pass_through/returned_syns.rs
+++ b/crates/petrellatch-core/tests/pass_through/returned_syns.rs
@@ -1,4 +1,4 @@
-//! Balancers beside agents whose back ends return opening packets.
+//! Balancers with agents whose back ends return SYNs.
 
 use super::world::{World, agent_address};
 
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -1,4 +1,4 @@
-//! What daemons cost the replicas, and how balancers spread over them.
+//! The load of many daemons on replicas, and the distribution of balancers over replicas.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Lets time pass; returns how many reports the replica got.
+    /// Lets time pass. Returns the number of reports that the replica received.
     fn run(&mut self, duration: Duration) -> usize {
         let end = self.now + duration;
         let mut reports = 0;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Agents that the replica would tell a balancer of.
+    /// Number of agents that the replica knows, by the report interval that it sends to a
+    /// balancer.
     fn known_agents(&mut self) -> u32 {
         let poll = Subscribe {
             wants_updates: true,
@@ -152,7 +153,7 @@
     assert_eq!(reports.known_agents(), 300);
 }
 
-/// Carries messages between a replica that has started and the first one.
+/// Exchanges messages between a replica that has just started and the first one.
 fn exchange(starting: &mut ConfigurationNode, reports: &mut Reports) {
     let (first, newcomer) = (replica_address(1), replica_address(2));
     let now = reports.now;
@@ -198,16 +199,16 @@
     assert_eq!(reports.known_agents(), 300);
 }
 
-/// A balancer among replicas that answer or not.
+/// One balancer, and replicas of which some may be silent or without a leader.
 struct PollingTest {
     now: Timestamp,
     balancer: PassThroughBalancer<TestCodec>,
     silent: Vec<u8>,
     leaderless: Vec<u8>,
-    /// Questions by replica, attached ones only.
+    /// Number of polls for updates by replica.
     polled: BTreeMap<u8, usize>,
     version: u64,
-    /// Questions that the leader got for the newest version.
+    /// Number of requests to confirm the newest version that the leader received.
     confirmation_requests: usize,
 }
 
@@ -250,7 +251,7 @@
                 self.balancer.handle_timeout(now);
             }
             self.exchange();
-            // Somebody is heard all the time.
+            // A message arrives all the time, so that the balancer doesn't notice silence.
             let agent = agent_address(1);
             let body = PassThroughBody::FlowsOwned(Default::default());
             self.balancer.handle_message(now, agent, body);
@@ -304,7 +305,7 @@
         }
     }
 
-    /// Who was asked in the last while.
+    /// Takes the replicas that were polled since the last call.
     fn take_polled(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.polled).into_keys().collect()
     }
@@ -361,7 +362,7 @@
     test.run(100 * Duration::from_millis(1));
     assert_eq!(test.balancer.version(), 0);
     test.confirmation_requests = 0;
-    // All replicas hear a leader now, and one says so by itself.
+    // All replicas have a leader now, and one of them notifies the balancer.
     test.leaderless.clear();
     let group = test.group(2);
     let (now, from) = (test.now, replica_address(2));
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -1,4 +1,4 @@
-//! Load of back ends of several speeds: who gets a new flow.
+//! Placement of new flows on back ends of different speeds.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 const FAST: u8 = 1;
 const SLOW: u8 = 2;
 
-/// One back end answers after 20 ms, the other after 60 ms, and both have done so.
+/// A world with a back end that responds after 20 ms and another one that responds after
+/// 60 ms, whose processing times are known to the balancer.
 fn world_with_known_speeds() -> World {
     let mut world = World::new(2, SLOTS);
     for round in 0..12 {
@@ -21,7 +22,7 @@
     world
 }
 
-/// Some callers at once, each with one request on a flow of its own.
+/// Serves simultaneous callers, each with one request on a flow of its own.
 fn serve(world: &mut World, first_port: u16, callers: u16) {
     let mut flows = Vec::new();
     for port in first_port..first_port + callers {
@@ -56,7 +57,7 @@
     for port in 50_001..50_004 {
         world.open(port, 0);
     }
-    // Even the third is answered after 20 ms there, and after 60 ms at the other.
+    // There, even the third one gets its response after 20 ms, at the other after 60 ms.
     assert_eq!(placed_at(&world, 50_001..50_004, FAST), 3);
 }
 
@@ -79,7 +80,7 @@
     for port in 50_001..50_007 {
         world.open(port, 0);
     }
-    // Its service's mean lies between 20 and 60 ms.
+    // The mean of its service lies between 20 and 60 ms.
     assert_eq!(placed_at(&world, 50_001..50_007, FAST), 3);
     assert_eq!(placed_at(&world, 50_001..50_007, 3), 3);
 }
@@ -97,7 +98,7 @@
         cold_for: Duration::from_secs(60),
         ..Registration::default()
     };
-    // It warms up, and yet answers earlier than the warm one.
+    // It warms up, but responds earlier than the warm one.
     world.send_registration(
         FAST,
         &Registration {
