--- a/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
@@ -6,7 +6,7 @@
 /// If no message came from any agent or replica for this time, replicas are polled at
 /// once.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Interval between requests to confirm the newest version.
+/// Interval between requests to confirm the newest version, until the balancer is up to date.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_millis(60);
 /// Number of such requests after which the interval doubles with each one.
 const FAST_CONFIRMATION_ATTEMPTS: u32 = 16;
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -167,7 +167,7 @@
     is_up_to_date: bool,
     up_to_date_since: Timestamp,
     subscribe_at: Timestamp,
-    /// Number of requests before the balancer was up to date.
+    /// Number of polls while the balancer was not up to date.
     confirmation_attempts: u32,
     /// The leader that the latest confirmation request went to.
     confirmation_leader: Option<SocketAddrV4>,
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/narrow_links.rs
@@ -24,9 +24,12 @@
 const HEADER_BYTES: usize = 38 + 28;
 const MAGIC_BYTES: usize = 4;
 const UPLOAD_DATA: u16 = 1_200;
+/// Packets of a caller that may be unacknowledged.
 const WINDOW: usize = 16;
+/// Retransmission timeouts of a caller: the first one, and the limit up to which it doubles.
 const MIN_TIMEOUT: Duration = Duration::from_millis(200);
 const MAX_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// When a caller retransmits its SYN, after the first one.
 const SYN_RETRANSMISSIONS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(600)];
 /// Number of concurrent uploads.
 const UPLOADS: usize = 8;
@@ -36,6 +39,7 @@
 const PROCESSING_TIME: Duration = Duration::from_millis(30);
 const MEASURED_TIME: Duration = Duration::from_secs(20);
 
+/// The link of the balancer.
 struct Link {
     bytes_per_second: f64,
     free_at: Timestamp,
@@ -45,13 +49,13 @@
 
 impl Link {
     fn send(&mut self, now: Timestamp, output: PassThroughOutput) {
-        let starts = self.free_at.max(now);
-        if starts.saturating_since(now) > BUFFER {
+        let starts_at = self.free_at.max(now);
+        if starts_at.saturating_since(now) > BUFFER {
             self.dropped += 1;
             return;
         }
         let seconds = wire_bytes(&output) as f64 / self.bytes_per_second;
-        self.free_at = starts + Duration::from_secs_f64(seconds);
+        self.free_at = starts_at + Duration::from_secs_f64(seconds);
         self.in_flight.push_back((self.free_at, output));
     }
 }
@@ -68,6 +72,7 @@
         }
 }
 
+/// A caller with one upload or lookup.
 struct Caller {
     is_lookup: bool,
     started_at: Timestamp,
@@ -82,6 +87,7 @@
     is_recovering: bool,
 }
 
+/// A world whose balancer sends through a [`Link`], with callers that upload and look up.
 struct LinkTest {
     world: World,
     link: Link,
@@ -93,7 +99,7 @@
     handled: BTreeMap<SocketAddrV4, usize>,
     arrived_bytes: usize,
     other_wire_bytes: usize,
-    upload_wire_bytes: usize,
+    upload_packet_wire_bytes: usize,
     lookup_times: Vec<Duration>,
     uploads_done: usize,
     /// Messages that end the balancer's subscription at a replica.
@@ -122,7 +128,7 @@
             handled: BTreeMap::new(),
             arrived_bytes: 0,
             other_wire_bytes: 0,
-            upload_wire_bytes: 0,
+            upload_packet_wire_bytes: 0,
             lookup_times: Vec::new(),
             uploads_done: 0,
             unsubscribe_messages: 0,
@@ -371,7 +377,7 @@
                 body: PassThroughBody::ForwardedPacket(forwarded),
                 ..
             } if forwarded.packet.len() > usize::from(UPLOAD_DATA) => {
-                self.upload_wire_bytes = bytes;
+                self.upload_packet_wire_bytes = bytes;
             }
             _ => self.other_wire_bytes += bytes,
         }
@@ -382,8 +388,8 @@
     fn goodput(&self, time: Duration) -> f64 {
         let carried =
             self.link.bytes_per_second * time.as_secs_f64() - self.other_wire_bytes as f64;
-        let most = carried * f64::from(UPLOAD_DATA) / self.upload_wire_bytes as f64;
-        self.arrived_bytes as f64 / most
+        let max_data = carried * f64::from(UPLOAD_DATA) / self.upload_packet_wire_bytes as f64;
+        self.arrived_bytes as f64 / max_data
     }
 
     fn lookup_p99(&mut self) -> Duration {
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -27,7 +27,7 @@
 
 /// Sends a replica's update with these policies to the balancer.
 fn send_policies(world: &mut World, index: u64, policies: &[PlacementPolicy]) {
-    let group = GroupStatus {
+    let status = GroupStatus {
         directory_revision: world.revision,
         has_leader: true,
         policies: Some(PolicySet {
@@ -36,13 +36,13 @@
         }),
         ..GroupStatus::default()
     };
-    let body = PassThroughBody::GroupStatus(group);
+    let body = PassThroughBody::GroupStatus(status);
     world.balancer.handle_message(world.now, REPLICA, body);
 }
 
 /// Registers the back end of an agent with a label, which the agent reports.
 fn register_with_label(world: &mut World, index: u8, key: &str, value: &str) {
-    let call = Registration {
+    let registration = Registration {
         id: format!("backend-{index}"),
         service: SERVICE.to_owned(),
         sequence: 2,
@@ -50,7 +50,7 @@
         labels: BTreeMap::from([(key.to_owned(), value.to_owned())]),
         ..Registration::default()
     };
-    world.send_registration(index, &call);
+    world.send_registration(index, &registration);
 }
 
 /// A world in which the back ends of the agents `labelled` have a label, and all agents have
@@ -68,8 +68,8 @@
 fn run_with_registrations(world: &mut World, agents: &[u8], seconds: u64) {
     for _ in 0..seconds {
         for index in agents {
-            let call_number = world.now.as_micros();
-            world.register(*index, SLOTS, false, call_number);
+            let sequence = world.now.as_micros();
+            world.register(*index, SLOTS, false, sequence);
         }
         world.run(SECOND);
     }
@@ -88,17 +88,17 @@
 
 /// Opens flows that are closed at once. Returns the number of flows of each agent.
 fn open_and_close(world: &mut World, ports: std::ops::Range<u16>) -> BTreeMap<SocketAddrV4, usize> {
-    let mut flows_of = BTreeMap::new();
+    let mut flows_by_agent = BTreeMap::new();
     for port in ports {
         world.open(port, 0);
         let agent = world.accepted_by(port).expect("an accepted flow");
-        *flows_of.entry(agent).or_default() += 1;
+        *flows_by_agent.entry(agent).or_default() += 1;
         world.request(port, agent);
         world.send_backend_data(agent, port);
         world.close_flow(port, agent);
         world.run(MILLI);
     }
-    flows_of
+    flows_by_agent
 }
 
 #[test]
@@ -107,15 +107,18 @@
     let canary = "has(backend.labels.version) && backend.labels.version == 'v2'";
     let five_percent = format!("{canary} ? 9.0 / 19.0 : 1.0");
     send_policies(&mut world, 1, &[policy("canary", "true", &five_percent)]);
-    let flows_of = open_and_close(&mut world, 1..1_001);
-    let share = flows_of.get(&agent_address(1)).copied().unwrap_or_default();
+    let flows_by_agent = open_and_close(&mut world, 1..1_001);
+    let share = flows_by_agent
+        .get(&agent_address(1))
+        .copied()
+        .unwrap_or_default();
     assert!(
         (30..=70).contains(&share),
         "{share} of 1,000 at the new version"
     );
     send_policies(&mut world, 2, &[policy("canary", canary, "1.0")]);
-    let flows_of = open_and_close(&mut world, 2_000..2_050);
-    assert_eq!(flows_of.get(&agent_address(1)), Some(&50));
+    let flows_by_agent = open_and_close(&mut world, 2_000..2_050);
+    assert_eq!(flows_by_agent.get(&agent_address(1)), Some(&50));
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -46,9 +46,9 @@
         warm_up_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
-    let contacts = KnownReplicas::new(vec![replica_address(1)]);
+    let known_replicas = KnownReplicas::new(vec![replica_address(1)]);
     let incarnation = Incarnation(u64::from(index) + 1);
-    PassThroughAgent::new(START, settings, TestCodec, incarnation, contacts)
+    PassThroughAgent::new(START, settings, TestCodec, incarnation, known_replicas)
 }
 
 /// One replica and the agents that report to it.
@@ -124,9 +124,9 @@
         while let Some(output) = self.replica.poll_output() {
             if let ConfigurationOutput::Send { to, body } = output
                 && to == balancer
-                && let PassThroughBody::GroupStatus(group) = body
+                && let PassThroughBody::GroupStatus(status) = body
             {
-                return group.report_interval_millis * 50 / 1_000;
+                return status.report_interval_millis * 50 / 1_000;
             }
         }
         panic!("no reply");
@@ -205,7 +205,7 @@
     balancer: PassThroughBalancer<TestCodec>,
     silent: Vec<u8>,
     leaderless: Vec<u8>,
-    /// Number of polls for updates by replica.
+    /// Number of polls that ask for updates, by replica.
     polled: BTreeMap<u8, usize>,
     version: u64,
     /// Number of requests to confirm the newest version that the leader received.
@@ -222,9 +222,9 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
     };
-    let contacts = KnownReplicas::new((1..=REPLICAS).map(replica_address).collect());
+    let known_replicas = KnownReplicas::new((1..=REPLICAS).map(replica_address).collect());
     let incarnation = Incarnation(incarnation);
-    PassThroughBalancer::new(START, settings, TestCodec, incarnation, contacts)
+    PassThroughBalancer::new(START, settings, TestCodec, incarnation, known_replicas)
 }
 
 impl PollingTest {
@@ -287,20 +287,20 @@
             let body = PassThroughBody::VersionConfirmed(confirmed);
             self.balancer.handle_message(self.now, to, body);
         }
-        let group = self.group(index);
-        let body = PassThroughBody::GroupStatus(group);
+        let status = self.group_status(index);
+        let body = PassThroughBody::GroupStatus(status);
         self.balancer.handle_message(self.now, to, body);
     }
 
-    fn group(&self, index: u8) -> GroupStatus {
-        let serves = !self.leaderless.contains(&index);
+    fn group_status(&self, index: u8) -> GroupStatus {
+        let has_leader = !self.leaderless.contains(&index);
         let leader = pack_address(replica_address(1));
         let replicas = (1..=REPLICAS).map(|it| pack_address(replica_address(it)));
         GroupStatus {
             replicas: replicas.collect(),
             membership_index: 1,
-            has_leader: serves,
-            leader: if serves { leader } else { 0 },
+            has_leader,
+            leader: if has_leader { leader } else { 0 },
             ..GroupStatus::default()
         }
     }
@@ -364,9 +364,9 @@
     test.confirmation_requests = 0;
     // All replicas have a leader now, and one of them notifies the balancer.
     test.leaderless.clear();
-    let group = test.group(2);
+    let status = test.group_status(2);
     let (now, from) = (test.now, replica_address(2));
-    let body = PassThroughBody::GroupStatus(group);
+    let body = PassThroughBody::GroupStatus(status);
     test.balancer.handle_message(now, from, body);
     test.exchange();
     assert_eq!(
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -88,7 +88,7 @@
 #[test]
 fn a_cold_back_end_counts_with_its_own_processing_time() {
     let mut world = World::new(2, SLOTS);
-    let call = Registration {
+    let registration = Registration {
         id: "backend-2".to_owned(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
@@ -103,7 +103,7 @@
         FAST,
         &Registration {
             id: "backend-1".to_owned(),
-            ..call
+            ..registration
         },
     );
     for round in 0..12 {
