--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -154,8 +154,8 @@
     }
 }
 
-/// Callers of an overloaded service retry at once. After one flow that no agent has capacity
-/// for, the next ones must be refused without an offer.
+/// Callers of an overloaded service retry at once, a hundred per second at one balancer. After
+/// one flow that no agent has capacity for, the next ones must be refused without an offer.
 #[test]
 fn flows_of_an_overloaded_service_are_shed_without_an_offer() {
     let mut test = LoadShedding::new();
