--- a/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/weight_groups.rs
@@ -1,5 +1,5 @@
-//! Agents of one weight compete with each other; agents of different weights share new
-//! flows by their weights.
+//! Groups of agents by policy weight. New flows are spread over the groups in proportion
+//! to weight and size; within a group agents are compared by cost.
 
 /// Agents of one weight.
 #[derive(Clone, Copy, Debug)]
@@ -9,8 +9,8 @@
     best: T,
 }
 
-/// Groups of agents by weight, in the order in which they were met. Mostly there is one,
-/// which takes no memory from the heap.
+/// Groups of agents by weight, in the order in which their weights were first seen.
+/// Mostly there is one group, which needs no heap allocation.
 #[derive(Debug)]
 pub(super) struct WeightGroups<T> {
     first: Option<WeightGroup<T>>,
@@ -27,8 +27,8 @@
 }
 
 impl<T: Default> WeightGroups<T> {
-    /// Counts an agent of this weight, which is more than zero. Returns what is kept for
-    /// its group.
+    /// Counts an agent of this weight, which is greater than zero. Returns the data of its
+    /// group.
     pub(super) fn add(&mut self, weight: f64) -> &mut T {
         let new_group = || WeightGroup {
             weight,
@@ -39,26 +39,27 @@
         let group = if first.weight == weight {
             first
         } else {
-            let known = self.others.iter().position(|it| it.weight == weight);
-            let place = known.unwrap_or_else(|| {
+            let position = self.others.iter().position(|it| it.weight == weight);
+            let index = position.unwrap_or_else(|| {
                 self.others.push(new_group());
                 self.others.len() - 1
             });
-            &mut self.others[place]
+            &mut self.others[index]
         };
         group.agents += 1;
         &mut group.best
     }
 
-    /// The group that a flow falls to, at a `point` from 0 to 1 of all weights. If it has
-    /// nobody who is likely to take the flow, the next one that has, and otherwise the
-    /// next one that has anybody. `is_likely` tells that of a group; none if it has nobody.
+    /// Selects a group by a `point` from 0 to 1 on the sum of all weights. If that group has
+    /// no agent that is likely to accept, the next group with such an agent is selected, or
+    /// else the next group with any agent. `is_likely` returns whether a group has an agent
+    /// that is likely to accept, or `None` if it has no agent at all.
     pub(super) fn select(&self, point: f64, is_likely: impl Fn(&T) -> Option<bool>) -> Option<&T> {
-        let first = self.place_at(point);
+        let first = self.index_at(point);
         let count = self.groups().count();
-        let in_turn = || self.groups().cycle().skip(first).take(count);
-        let likely = in_turn().find(|group| is_likely(&group.best) == Some(true));
-        let group = likely.or_else(|| in_turn().find(|it| is_likely(&it.best).is_some()));
+        let from_first = || self.groups().cycle().skip(first).take(count);
+        let likely = from_first().find(|group| is_likely(&group.best) == Some(true));
+        let group = likely.or_else(|| from_first().find(|it| is_likely(&it.best).is_some()));
         group.map(|group| &group.best)
     }
 
@@ -66,15 +67,15 @@
         self.first.iter().chain(&self.others)
     }
 
-    fn place_at(&self, point: f64) -> usize {
-        let part = |group: &WeightGroup<T>| group.weight * group.agents as f64;
-        let total: f64 = self.groups().map(part).sum();
-        let mut left = point * total;
+    fn index_at(&self, point: f64) -> usize {
+        let group_weight = |group: &WeightGroup<T>| group.weight * group.agents as f64;
+        let total: f64 = self.groups().map(group_weight).sum();
+        let mut remaining = point * total;
         let reaches = |group: &WeightGroup<T>| {
-            left -= part(group);
-            left <= 0.0
+            remaining -= group_weight(group);
+            remaining <= 0.0
         };
-        // What sums of floats leave over belongs to the last one.
+        // Rounding may leave a remainder, which belongs to the last group.
         self.groups().position(reaches).unwrap_or(self.others.len())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/policy_check.rs
@@ -1,4 +1,4 @@
-//! Checks and explanations of policies, from the reports of agents.
+//! Checks and explanations of policies, with the data of agents' reports.
 
 use petrellatch_proto::pass_through::{PlacementPolicy, Report};
 
@@ -14,45 +14,45 @@
 pub(crate) struct ReportedBackend {
     service: String,
     view: BackendView,
-    /// When its agent reported last.
-    heard_at: Timestamp,
+    /// When its agent's latest report came.
+    reported_at: Timestamp,
 }
 
-/// What a policy decides for one back end, and from what.
+/// The result of a policy for one back end, and its inputs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainedBackend {
-    /// What it gets, and why.
+    /// Its part of the new flows, and why.
     pub explanation: BackendExplanation,
-    /// How old the agent's words are that it rests on, in milliseconds.
+    /// Age of the agent's report that the result is based on, in milliseconds.
     pub age_millis: u64,
 }
 
-/// What the policy of a service decides.
+/// The results of a service's policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExplainedPolicy {
     /// The service.
     pub service: String,
-    /// The policy's name; empty if the service has none.
+    /// Name of the policy; empty if the service has none.
     pub policy: String,
-    /// Index of the policies.
+    /// Log index of the policies.
     pub index: u64,
-    /// Its back ends.
+    /// The back ends of the service.
     pub backends: Vec<ExplainedBackend>,
 }
 
 impl ReportedBackend {
-    pub(crate) fn new(now: Timestamp, heard_at: Timestamp, report: &Report) -> ReportedBackend {
-        let profile = BackendProfile::of_report(heard_at, report);
+    pub(crate) fn new(now: Timestamp, reported_at: Timestamp, report: &Report) -> ReportedBackend {
+        let profile = BackendProfile::from_report(reported_at, report);
         let condition = BackendCondition {
             state: report.state(),
             load: report.load,
-            sent_since: 0,
-            is_left_out: report.load.ejected_millis > 0,
+            flows_since_report: 0,
+            is_ejected: report.load.ejected_millis > 0,
         };
         ReportedBackend {
             service: report.service.clone(),
             view: profile.view(now, &condition),
-            heard_at,
+            reported_at,
         }
     }
 }
@@ -64,8 +64,8 @@
     }
 }
 
-/// Checks a policy: its text, and its results for the back ends of its services (for all
-/// of them if it names none) and for edge cases.
+/// Checks that a policy compiles, and that its results are valid for the back ends of its
+/// services (for all back ends if it names no service) and for edge cases.
 pub(crate) fn check(
     policy: &PlacementPolicy,
     backends: &[ReportedBackend],
@@ -98,8 +98,7 @@
     Ok(())
 }
 
-/// What a policy decides for the back ends of a service, as callers of no particular
-/// zone would have it.
+/// The results of a policy for the back ends of a service, for callers without a zone.
 pub(crate) fn explain(
     now: Timestamp,
     service: &str,
@@ -107,14 +106,17 @@
     backends: &[ReportedBackend],
 ) -> Result<Vec<ExplainedBackend>, PolicyError> {
     let compiled = Policy::compile(&source(policy))?;
-    let of_service = backends.iter().filter(|it| it.service == service);
-    let of_service: Vec<&ReportedBackend> = of_service.collect();
-    let views: Vec<BackendView> = of_service.iter().map(|it| it.view.clone()).collect();
+    let backends_of_service = backends.iter().filter(|it| it.service == service);
+    let backends_of_service: Vec<&ReportedBackend> = backends_of_service.collect();
+    let views: Vec<BackendView> = backends_of_service
+        .iter()
+        .map(|it| it.view.clone())
+        .collect();
     let explained = shares(&compiled, &service_view(service), &views).explanations;
-    let explained = explained.into_iter().zip(of_service);
+    let explained = explained.into_iter().zip(backends_of_service);
     let explained = explained.map(|(explanation, backend)| ExplainedBackend {
         explanation,
-        age_millis: now.saturating_since(backend.heard_at).as_millis() as u64,
+        age_millis: now.saturating_since(backend.reported_at).as_millis() as u64,
     });
     Ok(explained.collect())
 }
--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -1,51 +1,50 @@
-//! The configuration as a whole: routes under a version that is chosen
-//! outside.
+//! The configuration: all routes, under a version number that the operator's interface
+//! chooses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use petrellatch_proto::pass_through::{ConfigurationChange, RouteRecord, ServiceRecord};
 use snafu::Snafu;
 
-/// Between the places of two routes of a new configuration.
+/// Interval between the positions of two routes of a new configuration.
 const POSITION_GAP: u64 = 1 << 24;
 
-/// Routes and what the operator's interface keeps with them.
+/// The routes and service settings of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Configuration {
-    /// The version; zero before the first configuration.
+    /// The version number; zero before the first configuration.
     pub version: u64,
     /// The routes by packed address.
     pub routes: BTreeMap<u64, RouteRecord>,
-    /// What is said of services, by their names. Services of which nothing is
-    /// said are left out.
+    /// Settings of services, by name. Services without settings are omitted.
     pub services: BTreeMap<String, ServiceRecord>,
-    /// Kept for the operator's interface, which alone knows what it means.
+    /// Opaque data of the operator's interface.
     pub annotation: Vec<u8>,
 }
 
-/// Why a configuration is refused as a whole.
+/// Why a configuration is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ConfigurationError {
     /// The version is zero.
     #[snafu(display("the version must be greater than zero"))]
     NoVersion,
-    /// Two routes have one address.
+    /// Two routes have the same address.
     #[snafu(display("two routes have the address {address}"))]
     SameAddress {
         /// The address.
         address: std::net::SocketAddrV4,
     },
-    /// A route leads to a service that the configuration does not have.
-    #[snafu(display("the route {address} names the unknown service {service}"))]
+    /// A route refers to a service that the configuration doesn't have.
+    #[snafu(display("the route {address} refers to the unknown service {service}"))]
     UnknownService {
         /// The route.
         address: std::net::SocketAddrV4,
         /// The service.
         service: String,
     },
-    /// The weights of a route add up to nothing.
-    #[snafu(display("the route {address} has no weight"))]
+    /// The weights of a route's services add up to zero.
+    #[snafu(display("the weights of the route {address} add up to zero"))]
     NoWeight {
         /// The route.
         address: std::net::SocketAddrV4,
@@ -53,8 +52,11 @@
 }
 
 impl Configuration {
-    /// Makes a configuration, if it is valid. Routes may lead to `services`, all
-    /// of them.
+    /// Creates a configuration. `services` lists all services that routes may refer to.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the configuration is not valid.
     pub fn new(
         version: u64,
         routes: Vec<RouteRecord>,
@@ -85,8 +87,8 @@
                 return SameAddressSnafu { address }.fail();
             }
         }
-        let says_something = |record: &ServiceRecord| record.warm_up_millirequests_per_second > 0;
-        let services = services.into_iter().filter(says_something);
+        let has_settings = |record: &ServiceRecord| record.warm_up_millirequests_per_second > 0;
+        let services = services.into_iter().filter(has_settings);
         let services = services.map(|record| (record.service.clone(), record));
         Ok(Configuration {
             version,
@@ -96,20 +98,20 @@
         })
     }
 
-    /// The records in which `next` differs from this configuration.
+    /// The change that leads from this configuration to `next`.
     pub fn change_to(&self, next: &Configuration) -> ConfigurationChange {
-        let next = &next.placed_after(self);
+        let next = &next.with_positions_of(self);
         let differs = |route: &&RouteRecord| self.routes.get(&route.address) != Some(*route);
-        let is_gone = |address: &&u64| !next.routes.contains_key(*address);
+        let is_removed = |address: &&u64| !next.routes.contains_key(*address);
         let annotation = (self.annotation != next.annotation).then(|| next.annotation.clone());
         let service_differs =
             |record: &&ServiceRecord| self.services.get(&record.service) != Some(*record);
-        let is_unsaid = |service: &&String| !next.services.contains_key(*service);
+        let is_service_removed = |service: &&String| !next.services.contains_key(*service);
         ConfigurationChange {
             base_version: self.version,
             version: next.version,
             put: next.routes.values().filter(differs).cloned().collect(),
-            removed: self.routes.keys().filter(is_gone).copied().collect(),
+            removed: self.routes.keys().filter(is_removed).copied().collect(),
             annotation,
             put_services: next
                 .services
@@ -117,43 +119,49 @@
                 .filter(service_differs)
                 .cloned()
                 .collect(),
-            removed_services: self.services.keys().filter(is_unsaid).cloned().collect(),
+            removed_services: self
+                .services
+                .keys()
+                .filter(is_service_removed)
+                .cloned()
+                .collect(),
         }
     }
 
-    /// The same configuration, in which routes that `former` has too keep
-    /// their places there, as far as that leaves the order as it is.
-    fn placed_after(&self, former: &Configuration) -> Configuration {
-        let mut placed = self.clone();
-        let mut last = 0;
-        let mut between: Vec<u64> = Vec::new();
+    /// Returns this configuration with the positions of `previous` for routes that are in
+    /// both, as far as the order of the routes allows. A change then contains few routes.
+    fn with_positions_of(&self, previous: &Configuration) -> Configuration {
+        let mut result = self.clone();
+        let mut last_position = 0;
+        let mut unplaced: Vec<u64> = Vec::new();
         for route in self.ordered_routes() {
-            let kept = former.routes.get(&route.address).map(|it| it.position);
-            match kept.filter(|position| *position > last) {
-                Some(position) if placed.place(&between, last, position) => {
-                    between.clear();
-                    last = position;
-                    placed.set_position(route.address, position);
+            let previous_position = previous.routes.get(&route.address).map(|it| it.position);
+            match previous_position.filter(|position| *position > last_position) {
+                Some(position) if result.spread(&unplaced, last_position, position) => {
+                    unplaced.clear();
+                    last_position = position;
+                    result.set_position(route.address, position);
                 }
-                _ => between.push(route.address),
+                _ => unplaced.push(route.address),
             }
         }
-        let end = last.saturating_add(POSITION_GAP * (between.len() as u64 + 1));
-        match placed.place(&between, last, end) {
-            true => placed,
-            // There is no room left at the end: all get new places.
+        let end = last_position.saturating_add(POSITION_GAP * (unplaced.len() as u64 + 1));
+        match result.spread(&unplaced, last_position, end) {
+            true => result,
+            // No positions are left at the end, so that all routes get new ones.
             false => self.clone(),
         }
     }
 
-    /// Spreads routes evenly between two places. Returns whether there is room.
-    fn place(&mut self, addresses: &[u64], after: u64, before: u64) -> bool {
+    /// Spreads routes evenly between two positions. Returns false if there are too few
+    /// positions between them.
+    fn spread(&mut self, addresses: &[u64], after: u64, before: u64) -> bool {
         let step = (before - after) / (addresses.len() as u64 + 1);
         if step == 0 {
             return false;
         }
-        for (number, address) in addresses.iter().enumerate() {
-            self.set_position(*address, after + step * (number as u64 + 1));
+        for (index, address) in addresses.iter().enumerate() {
+            self.set_position(*address, after + step * (index as u64 + 1));
         }
         true
     }
@@ -164,8 +172,8 @@
         }
     }
 
-    /// Applies a change. One that is based on another version, or doesn't
-    /// raise the version, has no effect. Returns whether it had one.
+    /// Applies a change. A change that is based on another version, or doesn't increase the
+    /// version, has no effect. Returns whether the change was applied.
     pub fn apply(&mut self, change: &ConfigurationChange) -> bool {
         if change.base_version != self.version || change.version <= self.version {
             return false;
@@ -189,7 +197,7 @@
         true
     }
 
-    /// The routes in the order of the operator's list.
+    /// The routes in the operator's order.
     pub fn ordered_routes(&self) -> Vec<&RouteRecord> {
         let mut routes: Vec<&RouteRecord> = self.routes.values().collect();
         routes.sort_by_key(|route| route.position);
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -1,4 +1,4 @@
-//! Load of back ends of several speeds: who gets a new flow.
+//! Placement of new flows on back ends of different speeds.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -11,8 +11,9 @@
 const FAST: u8 = 1;
 const SLOW: u8 = 2;
 
-/// One back end answers after 20 ms, the other after 60 ms, and both have done so.
-fn known_speeds() -> World {
+/// A world with a back end that responds after 20 ms and another one that responds after
+/// 60 ms, whose processing times are known to the balancer.
+fn world_with_known_speeds() -> World {
     let mut world = World::new(2, SLOTS);
     for round in 0..12 {
         serve(&mut world, FIRST_OWN_PORT + 2 * round, 2);
@@ -21,7 +22,7 @@
     world
 }
 
-/// Some callers at once, each with one request on a flow of its own.
+/// Serves simultaneous callers, each with one request on a flow of its own.
 fn serve(world: &mut World, first_port: u16, callers: u16) {
     let mut flows = Vec::new();
     for port in first_port..first_port + callers {
@@ -33,12 +34,12 @@
     }
     for (index, millis) in [(FAST, 20), (SLOW, 40)] {
         world.run(millis * MILLI);
-        answer(world, &flows, agent_address(index));
+        respond(world, &flows, agent_address(index));
     }
     world.run(20 * MILLI);
 }
 
-fn answer(world: &mut World, flows: &[(u16, SocketAddrV4)], agent: SocketAddrV4) {
+fn respond(world: &mut World, flows: &[(u16, SocketAddrV4)], agent: SocketAddrV4) {
     for (port, _) in flows.iter().filter(|(_, it)| *it == agent) {
         world.send_backend_data(agent, *port);
         world.close_flow(*port, agent);
@@ -51,18 +52,18 @@
 }
 
 #[test]
-fn three_callers_at_once_go_where_they_are_answered_first() {
-    let mut world = known_speeds();
+fn simultaneous_callers_go_to_the_back_end_that_responds_first() {
+    let mut world = world_with_known_speeds();
     for port in 50_001..50_004 {
         world.open(port, 0);
     }
-    // Even the third is answered after 20 ms there, and after 60 ms at the other.
+    // There, even the third one gets its response after 20 ms, at the other after 60 ms.
     assert_eq!(placed_at(&world, 50_001..50_004, FAST), 3);
 }
 
 #[test]
-fn a_back_end_that_is_slow_gets_what_the_others_have_no_room_for() {
-    let mut world = known_speeds();
+fn a_slow_back_end_gets_flows_when_the_fast_one_has_no_free_slot() {
+    let mut world = world_with_known_speeds();
     for port in 50_001..50_007 {
         world.open(port, 0);
     }
@@ -71,23 +72,23 @@
 }
 
 #[test]
-fn a_back_end_that_has_told_no_time_counts_as_one_like_the_others() {
-    let mut world = known_speeds();
+fn a_back_end_without_a_reported_processing_time_counts_with_the_mean() {
+    let mut world = world_with_known_speeds();
     world.start_agent(3);
     world.register(3, SLOTS, false, 1);
     world.run(20 * MILLI);
     for port in 50_001..50_007 {
         world.open(port, 0);
     }
-    // Its service's mean lies between 20 and 60 ms.
+    // The mean of its service lies between 20 and 60 ms.
     assert_eq!(placed_at(&world, 50_001..50_007, FAST), 3);
     assert_eq!(placed_at(&world, 50_001..50_007, 3), 3);
 }
 
 #[test]
-fn a_cold_back_end_is_told_by_its_own_time() {
+fn a_cold_back_end_counts_with_its_own_processing_time() {
     let mut world = World::new(2, SLOTS);
-    let call = Registration {
+    let registration = Registration {
         id: "backend-2".to_owned(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
@@ -97,12 +98,12 @@
         cold_for: Duration::from_secs(60),
         ..Registration::default()
     };
-    // It warms up, and yet answers earlier than the warm one.
+    // It warms up, but responds earlier than the warm one.
     world.send_registration(
         FAST,
         &Registration {
             id: "backend-1".to_owned(),
-            ..call
+            ..registration
         },
     );
     for round in 0..12 {
