--- a/crates/petrellatch-core/src/pass_through/digest.rs
+++ b/crates/petrellatch-core/src/pass_through/digest.rs
@@ -1,4 +1,4 @@
-//! Digests that all processes compute alike.
+//! Digests of names, addresses and flows. All processes compute the same values.
 
 use std::hash::Hasher;
 
@@ -10,19 +10,19 @@
 const BACKEND_SALT: u64 = 1;
 const ZONE_SALT: u64 = 2;
 
-/// The number that stands for a service in packets between processes.
+/// Digest that identifies a service in messages between processes.
 pub fn service_digest(name: &str) -> u64 {
     name_digest(name, SERVICE_SALT)
 }
 
-/// The number that stands for one life of a back end between processes. `born` tells lives
-/// of the same name apart, as far as the back end says it.
+/// Digest that identifies one incarnation of a back end in messages between processes.
+/// `started_at_millis` distinguishes incarnations of the same name, if the back end reports it.
 pub fn backend_digest(id: &str, born: Option<u64>) -> u64 {
     let name = name_digest(id, BACKEND_SALT);
     born.map_or(name, |born| address_digest(born, name))
 }
 
-/// The number that stands for a zone within a process.
+/// Digest that identifies a zone within a process.
 pub(super) fn zone_digest(name: &str) -> u64 {
     name_digest(name, ZONE_SALT)
 }
@@ -33,14 +33,14 @@
     hasher.finish()
 }
 
-/// A number that depends on a packed address and on `salt`, evenly spread.
+/// Uniformly distributed hash of a packed address and `salt`.
 pub(super) fn address_digest(address: u64, salt: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(salt, 3);
     hasher.write_u64(address);
     hasher.finish()
 }
 
-/// A number that depends on a flow and on `salt`, evenly spread.
+/// Uniformly distributed hash of a flow and `salt`.
 pub fn flow_digest(flow: FlowId, salt: u64) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(salt, 2);
     hasher.write_u32(u32::from(*flow.caller.ip()));
@@ -50,12 +50,11 @@
     hasher.finish()
 }
 
-/// Of how many ordinary flows one is logged.
+/// The ordinary steps of one in this many flows are logged.
 const SAMPLE_ONE_OF: u64 = 64;
 const SAMPLE_SALT: u64 = 0x4c4f_4721;
 
-/// Whether the ordinary steps of a flow are logged. All processes choose the
-/// same flows.
+/// Whether the ordinary steps of a flow are logged. All processes sample the same flows.
 pub fn is_sampled(flow: FlowId) -> bool {
     flow_digest(flow, SAMPLE_SALT).is_multiple_of(SAMPLE_ONE_OF)
 }
--- a/crates/petrellatch-core/src/pass_through/latency.rs
+++ b/crates/petrellatch-core/src/pass_through/latency.rs
@@ -1,15 +1,15 @@
-//! Distributions of times, for metrics.
+//! Latency histograms for metrics.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// The longest time that is told apart from longer ones.
+/// Longer times are recorded as this one.
 const MAX_MILLIS: u64 = 60_000;
-/// Digits of a time that are kept; more would cost memory.
+/// Significant digits of a recorded time; more would cost memory.
 const DIGITS: u8 = 1;
 
-/// How often something took how long, in about a kilobyte.
+/// A histogram of durations in milliseconds, which takes about a kilobyte of memory.
 #[derive(Clone, Debug)]
 pub struct LatencyHistogram {
     millis: Histogram<u32>,
@@ -26,25 +26,25 @@
 }
 
 impl LatencyHistogram {
-    /// Notes one time.
+    /// Records one duration.
     pub fn record(&mut self, time: Duration) {
         let millis = u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         self.millis.saturating_record(millis);
         self.total += time;
     }
 
-    /// How many times were noted.
+    /// Number of recorded durations.
     pub fn count(&self) -> u64 {
         self.millis.len()
     }
 
-    /// How many of them were at most `limit`, to about a tenth of it.
+    /// Number of recorded durations of at most `limit`, which is accurate to about a tenth.
     pub fn count_up_to(&self, limit: Duration) -> u64 {
         let millis = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
         self.millis.count_between(0, millis.min(MAX_MILLIS))
     }
 
-    /// The sum of all times.
+    /// Sum of all recorded durations.
     pub fn total(&self) -> Duration {
         self.total
     }
--- a/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
@@ -1,12 +1,12 @@
-//! Queues of many flows that take turns: deficit round robin.
+//! A fair queue of many flows: deficit round robin.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Bytes that a flow may send in each of its turns: one datagram of full size.
+/// Bytes that a flow may send in each of its rounds: one full-size datagram.
 const QUANTUM_BYTES: usize = 1_400;
 
-/// Something that takes so many bytes of the link.
+/// An item and the number of bytes that it takes on the link.
 #[derive(Debug)]
 pub(crate) struct Queued<T> {
     pub(crate) item: T,
@@ -17,11 +17,11 @@
 struct FlowQueue<T> {
     items: VecDeque<Queued<T>>,
     bytes: usize,
-    /// What it may still send in this turn.
+    /// Bytes that the flow may still send in this round.
     deficit: usize,
 }
 
-/// The queues. `K` names a flow.
+/// Deficit round robin over the queues of flows, which are identified by `K`.
 #[derive(Debug)]
 pub(crate) struct FairQueue<K, T> {
     flows: HashMap<K, FlowQueue<T>>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Bytes of all that waits.
+    /// Total bytes of the queued items.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -47,12 +47,12 @@
         self.turns.is_empty()
     }
 
-    /// Whether something of a flow waits.
+    /// Whether items of a flow are queued.
     pub(crate) fn holds(&self, key: K) -> bool {
         self.flows.contains_key(&key)
     }
 
-    /// Whether the same waits already.
+    /// Whether an equal item of the flow is queued.
     pub(crate) fn contains(&self, key: K, item: &T) -> bool {
         let flow = self.flows.get(&key);
         flow.is_some_and(|flow| flow.items.iter().any(|it| it.item == *item))
@@ -73,7 +73,7 @@
         flow.items.push_back(sized);
     }
 
-    /// The next one in turn.
+    /// Removes the next item in round-robin order.
     pub(crate) fn pop(&mut self) -> Option<Queued<T>> {
         loop {
             let key = *self.turns.front()?;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Drops the latest item of the flow that has most to send.
+    /// Removes the newest item of the flow with the most queued bytes.
     pub(crate) fn drop_from_longest(&mut self) -> Option<Queued<T>> {
         let (key, longest) = self.flows.iter_mut().max_by_key(|(_, flow)| flow.bytes)?;
         let key = *key;
--- a/crates/petrellatch-core/src/pass_through/link/link_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_queue.rs
@@ -1,4 +1,4 @@
-//! What waits for the balancer's link.
+//! The send queue of a balancer's link.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use super::fair_queue::{FairQueue, Queued};
 use super::link_pacer::LinkPacer;
 
-/// What waits takes the link so long at most: callers give up opening a flow after that.
+/// Maximum transmission time of the queued packets: callers give up a SYN after that.
 const MAX_WAIT: Duration = SYN_TIMEOUT;
-/// A datagram of at most so many bytes is short: it opens or acknowledges, or is a request of
-/// its own. One of full size, 1.3 KB, shows that more of its flow follows.
+/// Maximum size of a short datagram: a SYN, an acknowledgement, or a request in a single
+/// packet. A full-size datagram of 1.3 KB shows that more packets of its flow follow.
 const SHORT_BYTES: usize = 1_100;
-/// Short datagrams go before the others, but after so many bytes of them another one goes:
-/// a fifth of the link is left to long flows whatever else comes.
+/// Short datagrams go before the others, but after this many bytes of them a long one is sent.
+/// This leaves a fifth of the link to long flows under any load.
 const SHORT_RUN_BYTES: usize = 4 * 1_300;
-/// A link counts as full when what waits takes it so long: half of what a caller waits for an
-/// acknowledgement before it sends a packet again.
+/// Backlog from which a link counts as congested: half of the time after which a caller sends
+/// an unacknowledged packet again.
 const FULL_WAIT: Duration = Duration::from_millis(100);
-/// A link that was full is so no more when nothing has waited for so long.
+/// A congested link counts as cleared once its queue was empty for this long.
 const CLEAR_AFTER: Duration = Duration::from_secs(1);
 
-/// Which turn something takes on the link.
+/// Scheduling class of an output on the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkClass {
-    /// Before all others: questions for open flows, and what keeps the balancer current. All
-    /// of it has budgets that are small beside the link.
+    /// Sent before all others: flow queries, and messages that keep the balancer up to date.
+    /// Their own budgets are small compared to the link.
     Control,
-    /// Packets of a flow, in their order, in turn with other flows; those of flows that have
-    /// little to send before those that have much.
+    /// Packets of a flow, sent in order and in turn with other flows. Flows with little to send
+    /// go before those with much.
     Flow(FlowId),
 }
 
@@ -43,18 +43,18 @@
     pub sent_bytes: u64,
     /// Datagrams that had to wait for the link.
     pub waited: u64,
-    /// Packets that were sent again while their first copies waited, and not sent twice.
+    /// Retransmissions that were dropped because the first copy was still queued.
     pub duplicates: u64,
-    /// Packets dropped, as too much waited.
+    /// Packets dropped because the backlog was too long.
     pub dropped: u64,
 }
 
-/// Whether the link is full.
+/// A change of the link's congestion state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkChange {
-    /// It has become full.
+    /// The link has become congested.
     Congested,
-    /// It is full no more, after this time.
+    /// The link is no longer congested. It was for this time.
     Cleared(Duration),
 }
 
@@ -64,24 +64,24 @@
     since: Timestamp,
 }
 
-/// Two are the same if they would do the same, whenever they came.
+/// Equality ignores when an output was queued.
 impl PartialEq for Waiting {
     fn eq(&self, other: &Waiting) -> bool {
         self.output == other.output
     }
 }
 
-/// The queue of a link whose speed is known.
+/// The send queue of a link whose speed is known.
 #[derive(Debug)]
 pub(crate) struct LinkQueue {
     pacer: LinkPacer,
     control: VecDeque<Queued<Waiting>>,
     short: FairQueue<FlowId, Waiting>,
-    /// Bytes of short datagrams since a long one.
+    /// Bytes of short datagrams sent since the last long one.
     short_run: usize,
     long: FairQueue<FlowId, Waiting>,
     full_since: Option<Timestamp>,
-    /// When something waited last.
+    /// When the queue was last known not to be empty.
     waited_at: Timestamp,
     counters: LinkCounters,
     waits: LatencyHistogram,
@@ -106,18 +106,18 @@
         self.counters
     }
 
-    /// How long datagrams waited that had to.
+    /// Queueing times of the datagrams that had to wait.
     pub(crate) fn wait_times(&self) -> &LatencyHistogram {
         &self.waits
     }
 
-    /// How long the link takes for all that waits.
+    /// Transmission time of all queued packets of flows.
     pub(crate) fn backlog(&self) -> Duration {
         self.pacer.time_for(self.short.bytes() + self.long.bytes())
     }
 
-    /// Takes something to send, of so many bytes with all heads. A copy of what still waits
-    /// is left out.
+    /// Queues an output of `bytes` bytes, all headers included. A packet that equals one that
+    /// is still queued is dropped.
     pub(crate) fn push(
         &mut self,
         now: Timestamp,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The next thing to send, if the link is free.
+    /// Removes the next output, if the pacer lets it go now.
     pub(crate) fn pop(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
         if self.is_empty() || !self.pacer.is_free(now) {
             return None;
@@ -161,7 +161,7 @@
         self.pop_immediate(now)
     }
 
-    /// The next thing to send, whether the link is free or not.
+    /// Removes the next output regardless of the pacer.
     pub(crate) fn pop_immediate(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
         let next = self.control.pop_front().or_else(|| self.pop_flow());
         let Queued { item, bytes } = next?;
@@ -185,12 +185,12 @@
         self.long.pop()
     }
 
-    /// When [`LinkQueue::pop`] has something.
+    /// When [`LinkQueue::pop`] returns the next output; `None` if nothing is queued.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
         (!self.is_empty()).then(|| self.pacer.free_at())
     }
 
-    /// Whether the link has become full, or clear.
+    /// Returns a change of the congestion state since the last call, if there is one.
     pub(crate) fn take_change(&mut self, now: Timestamp) -> Option<LinkChange> {
         if !self.is_empty() {
             self.waited_at = now;
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -1,18 +1,18 @@
-//! Flows that are passed through: balancers and agents hand the packets of a
-//! flow to a back end that ends the flow itself, and its answers go straight
-//! to the caller.
+//! The pass-through tier: balancers forward the packets of a flow to an agent, which delivers
+//! them to a back end that terminates the flow itself. The back end's packets go from the agent
+//! straight to the caller.
 //!
-//! Beside the tier that ends callers' flows (`agent_node`), this one needs no
-//! leases: a flow opens only at the back end whose sequence number the caller
-//! acknowledges, so two back ends that answer one opening packet are harmless,
-//! and the back end itself knows which flows it has.
+//! Unlike the tier that terminates callers' flows (`agent_node`), this one needs no leases. A
+//! flow is established only at the back end whose sequence number the caller acknowledges, so
+//! SYN-ACKs of two back ends for one SYN do no harm, and each back end is the authority on
+//! which flows it owns.
 //!
-//! * A [`PassThroughBalancer`] chooses the agent of a new flow and remembers
-//!   it as a hint that may be lost.
-//! * A [`PassThroughAgent`] admits to the back end beside it, by its exact
-//!   load and by what the back end said of itself.
-//! * A [`ConfigurationNode`] is a replica of the group that holds the
-//!   configuration, and passes on which agents there are.
+//! * A [`PassThroughBalancer`] chooses the agent of a new flow and keeps the choice in a flow
+//!   cache, which may be lost.
+//! * A [`PassThroughAgent`] admits new flows to its back end, by the exact load and by what the
+//!   back end has registered.
+//! * A [`ConfigurationNode`] is a replica of the group that holds the configuration. It also
+//!   distributes the directory of agents.
 
 mod admission;
 mod agent;
--- a/crates/petrellatch-core/src/pass_through/output.rs
+++ b/crates/petrellatch-core/src/pass_through/output.rs
@@ -1,4 +1,4 @@
-//! What the daemons of the tier want done.
+//! Outputs of the tier's state machines.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -6,17 +6,17 @@
 
 use crate::event::Event;
 
-/// Something for the driver to do, in this order.
+/// An action for the event loop. Outputs are carried out in the order in which they are polled.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PassThroughOutput {
-    /// Send a message to another process. It may get lost.
+    /// Send a message to another process. Delivery is not guaranteed.
     Send {
         /// The receiver.
         to: SocketAddrV4,
         /// The message.
         body: PassThroughBody,
     },
-    /// Hand a packet to the back end beside this agent.
+    /// Send a packet to this agent's back end.
     ToBackend(Vec<u8>),
     /// Send a packet to a caller.
     ToCaller {
@@ -25,6 +25,6 @@
         /// The packet.
         packet: Vec<u8>,
     },
-    /// Write to the log.
+    /// Write an event to the log.
     Event(Event),
 }
--- a/crates/petrellatch-core/src/pass_through/packet.rs
+++ b/crates/petrellatch-core/src/pass_through/packet.rs
@@ -1,71 +1,70 @@
-//! What the state machines see of a packet, and the codec behind it.
+//! The parsed view of a packet that the state machines work on, and the codec for it.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use petrellatch_proto::pass_through::{FlowMessage, pack_address, unpack_address};
 
-/// When a caller sends the copies of an opening packet that is not answered, counted
-/// from the first one.
+/// Times at which a caller sends a SYN that isn't answered, counted from the first one.
 const COPY_AGES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
 ];
-/// When a caller gives up an opening packet that is not answered.
+/// A caller gives up a new flow if no SYN-ACK arrives within this time from the first SYN.
 pub(super) const SYN_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// A flow, by its two ends as the caller sees them.
+/// Identifies a flow by its two endpoints as the caller sees them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowId {
-    /// The caller.
+    /// The caller's address and port.
     pub caller: SocketAddrV4,
-    /// The address of the route that the caller names.
+    /// The address and port of the route that the caller connects to.
     pub route: SocketAddrV4,
 }
 
-/// The part of a packet that decisions rest on.
+/// The header fields of a packet that the state machines use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacketView {
-    /// The sending end.
+    /// Source address and port.
     pub source: SocketAddrV4,
-    /// The end that the packet is meant for.
+    /// Destination address and port.
     pub destination: SocketAddrV4,
-    /// Asks for, or answers, the opening of a flow.
+    /// SYN flag. The packet opens a flow or, if `ack` is set as well, accepts it (SYN-ACK).
     pub syn: bool,
-    /// Acknowledges something.
+    /// ACK flag: `ack_number` is valid.
     pub ack: bool,
-    /// The sender has nothing more to send.
+    /// FIN flag: the sender has no more data to send.
     pub fin: bool,
-    /// The flow is over.
+    /// RST flag: the sender aborts the flow.
     pub rst: bool,
-    /// A back end sent the packet back, because it does not have the flow or
-    /// can't take it.
+    /// The packet was returned by a back end that doesn't own the flow or can't take the SYN.
     pub returned: bool,
-    /// Sequence number.
+    /// Sequence number of the packet.
     pub sequence_number: u32,
-    /// What is acknowledged; in an opening packet the number of its copy.
+    /// Acknowledgement number. In a SYN, the number of its retransmission; zero is the first
+    /// SYN.
     pub ack_number: u32,
-    /// Bytes of data.
+    /// Payload size in bytes.
     pub data_bytes: u16,
 }
 
-/// Reads and makes packets of one format.
+/// Parses and builds packets of one wire format.
 pub trait PacketCodec {
-    /// Reads a packet; `None` if it is malformed.
+    /// Parses a packet. Returns `None` if it is malformed.
     fn view(&self, packet: &[u8]) -> Option<PacketView>;
 
-    /// Makes a reset that tells the caller that its flow is not served.
+    /// Builds a reset with this sequence number for the caller of a flow.
     fn reset(&self, flow: FlowId, sequence: u32) -> Vec<u8>;
 }
 
 impl PacketView {
-    /// Whether a caller asks for a new flow.
+    /// Whether the packet is a SYN, with which a caller opens a new flow.
     pub fn is_syn(&self) -> bool {
         self.syn && !self.ack
     }
 
-    /// How long ago the first copy of an opening packet was sent, at least.
+    /// Minimum time since the first SYN of the flow, from the number of this retransmission.
     pub fn min_syn_age(&self) -> Duration {
         let copy = self.ack_number as usize;
         COPY_AGES[copy.min(COPY_AGES.len() - 1)]
