--- a/crates/petrellatch-core/src/pass_through/admission/cold_admission.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/cold_admission.rs
@@ -1,32 +1,32 @@
-//! How many new flows a back end gets while it warms up.
+//! Rate limit of new flows for a back end that warms up.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Bounds on what a back end that warms up may get in any second.
+/// Limits on the new flows that a back end gets in any second while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpBounds {
-    /// A multiple of the requests a second that it bears.
+    /// Factor on the service's warm-up rate.
     pub excess: f64,
-    /// Requests beyond that.
+    /// Requests that are allowed on top of that.
     pub slack: f64,
 }
 
-/// The span that the bounds hold for, and what a packet may stay longer on the way
-/// to one back end than to another: admissions are counted here, arrivals there.
+/// Window over which admissions are counted: one second, plus a margin for packets whose
+/// transit times differ, because the bounds apply to arrivals at the back end.
 const SPAN: Duration = Duration::from_millis(1_050);
-/// The part of the bounds that is used.
+/// Fraction of the bounds that is used.
 const USED_PART: f64 = 0.9;
-/// Most admissions that are remembered; no bound above this is kept exactly.
+/// Maximum number of admission times that are kept. Higher limits are reduced to it.
 const MAX_REMEMBERED: usize = 4_096;
 
-/// Counts the flows that were admitted within the last span.
+/// Limits new flows by the number of those admitted within the window.
 #[derive(Debug)]
 pub(crate) struct ColdAdmission {
     bounds: WarmUpBounds,
-    /// Requests that the back end bears in 1,000 s; zero if nobody has told.
+    /// Warm-up rate of the back end in requests per 1,000 s; zero if unknown.
     millirequests_per_second: u32,
     admitted: VecDeque<Timestamp>,
 }
@@ -40,22 +40,22 @@
         }
     }
 
-    /// Notes what the back end bears, as a balancer tells it. Zero tells nothing: a
-    /// balancer may not have the configuration that says it.
+    /// Notes the warm-up rate that a balancer sent. Zero is ignored: the balancer may not have
+    /// the configuration that sets the rate.
     pub(crate) fn note_rate(&mut self, millirequests_per_second: u32) {
         if millirequests_per_second > 0 {
             self.millirequests_per_second = millirequests_per_second;
         }
     }
 
-    /// Whether one more flow fits within the bounds. Nothing is bounded as long as
-    /// nobody has told what the back end bears.
+    /// Whether one more flow is within the bounds. There is no limit while the warm-up rate is
+    /// unknown.
     pub(crate) fn admits(&mut self, now: Timestamp) -> bool {
         self.forget_old(now);
         self.millirequests_per_second == 0 || self.admitted.len() < self.limit()
     }
 
-    /// Notes that a flow was admitted.
+    /// Notes an admitted flow.
     pub(crate) fn note_admitted(&mut self, now: Timestamp) {
         self.forget_old(now);
         if self.admitted.len() == MAX_REMEMBERED {
@@ -67,7 +67,7 @@
     fn limit(&self) -> usize {
         let borne = f64::from(self.millirequests_per_second) / 1_000.0;
         let bound = borne * self.bounds.excess + self.bounds.slack;
-        // At least one, or a back end would never warm up.
+        // At least one: a back end without requests would never warm up.
         ((bound * USED_PART) as usize).clamp(1, MAX_REMEMBERED)
     }
 
--- a/crates/petrellatch-core/src/pass_through/admission/failure_watch.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/failure_watch.rs
@@ -1,38 +1,39 @@
-//! Leaves out a back end that fails the requests it gets.
+//! Outlier detection: ejects a back end that fails its requests.
 //!
-//! A back end that fails at once always looks idle, so it would draw the flows of a
-//! whole service, however good the health is that it tells.
+//! A back end that fails its requests at once always looks idle. It would attract the flows of
+//! a whole service, even if it reports itself as healthy.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Failures in a row, of different callers, after which a back end is left out. One
+/// Consecutive failures, for different callers, after which a back end is ejected. A single one
 /// may be the caller's fault.
 const FAILURES: u32 = 2;
-/// How long a back end is left out at first: a few requests that it would have got.
-/// It doubles with each failure after that.
+/// Duration of the first ejection, in which the back end would have got a few requests. It
+/// doubles with each failure after that.
 const FIRST_PAUSE: Duration = Duration::from_millis(250);
 const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// After a pause one flow tries the back end. If it says nothing by then, another one
-/// may try.
+/// After an ejection, one trial flow is admitted. If the back end hasn't responded to it within
+/// this time, another one is admitted.
 const PROBE_LIMIT: Duration = Duration::from_secs(1);
-/// A back end that has not failed for so long starts with the first pause again.
+/// After this time without a failure, ejections start with the first duration again.
 const FORGIVEN_AFTER: Duration = Duration::from_secs(4);
 
-/// What an agent has seen of its back end's failures.
+/// Decides from the failures of an agent's back end when it is ejected.
 #[derive(Debug)]
 pub(crate) struct FailureWatch {
-    /// Failures since the latest answer.
+    /// Failures since the last response.
     failures: u32,
-    /// Who was failed last.
+    /// The caller whose request failed last.
     failed_caller: Option<Ipv4Addr>,
     failed_at: Timestamp,
     pause: Duration,
-    /// Until when the back end is left out; none if it is not.
+    /// End of the ejection; `None` if there is none. It stays set after that time until the
+    /// back end responds to a trial flow.
     left_out_until: Option<Timestamp>,
-    /// Until when a flow tries the back end.
+    /// Until when a trial flow is pending.
     probed_until: Timestamp,
 }
 
@@ -50,8 +51,8 @@
 }
 
 impl FailureWatch {
-    /// Notes that the back end reset a flow whose request it had not answered. Returns
-    /// whether it is left out from now on.
+    /// Notes that the back end reset a flow without a response to its request. Returns whether
+    /// it is ejected from now on.
     pub(crate) fn note_failure(&mut self, now: Timestamp, caller: Ipv4Addr) -> bool {
         let is_same_caller = self.failed_caller.replace(caller) == Some(caller);
         if now.saturating_since(self.failed_at) >= FORGIVEN_AFTER {
@@ -66,7 +67,7 @@
             return false;
         }
         if self.left_out_until.is_some_and(|until| now < until) {
-            // A request that was sent before.
+            // The request was sent before the ejection.
             return false;
         }
         self.left_out_until = Some(now + self.pause);
@@ -75,32 +76,32 @@
         true
     }
 
-    /// Notes that the back end answered a request. Returns whether it was left out.
+    /// Notes that the back end responded to a request. Returns whether this ends an ejection.
     pub(crate) fn note_answer(&mut self, now: Timestamp) -> bool {
         self.failures = 0;
         self.failed_caller = None;
         match self.left_out_until {
-            // Of a request that was sent before.
+            // The request was sent before the ejection.
             Some(until) if now < until => false,
             _ => self.left_out_until.take().is_some(),
         }
     }
 
-    /// Whether a new flow is to go elsewhere: the back end is left out, or another
-    /// flow tries it.
+    /// Whether new flows are declined: the back end is ejected, or a trial flow is pending.
     pub(crate) fn declines(&self, now: Timestamp) -> bool {
         self.left_out_until
             .is_some_and(|until| now < until || now < self.probed_until)
     }
 
-    /// Notes that a new flow goes to the back end.
+    /// Notes an admitted flow. After an ejection, it is the trial flow.
     pub(crate) fn note_admitted(&mut self, now: Timestamp) {
         if self.left_out_until.is_some() {
             self.probed_until = now + PROBE_LIMIT;
         }
     }
 
-    /// How much longer balancers need not ask.
+    /// Remaining time in which balancers needn't offer flows; zero if the back end isn't
+    /// ejected.
     pub(crate) fn left_out(&self, now: Timestamp) -> Duration {
         let until = self.left_out_until;
         let until = until.map_or(Timestamp::ZERO, |until| until.max(self.probed_until));
--- a/crates/petrellatch-core/src/pass_through/admission/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/mod.rs
@@ -1,4 +1,4 @@
-//! Admission at an agent: what its back end says of itself, how fast it works, and
+//! Admission control at an agent: the registrations of its back end, its processing rate, and
 //! which new flows it gets.
 
 pub(crate) mod cold_admission;
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -1,4 +1,4 @@
-//! Back ends that register themselves at the agent beside them.
+//! State of an agent's back end, which registers itself at the agent.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -10,43 +10,43 @@
 
 use crate::pass_through::digest::backend_digest;
 
-/// Requests that a back end which has not called yet is taken to work on at
-/// once. One that has fewer slots queues or returns the rest.
+/// Slots assumed for a back end that hasn't registered yet. If it has fewer, it queues or
+/// returns the excess requests.
 const PROVISIONAL_CAPACITY: u32 = 4;
-/// Calls that a back end may have made in vain before its agent was there.
+/// Registrations that a back end may have sent before its agent was running. A sequence number
+/// up to this one still shows that an incarnation has just started.
 const EARLY_CALLS: u64 = 3;
-/// A life that says that it was born before the current one is a newer one all the same
-/// if it goes on calling for so long without a call of that: its clock was set back. Late
-/// calls of a former life come within a moment, and the current one calls about every
-/// second.
+/// An incarnation whose start time is before that of the current one is the newer one all the
+/// same if it keeps registering for this long while the current one doesn't: its clock was set
+/// back. Delayed registrations of a previous incarnation arrive within a moment, and the
+/// current one registers about every second.
 const EARLIER_BORN_PATIENCE: Duration = Duration::from_secs(3);
-/// How many departed back ends are remembered, so that a late call of one of
-/// them does not bring it back.
+/// Number of deregistered incarnations that are kept, so that a delayed registration doesn't
+/// bring one of them back.
 const MAX_DEPARTED: usize = 16;
-/// How many of them the control group is told.
+/// Number of draining and deregistered incarnations in a report to the replica group.
 const MAX_LEAVING_TOLD: usize = 4;
-/// A back end that has not answered an opening packet for so long may be another
-/// one, cold, when it speaks again. One that lives answers at once, or returns the
-/// packet.
+/// A back end that hasn't answered a SYN for this long may have restarted, and be cold, when it
+/// sends its next packet. A running one answers or returns a SYN at once.
 const UNANSWERED_LIMIT: Duration = Duration::from_millis(500);
 
-/// One call of a back end.
+/// A registration of a back end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Registration {
-    /// The back end. It may start again under the same name.
+    /// Name of the back end, which may restart under the same name.
     pub id: String,
     /// The service that it runs.
     pub service: String,
-    /// When it was started, in milliseconds by its own clock, which may have been set
-    /// meanwhile; none if it does not say so.
+    /// Start time in milliseconds of the back end's own clock, which may have been set since;
+    /// `None` if it isn't reported.
     pub started_at_millis: Option<u64>,
-    /// Rises with each call of a life, and begins anew with the next one.
+    /// Increases with each registration of an incarnation, and starts over with the next one.
     pub sequence: u64,
-    /// Requests that it works on at once.
+    /// Number of requests that the back end processes at once.
     pub slots: u32,
-    /// Whether it leaves.
+    /// Whether the back end drains, so that it gets no new flows.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time.
     pub cold_for: Duration,
     /// Free-form labels, which placement policies read.
     pub labels: BTreeMap<String, String>,
@@ -61,21 +61,21 @@
     }
 }
 
-/// Why a call names no back end to use.
+/// Why a registration is refused.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RegistrationRefusal {
-    /// The agent is beside a back end of another service.
+    /// The agent belongs to another service.
     #[snafu(display("the back end beside this agent runs {own}, not {named}"))]
     WrongService {
         /// The service of the agent.
         own: String,
-        /// The service that the call names.
+        /// The service that the registration names.
         named: String,
     },
 }
 
-/// One life of a back end: with the next one it has nothing in common but, at times, its
-/// name.
+/// One incarnation of a back end. The next one may have the same name, but shares nothing else
+/// with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Life {
     id: String,
@@ -87,36 +87,36 @@
         backend_digest(&self.id, self.born)
     }
 
-    /// Whether it began after another one, as far as both say so.
+    /// Whether it started after another one; `None` unless both report a start time.
     fn is_born_after(&self, other: &Life) -> Option<bool> {
         Some(self.born? > other.born?)
     }
 }
 
-/// What an agent knows of its back end from the calls.
+/// State of an agent's back end, as its registrations and packets show it.
 #[derive(Debug)]
 pub struct RegistrationState {
     current: Option<Current>,
-    /// Another life that has called, of which it is not known whether it is a newer
-    /// one. It is forgotten once the current one calls again.
+    /// Another incarnation that has registered, and may be newer or older than the current one.
+    /// It is dropped once the current one registers again.
     rival: Option<Rival>,
-    /// Whether packets show that a back end is alive that has not called.
+    /// Whether the back end has sent a packet, which shows that it runs.
     seen_alive: bool,
-    /// Until when such a back end is offered.
+    /// Until when a back end that hasn't registered may get new flows.
     provisional_until: Timestamp,
-    /// Whether the latest sign of it was a returned opening packet.
+    /// Whether the back end has returned a SYN since its last packet.
     returned_opening: bool,
-    /// Number of the first call that was heard.
+    /// Sequence number of the first registration received.
     first_call: Option<u64>,
-    /// Whether another back end took the place of a former one.
+    /// Whether an incarnation has replaced another one.
     was_replaced: bool,
-    /// When the back end got an opening packet that it has not answered.
+    /// When the back end got the first SYN that it hasn't answered.
     unanswered_since: Option<Timestamp>,
-    /// Whether it may have turned cold since its latest call.
+    /// Whether the back end may have restarted, and be cold, since its last registration.
     is_doubtful: bool,
-    /// Digests of back ends that must not be offered again.
+    /// Digests of deregistered incarnations, which must not get new flows again.
     departed: VecDeque<u64>,
-    /// Rises whenever another back end calls, or one says something else of itself.
+    /// Increases when another incarnation registers or when the labels change.
     description_revision: u64,
 }
 
@@ -128,26 +128,29 @@
     draining: bool,
     cold_until: Timestamp,
     heard_at: Timestamp,
-    /// When its first call was heard.
+    /// When its first registration was received.
     known_since: Timestamp,
     labels: BTreeMap<String, String>,
 }
 
-/// A call may come seconds late, also after its sender has crashed and a newer life
-/// has called, and names do not tell which life is the newer one. The times at which they
-/// were born tell it unless a clock was set back in between.
+/// An incarnation other than the current one that has registered or deregistered.
+///
+/// A registration may arrive seconds late, even after its sender has crashed and a newer
+/// incarnation has registered. Names don't show which incarnation is the newer one. Start times
+/// do, unless a clock was set back in between.
 #[derive(Debug)]
 struct Rival {
     life: Life,
     call_number: u64,
     draining: bool,
-    /// When it was first heard since the current one called; none if it has not called.
+    /// When its first registration since the last one of the current incarnation was received;
+    /// `None` if there is none.
     called_since: Option<Timestamp>,
 }
 
 impl RegistrationState {
-    /// Starts without a back end. Until `provisional_until` one that is alive
-    /// is offered although it has not called.
+    /// Creates the state without a back end. Until `provisional_until`, a running back end gets
+    /// new flows although it hasn't registered.
     pub fn new(provisional_until: Timestamp) -> RegistrationState {
         RegistrationState {
             current: None,
@@ -164,7 +167,8 @@
         }
     }
 
-    /// Takes a call. Returns whether it changed what the agent offers.
+    /// Handles a registration. Returns whether the current incarnation or its draining state
+    /// changed.
     pub fn handle_registration(&mut self, now: Timestamp, call: &Registration) -> bool {
         let life = call.life();
         if self.departed.contains(&life.digest()) {
@@ -207,10 +211,11 @@
         before != self.offer()
     }
 
-    /// Whether a life that is not the current one is a newer one: it says that it was
-    /// born later, or has begun just now, or it goes on calling while the current one is
-    /// silent. Beside a current one that leaves, and may have said its last word, a first
-    /// call shows nothing, nor does it from a life that says that it was born earlier.
+    /// Whether an incarnation is newer than the current one: its start time is later, or it has
+    /// just started, or it keeps registering while the current one doesn't.
+    ///
+    /// A low sequence number shows nothing if the current one drains, as it may have sent its
+    /// last registration, or if the start time is earlier than that of the current one.
     fn is_newer(&self, now: Timestamp, life: &Life, call: &Registration) -> bool {
         let Some(current) = &self.current else {
             return true;
@@ -226,8 +231,8 @@
         is_born_after.unwrap_or(has_just_begun && !current.draining)
     }
 
-    /// Notes a call of a life that is not known to be a newer one. What a life says that
-    /// was born before the current one changes nothing.
+    /// Notes a registration of an incarnation that isn't known to be newer. If its start time
+    /// is earlier than that of the current one, its draining state has no effect.
     fn note_rival(&mut self, now: Timestamp, life: Life, call: &Registration) {
         let current = self.current.as_ref().map(|current| &current.life);
         let is_former = current.and_then(|current| life.is_born_after(current)) == Some(false);
@@ -241,7 +246,8 @@
         });
     }
 
-    /// Gives up the current life for another one. If it left, it must not come back.
+    /// Removes the current incarnation in favour of another one. If it was draining, it must
+    /// not come back.
     fn replace_current(&mut self) {
         let Some(former) = self.current.take() else {
             return;
@@ -252,9 +258,8 @@
         }
     }
 
-    /// Takes the goodbye of a back end. It keeps the flows that it has, and
-    /// nothing that it says later counts. Returns whether that changed what
-    /// the agent offers.
+    /// Handles a deregistration. The back end keeps its flows, and its later registrations are
+    /// ignored. Returns whether the current incarnation or its draining state changed.
     pub fn handle_deregistration(&mut self, id: &str) -> bool {
         let before = self.offer();
         let life = self.withdrawn_life(id);
@@ -265,7 +270,7 @@
         {
             current.draining = true;
         } else if self.current.is_some() && !has_left_before {
-            // The current one may be a former life, whose call came late.
+            // The current one may be a previous incarnation whose registration was delayed.
             self.rival = Some(Rival {
                 life,
                 call_number: u64::MAX,
@@ -276,7 +281,7 @@
         before != self.offer()
     }
 
-    /// The life that takes its leave under a name: the latest that called under it.
+    /// The incarnation that deregisters under a name: the last one that registered under it.
     fn withdrawn_life(&self, id: &str) -> Life {
         let current = self.current.as_ref().map(|current| &current.life);
         let rival = self.rival.as_ref().map(|rival| &rival.life);
@@ -288,8 +293,8 @@
         })
     }
 
-    /// Notes that the back end gave another sign of life. A packet that it
-    /// returned is none: those of a back end that is gone come back as well.
+    /// Notes a packet of the back end, which shows that it runs. A returned packet doesn't
+    /// count: packets for a back end that has ended are returned as well.
     pub fn note_alive(&mut self, now: Timestamp) {
         self.is_doubtful |= self.is_unanswered(now);
         self.unanswered_since = None;
@@ -300,14 +305,13 @@
         }
     }
 
-    /// Notes that an opening packet came back. A back end that has not called is
-    /// not offered any more, until it calls or speaks.
+    /// Notes a returned SYN. A back end that hasn't registered gets no new flows until it
+    /// registers or sends a packet.
     pub fn note_returned_opening(&mut self) {
         self.returned_opening = true;
     }
 
-    /// What the back end offers; one that was silent for longer than `limit`
-    /// counts as gone.
+    /// State of the back end. It is unavailable if it was silent for `silence_limit`.
     pub fn state(&self, now: Timestamp, limit: Duration) -> AgentState {
         match &self.current {
             Some(current) if current.draining || self.rival_leaves() => AgentState::Draining,
@@ -318,13 +322,13 @@
         }
     }
 
-    /// Whether a back end is offered although it has not called. If one of this
-    /// machine has left, packets may be its.
+    /// Whether a back end that hasn't registered may get new flows. It may not after a
+    /// deregistration, as packets may come from the incarnation that deregistered.
     fn is_provisional(&self, now: Timestamp) -> bool {
         self.departed.is_empty() && !self.returned_opening && now < self.provisional_until
     }
 
-    /// Requests that the back end works on at once.
+    /// Number of requests that the back end processes at once.
     pub fn capacity(&self) -> u32 {
         match &self.current {
             Some(current) => current.capacity,
@@ -332,22 +336,22 @@
         }
     }
 
-    /// Whether one of the first calls of a back end's life was heard.
+    /// Whether one of the first registrations of an incarnation was received.
     pub fn called_early(&self) -> bool {
         self.first_call.is_some_and(|call| call <= EARLY_CALLS)
     }
 
-    /// Whether a back end has called.
+    /// Whether a back end has registered.
     pub fn has_called(&self) -> bool {
         self.current.is_some()
     }
 
-    /// Number of the latest description that differs from the one before.
+    /// Revision of the back end's description, which increases with each change.
     pub fn description_revision(&self) -> u64 {
         self.description_revision
     }
 
-    /// What placement policies read of the back end that has called, if one has.
+    /// Description of the registered back end for placement policies, if there is one.
     pub fn description(&self, now: Timestamp) -> Option<BackendDescription> {
         let current = self.current.as_ref()?;
         let age = now.saturating_since(current.known_since);
@@ -358,41 +362,42 @@
         })
     }
 
-    /// Digest of the life of the back end that has called, if one has.
+    /// Digest of the registered incarnation, if there is one.
     pub fn backend(&self) -> Option<u64> {
         let current = self.current.as_ref()?;
         Some(current.life.digest())
     }
 
-    /// Whether that digest stands for one life only: the back end says when it was born.
+    /// Whether that digest identifies a single incarnation: the back end reports its start
+    /// time.
     pub fn tells_lives_apart(&self) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|current| current.life.born.is_some())
     }
 
-    /// Whether the back end has begun while it was watched, after another one.
+    /// Whether the current incarnation replaced another one while this agent ran.
     pub fn was_replaced(&self) -> bool {
         self.was_replaced
     }
 
-    /// Whether the back end still warms up.
+    /// Whether the back end still warms up, as it registered.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         let cold = |current: &Current| now < current.cold_until;
         self.current.as_ref().is_some_and(cold)
     }
 
-    /// Notes that the back end got an opening packet.
+    /// Notes that a SYN was delivered to the back end.
     pub fn note_offered(&mut self, now: Timestamp) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Notes that the back end may have turned cold, until it calls.
+    /// Notes that the back end may have restarted. It counts as cold until it registers.
     pub fn note_doubt(&mut self) {
         self.is_doubtful = true;
     }
 
-    /// Whether the back end may warm up: it says so, has not called yet, or may be
-    /// another one than the one that called.
+    /// Whether the back end may be warming up: it has registered so, hasn't registered yet, or
+    /// may have restarted since.
     pub fn may_be_cold(&self, now: Timestamp) -> bool {
         let is_in_doubt = self.is_doubtful || self.is_unanswered(now);
         self.current.is_none() || self.is_cold(now) || is_in_doubt
@@ -403,7 +408,7 @@
         self.unanswered_since.is_some_and(is_late)
     }
 
-    /// Whether the life that leaves may be the one that runs.
+    /// Whether the contender drains; it may be the incarnation that runs.
     fn rival_leaves(&self) -> bool {
         self.rival.as_ref().is_some_and(|rival| rival.draining)
     }
@@ -414,7 +419,7 @@
         Some((current.life.clone(), leaves))
     }
 
-    /// Back ends that said that they leave, the latest last.
+    /// Digests of draining and deregistered incarnations, the latest last.
     pub fn leaving(&self) -> Vec<u64> {
         let current = self.current.iter().filter(|current| current.draining);
         let current = current.map(|current| current.life.digest());
@@ -426,8 +431,8 @@
         leaving.split_off(leaving.len().saturating_sub(MAX_LEAVING_TOLD))
     }
 
-    /// Takes back what a former life of the agent told with
-    /// [`RegistrationState::leaving`].
+    /// Restores what a previous incarnation of the agent reported with
+    /// [`RegistrationState::draining_backends`].
     pub fn recall(&mut self, leaving: &[u64]) {
         for digest in leaving {
             self.note_departed(*digest);
--- a/crates/petrellatch-core/src/pass_through/admission/service_time.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/service_time.rs
@@ -1,21 +1,20 @@
-//! How long a back end works on a request, and how many may wait for it.
+//! Mean processing time of requests, and the queue limit that follows from it.
 
 use std::time::Duration;
 
 /// Weight of a new sample in the mean.
 const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
-/// Samples before the mean is used.
+/// Number of samples before the mean is used.
 const MIN_SAMPLES: u32 = 8;
-/// The part of the objective that waiting and work may take in the mean. Times
-/// spread, so a queue that takes all of it answers half of the requests late. With
-/// 0.6, 11 % more of them meet their objective than with 0.8 where all back ends of a
-/// service take 3.5 times as long as usual (6,324 and 5,684 of 9,977); 0.45 gains no
-/// more.
+/// Fraction of the latency objective that queueing and processing may take on average. Times
+/// vary, so with a queue that takes all of it, half of the responses are late. Where all back
+/// ends of a service take 3.5 times as long as usual, 11 % more requests meet their objective
+/// with 0.6 than with 0.8 (6,324 and 5,684 of 9,977); 0.45 gains no more.
 const OBJECTIVE_SHARE: f64 = 0.6;
-/// Most requests for each slot, whatever the objective.
+/// Maximum number of requests per slot, whatever the latency objective.
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
-/// The mean time of requests from when they got a slot.
+/// Mean time from when a request gets a slot until its response starts.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceTime {
     mean_seconds: f64,
@@ -23,7 +22,7 @@
 }
 
 impl ServiceTime {
-    /// Notes the time of a request from when it got a slot.
+    /// Records the processing time of a request.
     pub(crate) fn record(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
         self.samples = self.samples.saturating_add(1);
@@ -31,20 +30,19 @@
         self.mean_seconds += (seconds - self.mean_seconds) * weight;
     }
 
-    /// The mean time; zero if none is known.
+    /// Mean processing time; zero without samples.
     pub(crate) fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean_seconds)
     }
 
-    /// The mean time, once it rests on enough requests.
+    /// Mean processing time, once there are enough samples.
     pub(crate) fn known_mean(&self) -> Option<Duration> {
         (self.samples >= MIN_SAMPLES).then(|| self.mean())
     }
 
-    /// How many requests a back end that works on `capacity` at once may have so that
-    /// the last one is likely to be answered within the objective: at least as many
-    /// as it works on. If its times or the objective are not known, `unknown` for
-    /// each slot.
+    /// Limit on in-flight requests at a back end with `slots` slots, so that the last one is
+    /// likely to meet the latency objective; at least one per slot. If the processing time or
+    /// the objective is unknown, the limit is `default_per_slot` for each slot.
     pub(crate) fn queue_limit(&self, objective: Duration, capacity: u32, unknown: u32) -> u32 {
         if self.samples < MIN_SAMPLES || self.mean_seconds <= 0.0 || objective.is_zero() {
             return unknown.saturating_mul(capacity);
--- a/crates/petrellatch-core/src/pass_through/admission/turns.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/turns.rs
@@ -1,7 +1,7 @@
-//! How long a balancer is likely to wait until a place at a full back end is its own.
+//! Expected wait of a balancer until a slot of a full back end frees for it.
 //!
-//! A balancer that is told this with a refusal need not ask before: its question would
-//! be refused, and questions and refusals fill the balancers' links.
+//! An agent sends it with a decline, so that the balancer makes no offer before: that would be
+//! declined too, and offers and declines fill the balancers' links.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -9,13 +9,13 @@
 
 use crate::time::Timestamp;
 
-/// A balancer that offered a new flow within this span takes part in the turns. One that
-/// pauses between its turns, for a tenth of that at most, stays in.
+/// A balancer that offered a new flow within this time competes for slots. One that backs off,
+/// for at most a tenth of this time, still competes.
 const MEMORY: Duration = Duration::from_secs(1);
-/// Balancers that are remembered; with more the turns are foretold too short.
+/// Maximum number of balancers that are counted. With more, the expected wait is too short.
 const MAX_BALANCERS: usize = 1_024;
 
-/// The balancers that have lately offered new flows to an agent.
+/// The balancers that have recently offered new flows to an agent.
 #[derive(Debug, Default)]
 pub(crate) struct AskingBalancers {
     asked_at: BTreeMap<SocketAddrV4, Timestamp>,
@@ -29,14 +29,14 @@
         }
     }
 
-    /// Forgets balancers that offer nothing any more.
+    /// Removes balancers that no longer offer new flows.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.asked_at
             .retain(|_, asked_at| now.saturating_since(*asked_at) < MEMORY);
     }
 
-    /// The time in which one place comes free for each balancer that asks, at a back end
-    /// with so many slots that works on a request for so long.
+    /// Time in which one slot frees for each competing balancer, at a back end with this
+    /// processing time and number of slots.
     pub(crate) fn turn(&self, now: Timestamp, work: Duration, slots: u32) -> Duration {
         let asks = |asked_at: &&Timestamp| now.saturating_since(**asked_at) < MEMORY;
         let balancers = self.asked_at.values().filter(asks).count() as u32;
--- a/crates/petrellatch-core/src/pass_through/admission/waiting_openings.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/waiting_openings.rs
@@ -1,12 +1,13 @@
-//! Opening packets that wait at an agent for a place, as its back end is full.
+//! Admission queue: new flows that wait at an agent for a slot, because its back end is full.
 //!
-//! After an outage the callers of many seconds come at once, into back ends that are
-//! still cold. Fresh ones fill the queues; whoever is refused comes again at once, and
-//! has used up its tries long before there is room. Here it waits instead, if places are
-//! left so fast that it gets one in time; otherwise it is refused at once. The most
-//! urgent get the next place; of one priority those first that can still meet their
-//! objectives, and then the oldest. Late ones get the slots that the others leave, or a
-//! place in the queue before less urgent ones.
+//! After an outage, the callers of many seconds arrive at once at back ends that are still
+//! cold. Fresh flows fill the back ends' queues, and a caller that is refused retries at once
+//! and has used up its attempts long before there is capacity. With this queue, its flow waits
+//! if slots free fast enough for it to get one in time, and is declined at once otherwise.
+//!
+//! The most urgent flows get the next slot. Among flows of one priority, those that can still
+//! meet their latency objectives go first, and then the oldest. Late flows get the slots that
+//! the others leave, or a queue position before less urgent flows.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -18,68 +19,70 @@
 use crate::pass_through::admission::priorities::PassedOver;
 use crate::pass_through::packet::{FlowId, SYN_TIMEOUT};
 
-/// The longest that a packet waits as long as times of work are not known.
+/// Maximum wait while the processing time is unknown.
 const MAX_BLIND_WAIT: Duration = Duration::from_millis(800);
-/// An answer must reach a caller before it gives up the packet.
+/// Time that a packet of the back end is assumed to take to the caller, which it must reach
+/// before the caller gives up.
 const WAY_BACK: Duration = Duration::from_millis(100);
-/// Packets that wait for each slot as long as times of work are not known: at 40 ms of
-/// work a slot frees 20 times within [`MAX_BLIND_WAIT`], and fresh ones take half of that.
+/// Queued flows per slot while the processing time is unknown: at 40 ms, a slot frees 20 times
+/// within [`MAX_UNMEASURED_WAIT`], and fresh flows take half of that.
 const BLIND_PER_SLOT: u32 = 10;
-/// Most packets for each slot that may be before one that waits, so that memory is
-/// bounded: as many as a slot serves at 30 ms of work while a caller is patient.
+/// Maximum number of flows per slot ahead of a queued one, which bounds the memory: as many as
+/// a slot processes, at 30 ms each, until a caller gives up.
 const MAX_PER_SLOT: u32 = 40;
-/// After packets have waited while no place was left, none is let wait for so long.
+/// After queued flows have expired and none got a slot, no flow is queued for this time.
 const PAUSE: Duration = Duration::from_millis(500);
-/// After packets began to wait, the part of the places that is left to them is assumed
-/// for so long, or for two times of work, and measured from then on.
+/// Once flows are queued, the fraction of slots that they get is assumed for this time, or for
+/// two processing times if that is longer, and measured from then on.
 const LEARNING: Duration = Duration::from_millis(300);
-/// The span over which places are counted, or four times of work.
+/// Window over which granted slots are counted, or four processing times if that is longer.
 const WINDOW: Duration = Duration::from_millis(500);
-/// The part of the places that is assumed at first: back ends are half busy with fresh
-/// ones at ordinary times. Each time that nothing was left it is halved, down to the
-/// least part, until all that wait have been served.
+/// Fraction of slots that queued flows are assumed to get at first: fresh flows keep back ends
+/// half busy at ordinary times. It is halved, down to the minimum, each time that no slot was
+/// left for queued flows, and reset once the queue is empty.
 const ASSUMED_PART: f64 = 0.5;
 const LEAST_ASSUMED_PART: f64 = 1.0 / 16.0;
-/// One that waits is told that there is no hope once its foretold wait is so many times
-/// what is left to it: measured rates sway by a third with 20 places counted.
+/// A queued flow is declined once its expected wait is this multiple of its remaining time.
+/// Measured rates vary by a third if 20 slots are counted.
 const HOPELESS_FACTOR: f64 = 1.5;
 
-/// Between two looks at who waits in vain: sooner than a caller notices, and seldom enough
-/// that a full agent has other work.
+/// Interval between checks for flows to decline: too short for callers to notice, and long
+/// enough to leave a full agent time for other work.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A caller's opening packet at an agent.
+/// A new flow that a balancer offers to an agent, with the caller's SYN.
 #[derive(Clone, Debug)]
 pub(crate) struct Opening {
     pub(crate) flow: FlowId,
-    /// Who is told what became of it.
+    /// The balancer that gets the reply.
     pub(crate) balancer: SocketAddrV4,
     pub(crate) packet: Vec<u8>,
-    /// By when a request should be answered; zero if that is not known.
+    /// Latency objective, counted from the first SYN; zero if unknown.
     pub(crate) objective: Duration,
-    /// How urgent it is; zero is the most urgent.
+    /// Priority; zero is the most urgent.
     pub(crate) priority: u32,
-    /// By when a request must be answered; zero if that is not known.
+    /// Deadline, counted from the first SYN; zero if unknown.
     pub(crate) deadline: Duration,
-    /// How long its caller has waited, at least.
+    /// Minimum time since the first SYN.
     pub(crate) age: Duration,
-    /// Whether it may wait for a place, here or at the back end: others have none.
+    /// Whether it may be queued, here or at the back end, because other agents have no
+    /// capacity.
     pub(crate) may_queue: bool,
-    /// Whether it is taken although the back end fails requests.
+    /// Whether it is admitted even if the back end is ejected.
     pub(crate) despite_failures: bool,
 }
 
-/// How fast a back end works.
+/// Processing rate of a back end.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Pace {
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at once.
     pub(crate) slots: u32,
-    /// How long it works on one, if that is known.
+    /// Mean processing time of a request, if known.
     pub(crate) work: Option<Duration>,
 }
 
-/// The order in which packets get places: the least comes first. Its priority, whether it
-/// is late, its age.
+/// Order in which queued flows get slots, the smallest first: priority, whether the flow is
+/// late, and age, the oldest first.
 type Rank = (u32, bool, Reverse<Duration>);
 
 #[derive(Debug)]
@@ -90,7 +93,7 @@
 }
 
 impl Waiting {
-    /// Who goes first: the least.
+    /// Position in the queue's order; the smallest goes first.
     fn rank(&self, now: Timestamp, pace: Pace) -> Rank {
         let age = self.opening.age + now.saturating_since(self.since);
         let objective = self.opening.objective;
@@ -101,13 +104,13 @@
     }
 }
 
-/// Packets that wait.
+/// The new flows that wait for a slot.
 #[derive(Debug)]
 pub(crate) struct WaitingOpenings {
     waiting: Vec<Waiting>,
-    /// Since when some wait without a break.
+    /// Since when the queue has not been empty.
     began_at: Timestamp,
-    /// When places were given to those that waited, within the window.
+    /// When queued flows got slots, within the window.
     given: VecDeque<Timestamp>,
     passed_over: PassedOver,
     assumed_part: f64,
@@ -130,8 +133,7 @@
 }
 
 impl WaitingOpenings {
-    /// Lets a packet wait, if it is likely to get a place in time. Returns whether it
-    /// waits.
+    /// Queues a flow if it is likely to get a slot in time. Returns whether it is queued.
     pub(crate) fn add(&mut self, now: Timestamp, opening: &Opening, pace: Pace) -> bool {
         self.waiting
             .retain(|other| other.opening.flow != opening.flow);
@@ -162,7 +164,7 @@
         waits
     }
 
-    /// How many places a second those that wait get, if that can be foretold.
+    /// Slots per second that queued flows get; `None` while the processing time is unknown.
     fn places_per_second(&self, now: Timestamp, pace: Pace) -> Option<f64> {
         let work = pace.work?.as_secs_f64().max(1e-6);
         if self.is_learning(now, pace) {
@@ -180,8 +182,8 @@
         now.saturating_since(self.began_at) < span
     }
 
-    /// The packet that gets the next place, with its age by now, among those that may be
-    /// taken at their age.
+    /// The flow that gets the next slot, with its present age, among those that
+    /// `may_be_admitted` accepts at their age.
     pub(crate) fn first(
         &self,
         now: Timestamp,
@@ -201,20 +203,19 @@
         Some(opening)
     }
 
-    /// Whether a more urgent packet waits: a flow of this priority must not be queued before
-    /// it.
+    /// Whether a more urgent flow is queued, which a flow of this priority must not overtake.
     pub(crate) fn must_yield(&self, priority: u32) -> bool {
         let mut waiting = self.waiting.iter();
         waiting.any(|it| it.opening.priority < priority)
     }
 
-    /// Whether a less urgent packet waits.
+    /// Whether a less urgent flow is queued.
     pub(crate) fn has_less_urgent(&self, priority: u32) -> bool {
         let mut waiting = self.waiting.iter();
         waiting.any(|it| it.opening.priority > priority)
     }
 
-    /// Takes out a packet that leaves, and notes that it got a place if it is `given` one.
+    /// Removes a flow from the queue, and counts the slot if it was `granted` one.
     pub(crate) fn remove(&mut self, now: Timestamp, leaving: &Opening, given: bool, pace: Pace) {
         self.waiting
             .retain(|other| other.opening.flow != leaving.flow);
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Takes out the packets that have waited in vain, or will.
+    /// Removes the flows that have expired, or won't get a slot in time.
     pub(crate) fn take_expired(&mut self, now: Timestamp, pace: Pace) -> Vec<Opening> {
         if now < self.checked_at + CHECK_INTERVAL {
             return Vec::new();
@@ -267,24 +268,24 @@
     }
 }
 
-/// How long a packet waits with so many before it.
+/// Expected wait of a flow with `ahead` flows before it.
 fn foretold(ahead: usize, places_per_second: f64) -> Duration {
     let seconds = (ahead as f64 + 1.0) / places_per_second;
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-/// Whether one may wait with so many before it.
+/// Whether a flow may be queued with `ahead` flows before it.
 fn has_place(ahead: usize, pace: Pace, per_slot: u32) -> bool {
     ahead < pace.slots.saturating_mul(per_slot) as usize
 }
 
-/// The span over which places are counted.
+/// Window over which granted slots are counted.
 fn span_counted(pace: Pace) -> Duration {
     WINDOW.max(pace.work.unwrap_or_default() * 4)
 }
 
-/// How long a packet may wait so that its caller is still there, and is answered before
-/// its deadline.
+/// Maximum wait of a flow so that its caller hasn't given up and gets the response before its
+/// deadline.
 fn patience(opening: &Opening, pace: Pace) -> Duration {
     let patience = SYN_TIMEOUT.saturating_sub(opening.age + WAY_BACK);
     if opening.deadline.is_zero() {
