--- a/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
@@ -1,4 +1,4 @@
-//! Packets of the back end.
+//! Packets that the back end sends or returns.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::pass_through::packet::{FlowId, PacketCodec, PacketView};
 use crate::time::Timestamp;
 
-/// A flow that its back end took so lately was taken by the life that returns its
-/// packets: a new one takes longer to start.
+/// A back end takes at least this long to restart. If it returns a packet of a flow that was
+/// admitted more recently, the same incarnation has accepted that flow.
 const YOUNG_FLOW: Duration = Duration::from_millis(500);
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Takes a packet that the back end sent.
+    /// Handles a packet from the back end.
     pub fn handle_backend_packet(&mut self, now: Timestamp, packet: &[u8]) {
         self.take_backend_packet(now, packet);
         self.serve_waiting(now);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The back end did not take a packet. Nothing of it ran.
+    /// Handles a packet that the back end returned without processing any of it.
     pub(super) fn handle_returned(&mut self, now: Timestamp, view: &PacketView) {
         let id = view.flow_from_caller();
         if !view.is_syn() {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The back end took a flow and failed its first request.
+    /// Notes that the back end accepted a flow and failed its request.
     fn note_failure(&mut self, now: Timestamp, flow: FlowId) {
         if self.failure_watch.note_failure(now, *flow.caller.ip()) {
             let left_out = self.failure_watch.left_out(now).as_millis();
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -1,4 +1,4 @@
-//! Packets of callers, as balancers hand them over.
+//! Packets of callers that balancers forward.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -42,7 +42,7 @@
                 self.pass_on(from, &carry);
                 self.tell_gone(now, from, &view);
             }
-            // It is for the agent that was at this address before.
+            // The packet is for the agent that had this address before.
             ForwardReason::Deliver if carry.service != self.service && !self.holds(&view) => {
                 self.tell_not_held(from, &view, false);
             }
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Whether the back end has the flow of a packet, as far as is known.
+    /// Whether the back end is known to own the flow of a packet.
     fn holds(&self, view: &PacketView) -> bool {
         let known = self.flows.get(view.flow_from_caller());
         known.is_some_and(|known| known.owns_ack(view.ack_number))
     }
 
-    /// Passes a packet on to the other agents that are to try it.
+    /// Relays a packet to the other agents that are to deliver it speculatively.
     fn pass_on(&mut self, balancer: SocketAddrV4, carry: &ForwardedPacket) {
         for other in &carry.relay_to {
             let passed_on = ForwardedPacket {
@@ -97,10 +97,10 @@
         }
     }
 
-    /// Hands a packet to the back end to find out whether it has the flow. If the
-    /// back end returns it, the balancer is told at once with `tells_return`, and
-    /// otherwise when it asks again: of many that were tried, nearly all return
-    /// the packet.
+    /// Delivers a packet speculatively, to find out whether the back end owns its flow. If the
+    /// back end returns it, this is reported to the balancer at once with `report_return`, and
+    /// in reply to its next query otherwise: if many back ends get the packet, nearly all of
+    /// them return it.
     fn try_flow(
         &mut self,
         now: Timestamp,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Tells a balancer that the back end does not have the flow of a packet.
+    /// Reports to a balancer that the back end doesn't own the flow of a packet.
     pub(super) fn tell_not_held(&mut self, to: SocketAddrV4, view: &PacketView, was_open: bool) {
         let not_held = ReturnedPacket {
             flow: view.flow_from_caller().into(),
@@ -156,7 +156,7 @@
         self.outputs.push_back(PassThroughOutput::ToBackend(packet));
     }
 
-    /// How long a balancer need not ask, if a new flow is declined for this reason.
+    /// Expected wait of a balancer for a slot, if a new flow is declined for this reason.
     fn turn(&self, now: Timestamp, reason: DeclineReason) -> Duration {
         let work = match reason {
             DeclineReason::Full => self.service_time.known_mean(),
--- a/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/former_flows.rs
@@ -1,5 +1,5 @@
-//! Flows of former lives of the back end: the proof that such a life is over, and telling
-//! the callers of its flows.
+//! Flows of previous incarnations of the back end: restart probes, which check whether such an
+//! incarnation has ended, and resets for the callers of its orphaned flows.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -19,29 +19,29 @@
 use crate::pass_through::packet::{FlowId, PacketCodec, PacketView};
 use crate::time::Timestamp;
 
-/// Between two proofs about the same flows: no flow's packet reaches the back end more
-/// than twice within it.
+/// Interval between restart probes of the same flows: within it, no flow's probe packet reaches
+/// the back end more than twice.
 const PROOF_PAUSE: Duration = Duration::from_millis(2_000);
-/// Proofs about one record. Each ends open if the back end neither returns packets nor
-/// speaks.
+/// Maximum number of restart probes for one flow record. A probe is inconclusive if the back
+/// end neither returns packets nor sends any.
 const MAX_RECORD_PROOFS: u32 = 5;
 
-/// What an agent knows of former lives of its back end.
+/// Previous incarnations of an agent's back end, and their flows.
 #[derive(Debug, Default)]
 pub(super) struct FormerLives {
     record: Option<RecalledRecord>,
-    /// About the flows that this life of the agent has seen.
+    /// Restart probe of the flows that this incarnation of the agent has seen.
     proof: Option<RestartProbe>,
-    /// Whether one is to begin, as the back end may be another one.
+    /// Whether a restart probe is needed, because the back end may have restarted.
     is_in_doubt: bool,
-    /// No proof begins before this.
+    /// Earliest start of the next restart probe.
     next_proof_at: Timestamp,
-    /// The latest call.
+    /// The latest registration of the back end.
     heard: Option<HeardCall>,
     gone: OrphanedFlows,
 }
 
-/// The record of a former life of the agent.
+/// The flow record of a previous incarnation of the agent.
 #[derive(Debug)]
 struct RecalledRecord {
     record: PreviousFlowRecord,
@@ -49,7 +49,7 @@
     proof: Option<RestartProbe>,
     proofs: u32,
     next_proof_at: Timestamp,
-    /// All witnesses came back; the flows that are left have none.
+    /// Whether the back end returned all probe packets. The flows that are left have none.
     witnesses_returned: bool,
 }
 
@@ -67,15 +67,15 @@
         }
     }
 
-    /// Whether it may be of another life than an earlier call. It may as well have come
-    /// late.
+    /// Whether it may come from another incarnation than an earlier registration. It may also
+    /// be a delayed one.
     fn may_be_of_another_life(&self, earlier: &HeardCall) -> bool {
         self.backend != earlier.backend || self.call_number <= earlier.call_number
     }
 }
 
 impl FormerLives {
-    /// Proofs under way.
+    /// Number of restart probes in progress.
     pub(super) fn pending(&self) -> usize {
         let record = self.record.as_ref();
         let of_record = record.and_then(|record| record.proof.as_ref());
@@ -91,7 +91,7 @@
         proofs.chain(begins).chain(self.gone.poll_timeout()).min()
     }
 
-    /// Notes that the caller of a flow opens it anew.
+    /// Forgets a flow whose caller opens a new one from the same address and port.
     pub(super) fn forget(&mut self, id: FlowId) {
         self.gone.forget(id);
         self.proofs_mut().for_each(|proof| proof.forget(id));
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Notes that the back end spoke on a flow.
+    /// Notes that the back end sent a packet of a flow.
     pub(super) fn note_alive(&mut self, id: FlowId) {
         self.proofs_mut().for_each(|proof| proof.note_alive(id));
     }
@@ -124,7 +124,7 @@
         flows.any(|flow| flow.id == id && flow.owns_ack(acknowledged))
     }
 
-    /// Begins a proof unless there is one, or there were too many.
+    /// Starts a restart probe unless one is in progress, or there were too many.
     fn begin_proof(&mut self, now: Timestamp, witnesses: Vec<(FlowId, Vec<u8>)>) {
         let may_begin = self.proofs < MAX_RECORD_PROOFS && now >= self.next_proof_at;
         if self.proof.is_some() || self.witnesses_returned || !may_begin {
@@ -146,7 +146,8 @@
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Takes the record of a former life of this agent, in place of an older one.
+    /// Stores the flow record of a previous incarnation of this agent, in place of an older
+    /// one.
     pub(super) fn take_former_record(&mut self, now: Timestamp, record: PreviousFlowRecord) {
         if record.flows.is_empty() {
             return;
@@ -165,12 +166,12 @@
         self.continue_proofs(now);
     }
 
-    /// Takes a call of the back end: it may be of another life than the one that had the
-    /// flows. Calls come late, so that alone shows nothing.
+    /// Notes a registration of the back end. It may come from another incarnation than the one
+    /// that owned the flows, but registrations may be delayed, so this alone shows nothing.
     pub(super) fn note_call(&mut self, now: Timestamp, call: &Registration) {
         let heard = HeardCall::new(call);
         let former = self.former.heard.replace(heard);
-        // The back end is about to end as planned, or lives on without the agent.
+        // The back end is about to stop as planned, or goes on without the agent.
         if self.stop_at.is_some() {
             return;
         }
@@ -182,12 +183,13 @@
         self.continue_proofs(now);
     }
 
-    /// Takes the recorded flows over if the life that calls is the recorded one. If it may
-    /// be another one, that is to be proved.
+    /// Takes the recorded flows over if the incarnation that registers is the recorded one.
+    /// Starts a restart probe if it may be another one.
     ///
-    /// Without a time of birth a life that goes on and one that has just begun call alike.
-    /// Its flows are not taken over even if no packet comes back: the back end may be
-    /// frozen, and packets of other back ends' flows would be sent to it for certain.
+    /// Without a start time, registrations of a running incarnation and of one that has just
+    /// started look the same. The flows aren't taken over then, even if no probe packet is
+    /// returned: the back end may be frozen, and packets of flows that other back ends own
+    /// would be delivered to it as the known owner.
     fn compare_with_record(&mut self, now: Timestamp, heard: HeardCall) {
         let Some(record) = &self.former.record else {
             return;
@@ -211,7 +213,7 @@
         let codec = &self.codec;
         let witness = |packet: &Vec<u8>| {
             let id = codec.view(packet)?.flow_from_caller();
-            // It may be open anew under the same address and port.
+            // The caller may have opened a new flow from the same address and port.
             flows.get(id).is_none().then(|| (id, packet.clone()))
         };
         let witnesses = record.record.probe_packets.iter().filter_map(witness);
@@ -219,7 +221,7 @@
         record.begin_proof(now, witnesses);
     }
 
-    /// Takes the flows of the record for flows of the back end.
+    /// Takes over the flows of the record as flows of the back end.
     fn take_over(&mut self, now: Timestamp) {
         let Some(recalled) = self.former.record.take() else {
             return;
@@ -243,8 +245,8 @@
         self.emit_event(EventKind::FlowsTakenOver, subject);
     }
 
-    /// Notes a packet that the back end returned. Returns whether it proves that an open
-    /// flow is gone.
+    /// Notes a packet that the back end returned. Returns whether it shows that an open flow is
+    /// orphaned.
     pub(super) fn note_returned_witness(&mut self, now: Timestamp, view: &PacketView) -> bool {
         if view.is_syn() {
             return false;
@@ -269,15 +271,15 @@
         if let Some(record) = &mut self.former.record {
             record.record.flows.retain(|flow| flow.id != id);
         }
-        // Who has sent a packet with data is told by its balancer.
+        // If the caller sent data, its balancer resets it.
         if view.data_bytes == 0 && !view.fin {
             self.end_gone_flow(now, gone);
         }
         true
     }
 
-    /// Begins a proof about the flows that this life of the agent has seen, if the back
-    /// end may be another one.
+    /// Starts a restart probe of the flows that this incarnation of the agent has seen, if the
+    /// back end may have restarted.
     fn begin_proof(&mut self, now: Timestamp) {
         let may_begin = self.former.proof.is_none() && now >= self.former.next_proof_at;
         if !self.former.is_in_doubt || !may_begin {
@@ -291,7 +293,7 @@
         }
     }
 
-    /// Goes on with proofs, and tells callers of flows that are gone.
+    /// Continues restart probes, and resets the callers of orphaned flows that are due.
     pub(super) fn continue_proofs(&mut self, now: Timestamp) {
         self.begin_proof(now);
         if let Some(verdict) = self.continue_record_proof(now) {
@@ -350,15 +352,16 @@
         }
     }
 
-    /// Tells the flows of the record that have no witness, as all witnesses came back, and a
-    /// back end calls under another life. Its call is asked for as well: flows of a life that
-    /// goes on may have ended while this agent did not run, the witnesses among them.
+    /// Marks the recorded flows without probe packets as orphaned, once all probe packets were
+    /// returned and another incarnation has registered. The registration is required as well:
+    /// flows of a running incarnation, those with probe packets among them, may have closed
+    /// while this agent didn't run.
     fn end_recorded_life(&mut self, now: Timestamp) {
         let Some(recalled) = self.former.record.take() else {
             return;
         };
         for gone in recalled.record.flows {
-            // One that this life of the agent knows is open anew.
+            // A flow that this incarnation of the agent knows has been opened again.
             if self.flows.get(gone.id).is_none() {
                 self.former.gone.add(now, gone);
             }
@@ -371,8 +374,8 @@
         self.note_verdict(now, "memory", proof, &verdict);
     }
 
-    /// Forgets a flow that the back end does not have. Its caller is told at once if it
-    /// waits for an answer.
+    /// Removes a flow that the back end doesn't own. Its caller is reset at once if it awaits a
+    /// response.
     fn end_gone_flow(&mut self, now: Timestamp, gone: RecordedFlow) {
         let Some(known) = self.flows.get(gone.id) else {
             self.former.gone.add(now, gone);
@@ -431,14 +434,14 @@
         });
     }
 
-    /// Whether the flow of a packet is one that is gone.
+    /// Whether the flow of a packet is orphaned.
     pub(super) fn is_gone(&self, view: &PacketView) -> bool {
         let id = view.flow_from_caller();
         !view.is_syn() && self.former.gone.contains(id, view.ack_number)
     }
 
-    /// Tells a balancer that the flow of a packet is gone: it resets the caller if that
-    /// waits for an answer, and the pace does it otherwise.
+    /// Reports to a balancer that the flow of a packet is orphaned. The balancer resets the
+    /// caller if that awaits a response; otherwise, this agent does, at a limited rate.
     pub(super) fn tell_gone(&mut self, now: Timestamp, to: SocketAddrV4, view: &PacketView) {
         let id = view.flow_from_caller();
         let waits = view.data_bytes > 0 && !view.fin;
@@ -452,21 +455,21 @@
         self.tell_not_held(to, view, true);
     }
 
-    /// Tells a balancer that a flow that it seeks is gone.
+    /// Reports to a balancer that a flow of its query is orphaned.
     pub(super) fn answer_gone(&mut self, now: Timestamp, to: SocketAddrV4, sought: &QueriedFlow) {
         self.counters.told_when_asked += 1;
         self.note_told(now, sought.flow.into(), "question");
         let not_held = ReturnedPacket {
             flow: sought.flow,
             acknowledged: sought.acknowledged,
-            // The balancer knows whether the caller waits.
+            // The balancer knows whether the caller awaits a response.
             carried_data: false,
             was_open: true,
         };
         self.send(to, PassThroughBody::ReturnedPacket(not_held));
     }
 
-    /// Whether a flow that a balancer seeks is gone.
+    /// Whether a queried flow is orphaned.
     pub(super) fn seeks_gone(&self, sought: &QueriedFlow) -> bool {
         let id = FlowId::from(sought.flow);
         let gone = &self.former.gone;
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -1,5 +1,5 @@
-//! The agent: admits new flows to the back end beside it, hands packets both
-//! ways, and tells how busy the back end is.
+//! The agent: admits new flows to its back end, delivers packets in both directions, and
+//! reports the back end's load.
 
 mod backend_packets;
 mod caller_packets;
@@ -49,82 +49,82 @@
 use stopping::LastWord;
 use work_times::WorkTimes;
 
-/// Between two sweeps over the flows.
+/// Interval between sweeps over the flows.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time in which a new agent admits before its back end has called:
-/// one that leaves may get new flows for so long after a restart of its agent.
+/// Upper bound of [`PassThroughAgentSettings::provisional_timeout`]: a draining back end may
+/// get new flows for this long after a restart of its agent.
 const MAX_PROVISIONAL_LIMIT: Duration = Duration::from_millis(2_500);
-/// Between two looks for places of flows that were not opened, and for packets that
-/// have waited in vain.
+/// Interval between checks for slots of flows that were never established, and for queued flows
+/// that have expired.
 const WAITING_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A balancer that sent nothing for so long is not told about held flows.
+/// A balancer that sent nothing for this long gets no messages about owned flows.
 const BALANCER_MEMORY: Duration = Duration::from_secs(30);
 
 /// Settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PassThroughAgentSettings {
-    /// Where balancers send packets.
+    /// Address to which balancers forward packets.
     pub address: SocketAddrV4,
     /// The agent's zone.
     pub zone: String,
-    /// The service of the back end beside it.
+    /// The service of the agent's back end.
     pub service: String,
-    /// Whether the whole system starts for the first time, so that no flow is
-    /// older than this life of the agent.
+    /// Whether the whole system starts for the first time, so that no flow is older than this
+    /// incarnation of the agent.
     pub first_start: bool,
-    /// Between two reports to the control group; the group may ask for a longer
-    /// time.
+    /// Interval between reports to the replica group, which may ask for a longer one.
     pub report_interval: Duration,
-    /// A back end that was silent for so long gets no new flows.
+    /// A back end that was silent for this long gets no new flows.
     pub silence_limit: Duration,
-    /// After its start an agent admits for so long, 2.5 s at most, beside a back end that has
-    /// not called yet, if packets show that it is alive. A back end that leaves
-    /// gets new flows for at most this long after a restart of its agent.
+    /// How long after its start, 2.5 s at most, an agent admits flows to a back end that hasn't
+    /// registered yet, if packets show that it runs. A draining back end gets new flows for at
+    /// most this long after a restart of its agent.
     pub provisional_timeout: Duration,
-    /// A flow that rested for so long is forgotten.
+    /// A flow that was idle for this long is forgotten.
     pub flow_lifetime: Duration,
-    /// How many requests an agent takes if all others are full, as a multiple of its
-    /// back end's capacity, as long as it does not know how many are likely to meet
-    /// their objective.
+    /// Limit on the in-flight requests per slot that an agent accepts if all others are full,
+    /// while it doesn't know how many are likely to meet their latency objective.
     pub queue_factor: u32,
-    /// The longest that a planned stop waits for open flows.
+    /// Maximum time that a planned stop waits for open flows.
     pub stop_timeout: Duration,
-    /// What a back end that warms up may get.
+    /// Limits on new flows for a back end that warms up.
     pub warm_up_bounds: WarmUpBounds,
-    /// The record of open flows that replicas keep.
+    /// Settings of the flow record, which replicas keep.
     pub flow_record: FlowRecordSettings,
 }
 
 /// Counters of an agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PassThroughAgentCounters {
-    /// New flows handed to the back end.
+    /// New flows that were admitted to the back end.
     pub admitted: u64,
-    /// Packets of open flows handed to the back end.
+    /// Packets of open flows that were delivered to the back end.
     pub delivered: u64,
     /// New flows that were declined, by reason.
     pub declined: BTreeMap<DeclineReason, u64>,
-    /// New flows that were declined for lack of room, by priority.
+    /// New flows that were declined for lack of capacity, by priority.
     pub declined_full: BTreeMap<u32, u64>,
-    /// New flows that were let wait for a place.
+    /// New flows that entered the admission queue.
     pub waiting: u64,
-    /// Packets handed to the back end to find out whether it has their flows.
+    /// Packets that were delivered speculatively, to find out whether the back end owns their
+    /// flows.
     pub tried: u64,
     /// Packets that the back end returned.
     pub returned: u64,
-    /// Flows of lives of the back end that are over: callers that waited for an answer.
+    /// Orphaned flows whose callers were reset at once, because they awaited a response.
     pub told_at_once: u64,
-    /// The same: balancers that had or asked for a packet of the flow.
+    /// Orphaned flows that were reported to a balancer that forwarded a packet of the flow or
+    /// sent a query for it.
     pub told_when_asked: u64,
-    /// The same: callers that waited for nothing, told at a pace.
+    /// Orphaned flows whose callers awaited no response, and were reset at a limited rate.
     pub told_at_pace: u64,
-    /// Flows of a former life of the agent that were taken over.
+    /// Flows of a previous incarnation of the agent that were taken over.
     pub taken_over: u64,
-    /// Proofs that a life of the back end is over.
+    /// Restart probes which showed that an incarnation of the back end has ended.
     pub lives_over: u64,
-    /// Proofs that showed nothing.
+    /// Restart probes that were inconclusive.
     pub lives_undecided: u64,
-    /// Packets of the back end that could not be read.
+    /// Malformed packets from the back end.
     pub malformed: u64,
 }
 
@@ -134,12 +134,12 @@
     }
 }
 
-/// Times that an agent measures.
+/// Latencies that an agent measures.
 #[derive(Clone, Debug, Default)]
 pub struct PassThroughAgentLatencies {
-    /// From the admission of a flow until the back end answered it.
+    /// Time from the admission of a flow until the back end's SYN-ACK.
     pub first_response: LatencyHistogram,
-    /// Between two calls of the back end.
+    /// Time between registrations of the back end.
     pub registration_gap: LatencyHistogram,
 }
 
@@ -155,10 +155,11 @@
     flows: AgentFlows,
     tried: SpeculativeDeliveries,
     former: FormerLives,
-    /// Questions that this agent asks others on behalf of balancers.
+    /// Flow queries that this agent relays to other agents for balancers.
     gathered: RelayedQueries,
     started_at: Timestamp,
-    /// Whether replicas know of a former life of this agent, once one has said.
+    /// Whether a replica knows a previous incarnation of this agent; `None` until one has
+    /// acknowledged a report.
     had_former_life: Option<bool>,
     balancers: BTreeMap<SocketAddrV4, Timestamp>,
     report_number: u64,
@@ -168,17 +169,17 @@
     reported_state: AgentState,
     /// See [`RegistrationState::description_revision`].
     reported_description: u64,
-    /// Between two reports without news.
+    /// Interval between reports without changes.
     report_interval: Duration,
-    /// Whether no replica has shown that it heard of the reported state.
+    /// Whether no replica has acknowledged the reported state.
     unheard: bool,
-    /// Replicas that will know of this agent in their next lives.
+    /// Replicas that have saved this agent, and know of it after a restart.
     remembered_by: BTreeSet<SocketAddrV4>,
     stop_at: Option<Timestamp>,
-    /// The last word that is repeated until a replica has heard it.
+    /// The final report, which is repeated until a replica acknowledges it.
     last_word: Option<LastWord>,
     stopped: bool,
-    /// It has stopped, and its back end certainly has no open flow.
+    /// Whether the agent has stopped and its back end certainly has no open flow.
     leaves_nothing: bool,
     counters: PassThroughAgentCounters,
     latencies: PassThroughAgentLatencies,
@@ -188,19 +189,19 @@
     failure_watch: FailureWatch,
     asking: AskingBalancers,
     waiting: WaitingOpenings,
-    /// When places that nobody told of are looked for, while packets wait.
+    /// Next check for slots that were freed without a packet, while flows are queued.
     waiting_check_at: Timestamp,
     evacuations: Evacuations,
     registered_at: Option<Timestamp>,
     recorder: FlowRecorder,
-    /// Asks for the flows of the former life, until that is over.
+    /// Recovery of the previous incarnation's flow record, while it lasts.
     recall: Option<FlowRecordRecovery>,
     recovery_outcome: Option<RecoveryOutcome>,
     outputs: VecDeque<PassThroughOutput>,
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Starts a life of an agent.
+    /// Starts an incarnation of an agent.
     pub fn new(
         now: Timestamp,
         settings: PassThroughAgentSettings,
@@ -260,7 +261,7 @@
         &mut self.contacts
     }
 
-    /// Whether the agent can serve its back end.
+    /// Whether the agent serves its back end: no planned stop has begun.
     pub fn is_ready(&self) -> bool {
         self.stop_at.is_none()
     }
@@ -270,7 +271,7 @@
         self.stopped
     }
 
-    /// Proofs under way that a life of the back end is over.
+    /// Number of restart probes in progress.
     pub fn pending_restart_probes(&self) -> usize {
         self.former.pending()
     }
@@ -280,13 +281,12 @@
         &self.counters
     }
 
-    /// Times since the start.
+    /// Latencies since the start.
     pub fn latencies(&self) -> &PassThroughAgentLatencies {
         &self.latencies
     }
 
-    /// Requests that wait for their answers, and how many the back end works
-    /// on at once.
+    /// In-flight requests, and the back end's number of slots.
     pub fn load(&self) -> (u32, u32) {
         (
             self.flows.in_flight_requests(),
@@ -294,24 +294,24 @@
         )
     }
 
-    /// Flows that are open at the back end, and the slots that they kept busy in the mean
-    /// of the last seconds, in thousandths of a slot.
+    /// Open flows at the back end, and the mean number of slots that they kept busy over the
+    /// last seconds, in thousandths of a slot.
     pub fn demand(&self, now: Timestamp) -> (u32, u32) {
         (self.flows.open_flows(), self.flows.demand_millislots(now))
     }
 
-    /// The mean time that the back end works on a request as it is now, warm or cold, in
-    /// microseconds; zero if that is not known.
+    /// Mean processing time of a request in the back end's present state, warm or cold, in
+    /// microseconds; zero if unknown.
     pub fn processing_micros(&self, now: Timestamp) -> u32 {
         self.work_times.micros(self.registration.is_cold(now))
     }
 
-    /// Takes a call of the back end. Once this returns the caller may
-    /// acknowledge it: no new flow is admitted against what it said.
+    /// Handles a registration of the back end. It may be acknowledged once this returns: every
+    /// later admission follows it.
     ///
     /// # Errors
     ///
-    /// A call for another service names no back end to use; it changes nothing.
+    /// Refuses a registration for another service, which changes nothing.
     pub fn handle_registration(
         &mut self,
         now: Timestamp,
@@ -342,7 +342,7 @@
         Ok(())
     }
 
-    /// Takes the goodbye of the back end.
+    /// Handles a deregistration of the back end.
     pub fn handle_deregistration(&mut self, now: Timestamp, id: &str) {
         if self.registration.handle_deregistration(id) {
             self.emit_event(EventKind::BackendLeaving, format!("{id} withdrawn"));
@@ -350,7 +350,7 @@
         self.report_if_changed(now);
     }
 
-    /// Takes a message of a balancer or replica.
+    /// Handles a message of a balancer, a replica or another agent.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
             PassThroughBody::ForwardedPacket(carry) => self.handle_carry(now, from, carry),
@@ -376,9 +376,9 @@
         self.serve_waiting(now);
     }
 
-    /// Takes what a replica tells. Replicas that were not known before are
-    /// reported to at once: otherwise balancers that ask them would learn of this
-    /// agent only with its next report without news, seconds later.
+    /// Handles the status of a replica. A report is sent at once if it names new replicas:
+    /// otherwise, balancers that poll these would learn of this agent only with its next
+    /// regular report, seconds later.
     fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.handle_zones(from, group.zones.as_ref());
         let known = self.contacts.all();
@@ -401,13 +401,13 @@
         self.continue_stop(now);
     }
 
-    /// Takes orders about zones, if they are newer, and says that they are known.
+    /// Applies zone statuses if they are newer, and acknowledges them.
     fn handle_zones(&mut self, from: SocketAddrV4, told: Option<&ZoneStatuses>) {
         let Some(told) = told else { return };
         let was_evacuated = self.is_evacuated();
         if self.evacuations.take_newer(told) {
             if was_evacuated && !self.is_evacuated() {
-                // It may have been started again meanwhile.
+                // The back end may have restarted during the evacuation.
                 self.registration.note_doubt();
             }
             let subject = self.evacuations.to_string();
@@ -420,12 +420,12 @@
         self.send(from, PassThroughBody::EvacuationsAck(known));
     }
 
-    /// Whether the agent's zone is out of service.
+    /// Whether the agent's zone is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.evacuations.contains(&self.settings.zone)
     }
 
-    /// Does what has become due.
+    /// Runs the timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
@@ -449,7 +449,7 @@
         self.continue_stop(now);
     }
 
-    /// When [`PassThroughAgent::handle_timeout`] is wanted.
+    /// When [`PassThroughAgent::handle_timeout`] is due next.
     pub fn poll_timeout(&self) -> Timestamp {
         let waiting = (!self.waiting.is_empty()).then_some(self.waiting_check_at);
         let first = self.sweep_at.min(self.report_at);
@@ -464,7 +464,7 @@
         others.into_iter().flatten().fold(first, Timestamp::min)
     }
 
-    /// The next thing to do.
+    /// Removes the next output for the event loop.
     pub fn poll_output(&mut self) -> Option<PassThroughOutput> {
         self.outputs.pop_front()
     }
--- a/crates/petrellatch-core/src/pass_through/agent/openings.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/openings.rs
@@ -1,5 +1,4 @@
-//! Opening packets: which of them go to the back end, which wait, and which are
-//! declined.
+//! New flows: which of them are admitted, which are queued, and which are declined.
 
 use std::time::Duration;
 
@@ -14,8 +13,8 @@
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Takes an opening packet: it goes to the back end, waits for a place if it may and
-    /// one is likely to come in time, or is declined.
+    /// Handles an offer of a new flow. The flow is admitted, queued if it may be and is likely
+    /// to get a slot in time, or declined.
     pub(super) fn handle_opening(&mut self, now: Timestamp, opening: Opening) {
         self.flows.release_half_open(now);
         let is_copy = self.flows.get(opening.flow).is_some();
@@ -49,7 +48,7 @@
         self.decline(now, opening.balancer, opening.flow, reason);
     }
 
-    /// Hands an opening packet to the back end.
+    /// Admits a new flow, and delivers its SYN to the back end.
     fn admit(&mut self, now: Timestamp, opening: Opening) {
         if self.registration.may_be_cold(now) {
             self.cold_admission.note_admitted(now);
@@ -67,14 +66,15 @@
             .push_back(PassThroughOutput::ToBackend(opening.packet));
     }
 
-    /// Whether the answer to a request will be late, as its caller has waited for `age`.
+    /// Whether the response to a request will miss its latency objective, `age` after the first
+    /// SYN. A fresh flow is never late.
     fn is_late(&self, objective: Duration, age: Duration) -> bool {
         let left = objective.saturating_sub(age);
         !objective.is_zero() && !age.is_zero() && left <= self.service_time.mean()
     }
 
-    /// How many requests the back end may have beside one, so that it is answered within
-    /// what is left of its objective.
+    /// Limit on in-flight requests with which a request can still meet its latency objective,
+    /// `age` after the first SYN.
     fn queue_limit(&self, objective: Duration, age: Duration) -> u32 {
         let left = objective.saturating_sub(age);
         let unknown = self.settings.queue_factor;
@@ -82,8 +82,8 @@
         self.service_time.queue_limit(left, capacity, unknown)
     }
 
-    /// Gives places to opening packets that wait, and declines those that have waited in
-    /// vain. Those that can still meet their objectives are queued as fresh ones are;
+    /// Admits queued flows as far as there is capacity, and declines those that have expired.
+    /// Flows that can still meet their latency objectives have the same limit as fresh ones;
     /// late ones get the slots that are left.
     pub(super) fn serve_waiting(&mut self, now: Timestamp) {
         if self.waiting.is_empty() {
@@ -104,13 +104,14 @@
         }
     }
 
-    /// Who that waits gets a place now, if there is one for it. One that would be answered
-    /// too late behind the present queue waits for a shorter one and holds up nobody.
+    /// The queued flow that is admitted now, if there is one. A flow whose response would be
+    /// late with the present number of in-flight requests stays queued, and doesn't block
+    /// others.
     fn next_waiting(&self, now: Timestamp, pace: Pace) -> Option<Opening> {
         let busy = self.flows.in_flight_requests();
         self.waiting.first(now, pace, |opening, age| {
             let limit = match self.is_late(opening.objective, age) {
-                // It goes before less urgent ones all the same.
+                // A late flow still goes before less urgent ones.
                 true if self.waiting.has_less_urgent(opening.priority) => {
                     self.queue_limit(opening.objective, Duration::ZERO)
                 }
@@ -141,7 +142,8 @@
         self.send(opening.balancer, PassThroughBody::FlowQueued(waiting));
     }
 
-    /// Why a new flow is not admitted beside at most `limit` requests, if it is not.
+    /// Why a new flow is not admitted, if `limit` bounds the in-flight requests; `None` if it
+    /// is.
     fn refusal(&mut self, now: Timestamp, opening: &Opening, limit: u32) -> Option<DeclineReason> {
         if let Some(reason) = self.refusal_by_state(now) {
             return Some(reason);
@@ -149,7 +151,7 @@
         if self.is_evacuated() {
             return Some(DeclineReason::Evacuated);
         }
-        // Where all others are full, a back end that fails some is better than none.
+        // If all others are full, a back end that fails some requests is better than none.
         let takes_failures = opening.despite_failures || opening.may_queue;
         if !takes_failures && self.failure_watch.declines(now) {
             return Some(DeclineReason::Failing);
--- a/crates/petrellatch-core/src/pass_through/agent/questions.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/questions.rs
@@ -1,4 +1,4 @@
-//! Questions for flows that balancers do not know.
+//! Queries for flows whose owners balancers don't know.
 
 use std::net::SocketAddrV4;
 
@@ -41,7 +41,7 @@
         self.send(balancer, PassThroughBody::FlowsOwned(holds));
     }
 
-    /// What this agent knows of the flows in a question.
+    /// Splits the flows of a query into those that the back end owns and those that it doesn't.
     fn answer(&self, now: Timestamp, seek: &FlowQuery) -> (FlowsOwned, FlowsNotOwned) {
         let knows_all = self.knows_all_flows(now);
         let mut holds = FlowsOwned::default();
@@ -63,8 +63,8 @@
         (holds, lacks)
     }
 
-    /// Asks other agents on behalf of a balancer. Who has a flow tells the
-    /// balancer; who lacks one tells this agent.
+    /// Relays a query to other agents for a balancer. Agents reply about flows that they own to
+    /// the balancer and to this agent, and about others to this agent only.
     fn ask_others(&mut self, now: Timestamp, balancer: SocketAddrV4, seek: &FlowQuery) {
         self.gathered
             .begin(now, balancer, seek, self.settings.address);
@@ -79,17 +79,17 @@
         }
     }
 
-    /// Tells balancers what others have answered.
+    /// Sends balancers the aggregated replies of other agents.
     pub(super) fn tell_gathered(&mut self, now: Timestamp) {
         for (balancer, lacks) in self.gathered.take_due(now) {
             self.send(balancer, PassThroughBody::AggregatedReplies(lacks));
         }
     }
 
-    /// Whether every flow of the back end is known: this life of the agent has
-    /// seen the back end begin, or lasts longer than any flow, or no back end
-    /// has called or spoken for so long that there is none. A back end whose
-    /// first calls come here has begun with this life, if there was none before.
+    /// Whether every flow of the back end is known: this incarnation of the agent has seen the
+    /// back end start, or is older than any flow, or no back end has registered or sent a
+    /// packet for so long that there is none. A back end whose first registrations arrive here
+    /// has started during this incarnation if there was no previous one.
     pub(super) fn knows_all_flows(&self, now: Timestamp) -> bool {
         let age = now.saturating_since(self.started_at);
         let is_first_life = self.had_former_life == Some(false);
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/recording.rs
@@ -1,5 +1,5 @@
-//! The record of open flows at replicas: what this life tells, and what it asks for after
-//! its start.
+//! The flow record at replicas: the changes that this incarnation sends, and the recovery of
+//! the previous incarnation's record after the start.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -17,18 +17,18 @@
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// What is recorded.
+    /// Statistics of the flow record.
     pub fn flow_record_stats(&self) -> FlowRecorderStats {
         self.recorder.stats()
     }
 
-    /// How the recall of a former life's flows ended, if it has.
+    /// How the recovery of the previous incarnation's flow record ended, if it has.
     pub fn recovery_outcome(&self) -> Option<RecoveryOutcome> {
         self.recovery_outcome
     }
 
-    /// Tells keepers what has changed. Until it is known what the former life told, they
-    /// keep that.
+    /// Sends changes to the record replicas. They keep the previous incarnation's record until
+    /// its recovery has ended.
     pub(super) fn record_flows(&mut self, now: Timestamp) {
         if self.recall.is_some() {
             return;
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The replicas that keep the record: as many as may be lost, and one more.
+    /// The replicas that keep the flow record: one more than may be lost.
     fn keepers(&self) -> BTreeSet<SocketAddrV4> {
         let agent = pack_address(self.settings.address);
         let known = self.contacts.all();
@@ -87,7 +87,8 @@
         self.continue_recall(now);
     }
 
-    /// Asks replicas for the flows of the former life, until it is known or too late.
+    /// Requests the previous incarnation's flow record from replicas, until it is recovered or
+    /// the recovery times out.
     pub(super) fn continue_recall(&mut self, now: Timestamp) {
         let Some(mut recall) = self.recall.take() else {
             return;
--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -1,4 +1,4 @@
-//! What the agent tells of itself.
+//! Reports of an agent's state and load.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::pass_through::packet::PacketCodec;
 use crate::time::Timestamp;
 
-/// Between two reports after a change, until a replica shows that it heard.
+/// Interval between reports after a change, until a replica acknowledges one.
 const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(60);
-/// The same after the start, when replicas may start as well.
+/// The same for the first reports after the start, when replicas may be starting as well.
 const FIRST_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 const FIRST_REPORTS: u64 = 10;
-/// Between two reports of an agent that most replicas would not miss if they started
-/// again: they would take their directories for whole without it. It grows with the
-/// number of agents, as replicas bear no more.
+/// Minimum interval between reports of a new agent, which most replicas haven't saved: if they
+/// restarted, they would take their directories for complete without it. The interval grows
+/// with the number of agents, to bound the load on replicas.
 const YOUNG_REPORT_INTERVAL: Duration = Duration::from_millis(60);
-/// So many of those come into the time between two reports without news.
+/// Number of reports that a new agent sends in the time between two regular reports.
 pub(crate) const NEW_AGENT_REPORTS: u32 = 300;
-/// An agent is young for so long at most: then the replicas' disks have failed, or
-/// most replicas.
+/// An agent counts as new for at most this time. If most replicas haven't saved it by then,
+/// they or their disks have failed.
 const YOUNG_LIMIT: Duration = Duration::from_secs(5);
-/// A replica that asks for a report got one if it was made so shortly before.
+/// A report that was sent this recently also serves a replica that asks for one.
 const SAME_REPORT: Duration = Duration::from_millis(20);
-/// Between two reports of the last word.
+/// Interval between repetitions of the final report.
 const LAST_WORD_INTERVAL: Duration = Duration::from_millis(30);
-/// The longest time between two reports that a replica may ask for.
+/// Longest report interval that a replica may ask for.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(300);
 
 impl<C: PacketCodec> PassThroughAgent<C> {
@@ -68,7 +68,7 @@
         self.report(now);
     }
 
-    /// Takes the interval that a replica bears, which grows with the number of
+    /// Applies the report interval that a replica asks for, which grows with the number of
     /// agents.
     pub(super) fn note_report_interval(&mut self, millis: u32) {
         let told = Duration::from_millis(u64::from(millis)).min(MAX_REPORT_INTERVAL);
@@ -89,15 +89,15 @@
         }
     }
 
-    /// Whether most replicas remember this agent: any two majorities have a replica in
-    /// common.
+    /// Whether a majority of replicas has saved this agent: any two majorities have a replica
+    /// in common.
     fn is_remembered(&self) -> bool {
         let replicas = self.contacts.all();
         let remembering = self.remembered_by.intersection(&replicas);
         remembering.count() * 2 > replicas.len()
     }
 
-    /// Whether a replica asks for a report that it can't have got.
+    /// Whether a replica asks for a report and the last one isn't recent.
     pub(super) fn owes_report(&self, now: Timestamp, group: &GroupStatus) -> bool {
         let is_recent = now.saturating_since(self.reported_at) < SAME_REPORT;
         group.wants_report && !is_recent
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -1,4 +1,4 @@
-//! A planned stop.
+//! The planned stop of an agent.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -9,24 +9,24 @@
 use crate::pass_through::packet::PacketCodec;
 use crate::time::Timestamp;
 
-/// Flows in one message about held flows.
+/// Maximum number of flows in one message about owned flows.
 const HELD_FLOWS_PER_MESSAGE: usize = 200;
-/// For so long, within the limit of the stop, the last word is repeated if no replica
-/// shows that it heard it: it may be lost, and replicas may start just then.
+/// How long the final report is repeated, within the timeout of the stop, if no replica
+/// acknowledges it: it may be lost, and replicas may be starting.
 const LAST_WORD_LIMIT: Duration = Duration::from_millis(300);
 
-/// What an agent that has stopped repeats.
+/// The final report of an agent that has stopped, which is repeated.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastWord {
-    /// Number of the first report with it.
+    /// Sequence number of the first final report.
     number: u64,
     until: Timestamp,
     is_heard: bool,
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Begins a planned stop: no new flows, and an end once the open ones are over and
-    /// it is known whether the back end lives, or the limit is reached.
+    /// Begins a planned stop. No new flows are admitted, and the agent stops once the open ones
+    /// are closed and it is known whether the back end runs, or at the timeout.
     pub fn begin_stop(&mut self, now: Timestamp) {
         if self.stop_at.is_none() {
             self.stop_at = Some(now + self.settings.stop_timeout);
@@ -45,11 +45,11 @@
         if now < stop_at && must_stay {
             return;
         }
-        // A back end that was never heard is told as silent before the last word.
+        // A back end that was never seen is reported as silent before the final report.
         self.report_if_changed(now);
         self.leave_flows();
         self.leaves_nothing = self.flows.unclosed() == 0 && self.knows_all_flows(now);
-        // Balancers wait for the answers of one that may have flows.
+        // Balancers await replies of an agent whose back end may have flows.
         self.last_word = Some(LastWord {
             number: self.report_number + 1,
             until: stop_at.min(now + LAST_WORD_LIMIT),
@@ -59,26 +59,27 @@
         self.stopped = now >= stop_at;
     }
 
-    /// Notes that a replica has answered a report. One that does not say which answers
-    /// the latest one.
+    /// Notes that a replica has acknowledged a report. Zero doesn't say which one, and stands
+    /// for the latest.
     pub(super) fn note_last_word_heard(&mut self, answered_report: u64) {
         if let Some(word) = &mut self.last_word {
             word.is_heard |= answered_report == 0 || answered_report >= word.number;
         }
     }
 
-    /// When the last word is given up.
+    /// Until when the final report is repeated.
     pub(super) fn last_word_until(&self) -> Option<Timestamp> {
         self.last_word.map(|word| word.until)
     }
 
-    /// Whether nothing was heard of the back end yet: it may live and have flows that
-    /// this life has not seen. Who goes now leaves balancers in doubt about them.
+    /// Whether nothing was received from the back end yet. It may run and own flows that this
+    /// incarnation of the agent hasn't seen, and if the agent stopped now, balancers could not
+    /// find out about them.
     fn awaits_backend(&self, now: Timestamp) -> bool {
         self.registration.state(now, self.settings.silence_limit) == AgentState::Starting
     }
 
-    /// Tells the balancers which flows stay at the back end.
+    /// Reports to the balancers which flows the back end still owns.
     pub(super) fn leave_flows(&mut self) {
         let flows: Vec<OwnedFlow> = self.held_flows().collect();
         let balancers: Vec<SocketAddrV4> = self.balancers.keys().copied().collect();
--- a/crates/petrellatch-core/src/pass_through/agent/work_times.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/work_times.rs
@@ -1,14 +1,14 @@
-//! How long the back end works on a request, as its agent tells balancers.
+//! The mean processing time that an agent reports to balancers.
 
 use std::time::Duration;
 
-/// Weight of a new sample: one in thirty takes seven times as long as the others, and a
-/// mean over fewer would tell equal back ends apart by these.
+/// Weight of a new sample. One request in thirty takes seven times as long as the others, and a
+/// mean over fewer would make equal back ends look different.
 const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
-/// Samples before a mean is told.
+/// Number of samples before a mean is reported.
 const MIN_SAMPLES: u32 = 8;
 
-/// The mean times of work, warm and cold apart.
+/// Mean processing times of a back end, separate for its warm and its cold state.
 #[derive(Debug, Default)]
 pub(crate) struct WorkTimes {
     warm: MeanTime,
@@ -23,7 +23,7 @@
 }
 
 impl WorkTimes {
-    /// Notes the time of a request from when it got a slot.
+    /// Records the processing time of a request, counted from when it got a slot.
     pub(crate) fn record(&mut self, time: Duration, is_cold: bool) {
         if is_cold && !self.is_cold {
             self.cold = MeanTime::default();
@@ -35,13 +35,12 @@
         }
     }
 
-    /// The mean time of work of the back end as it is now, in microseconds; zero if it
-    /// isn't known.
+    /// Mean processing time in the back end's present state, in microseconds; zero if unknown.
     pub(crate) fn micros(&self, is_cold: bool) -> u32 {
         match (is_cold, self.is_cold) {
             (false, _) => self.warm.micros(),
             (true, true) => self.cold.micros(),
-            // It has just started again.
+            // The back end has just restarted.
             (true, false) => 0,
         }
     }
