--- a/crates/petrellatch-core/src/pass_through/admission/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/mod.rs
@@ -1,10 +1,10 @@
 //! Admission control at an agent: the registrations of its back end, its processing rate, and
 //! which new flows it gets.
 
-pub(crate) mod cold_admission;
-pub(crate) mod failure_watch;
+pub(crate) mod admission_queue;
+pub(crate) mod competing_balancers;
+pub(crate) mod outlier_detector;
 pub(crate) mod priorities;
+pub(crate) mod processing_time;
 pub(crate) mod registration;
-pub(crate) mod service_time;
-pub(crate) mod turns;
-pub(crate) mod waiting_openings;
+pub(crate) mod warm_up_limiter;
--- a/crates/petrellatch-core/src/pass_through/admission/priorities.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/priorities.rs
@@ -20,31 +20,31 @@
 /// Starvation limit: number of slots that go to more urgent flows while a less urgent class
 /// waits, before that class gets the next one. Some of its flows have expired by then, so the
 /// class gets at least a twentieth of the slots.
-const MOST_PASSED_OVER: u32 = 8;
+const MAX_PASSED_OVER: u32 = 8;
 
 /// How often queued flows were passed over, by priority. Zero is the most urgent one.
 #[derive(Debug, Default)]
-pub(crate) struct PassedOver {
+pub(crate) struct PassedOverCounts {
     counts: BTreeMap<u32, u32>,
 }
 
-impl PassedOver {
+impl PassedOverCounts {
     /// Notes that a flow of the `granted` priority got a slot while flows of the `queued`
     /// priorities stayed in the queue.
-    pub(crate) fn note_given(&mut self, given: u32, waiting: impl Iterator<Item = u32>) {
+    pub(crate) fn note_granted(&mut self, granted: u32, queued: impl Iterator<Item = u32>) {
         let count = |priority: u32| {
             let before = self.counts.get(&priority).copied().unwrap_or(0);
-            (priority, before + u32::from(priority > given))
+            (priority, before + u32::from(priority > granted))
         };
         // Counting starts over for priorities without queued flows, and for the one that got
         // the slot.
-        let others = waiting.filter(|priority| *priority != given);
+        let others = queued.filter(|priority| *priority != granted);
         self.counts = others.map(count).collect();
     }
 
     /// Whether the starvation limit gives this priority the next slot.
     pub(crate) fn is_due(&self, priority: u32) -> bool {
         let count = self.counts.get(&priority);
-        count.is_some_and(|count| *count >= MOST_PASSED_OVER)
+        count.is_some_and(|count| *count >= MAX_PASSED_OVER)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/admission/service_time.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/processing_time.rs
@@ -10,18 +10,18 @@
 /// vary, so with a queue that takes all of it, half of the responses are late. Where all back
 /// ends of a service take 3.5 times as long as usual, 11 % more requests meet their objective
 /// with 0.6 than with 0.8 (6,324 and 5,684 of 9,977); 0.45 gains no more.
-const OBJECTIVE_SHARE: f64 = 0.6;
+const OBJECTIVE_FRACTION: f64 = 0.6;
 /// Maximum number of requests per slot, whatever the latency objective.
 const MAX_QUEUE_FACTOR: f64 = 4.0;
 
 /// Mean time from when a request gets a slot until its response starts.
 #[derive(Debug, Default)]
-pub(crate) struct ServiceTime {
+pub(crate) struct ProcessingTime {
     mean_seconds: f64,
     samples: u32,
 }
 
-impl ServiceTime {
+impl ProcessingTime {
     /// Records the processing time of a request.
     pub(crate) fn record(&mut self, time: Duration) {
         let seconds = time.as_secs_f64();
@@ -43,12 +43,17 @@
     /// Limit on in-flight requests at a back end with `slots` slots, so that the last one is
     /// likely to meet the latency objective; at least one per slot. If the processing time or
     /// the objective is unknown, the limit is `default_per_slot` for each slot.
-    pub(crate) fn queue_limit(&self, objective: Duration, capacity: u32, unknown: u32) -> u32 {
+    pub(crate) fn queue_limit(
+        &self,
+        objective: Duration,
+        slots: u32,
+        default_per_slot: u32,
+    ) -> u32 {
         if self.samples < MIN_SAMPLES || self.mean_seconds <= 0.0 || objective.is_zero() {
-            return unknown.saturating_mul(capacity);
+            return default_per_slot.saturating_mul(slots);
         }
-        let per_slot = objective.as_secs_f64() * OBJECTIVE_SHARE / self.mean_seconds;
+        let per_slot = objective.as_secs_f64() * OBJECTIVE_FRACTION / self.mean_seconds;
         let per_slot = per_slot.min(MAX_QUEUE_FACTOR);
-        ((per_slot * f64::from(capacity)) as u32).max(capacity)
+        ((per_slot * f64::from(slots)) as u32).max(slots)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -12,23 +12,23 @@
 
 /// Slots assumed for a back end that hasn't registered yet. If it has fewer, it queues or
 /// returns the excess requests.
-const PROVISIONAL_CAPACITY: u32 = 4;
+const PROVISIONAL_SLOTS: u32 = 4;
 /// Registrations that a back end may have sent before its agent was running. A sequence number
 /// up to this one still shows that an incarnation has just started.
-const EARLY_CALLS: u64 = 3;
+const EARLY_REGISTRATIONS: u64 = 3;
 /// An incarnation whose start time is before that of the current one is the newer one all the
 /// same if it keeps registering for this long while the current one doesn't: its clock was set
 /// back. Delayed registrations of a previous incarnation arrive within a moment, and the
 /// current one registers about every second.
-const EARLIER_BORN_PATIENCE: Duration = Duration::from_secs(3);
+const EARLIER_START_TIMEOUT: Duration = Duration::from_secs(3);
 /// Number of deregistered incarnations that are kept, so that a delayed registration doesn't
 /// bring one of them back.
-const MAX_DEPARTED: usize = 16;
+const MAX_DEREGISTERED: usize = 16;
 /// Number of draining and deregistered incarnations in a report to the replica group.
-const MAX_LEAVING_TOLD: usize = 4;
+const MAX_DRAINING_REPORTED: usize = 4;
 /// A back end that hasn't answered a SYN for this long may have restarted, and be cold, when it
 /// sends its next packet. A running one answers or returns a SYN at once.
-const UNANSWERED_LIMIT: Duration = Duration::from_millis(500);
+const SYN_ACK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A registration of a back end.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -53,10 +53,10 @@
 }
 
 impl Registration {
-    fn life(&self) -> Life {
-        Life {
+    fn incarnation(&self) -> BackendIncarnation {
+        BackendIncarnation {
             id: self.id.clone(),
-            born: self.started_at_millis,
+            started_at_millis: self.started_at_millis,
         }
     }
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RegistrationRefusal {
     /// The agent belongs to another service.
-    #[snafu(display("the back end beside this agent runs {own}, not {named}"))]
+    #[snafu(display("this agent's back end runs {own}, not {named}"))]
     WrongService {
         /// The service of the agent.
         own: String,
@@ -77,19 +77,19 @@
 /// One incarnation of a back end. The next one may have the same name, but shares nothing else
 /// with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Life {
+struct BackendIncarnation {
     id: String,
-    born: Option<u64>,
+    started_at_millis: Option<u64>,
 }
 
-impl Life {
+impl BackendIncarnation {
     fn digest(&self) -> u64 {
-        backend_digest(&self.id, self.born)
+        backend_digest(&self.id, self.started_at_millis)
     }
 
     /// Whether it started after another one; `None` unless both report a start time.
-    fn is_born_after(&self, other: &Life) -> Option<bool> {
-        Some(self.born? > other.born?)
+    fn started_after(&self, other: &BackendIncarnation) -> Option<bool> {
+        Some(self.started_at_millis? > other.started_at_millis?)
     }
 }
 
@@ -99,37 +99,37 @@
     current: Option<Current>,
     /// Another incarnation that has registered, and may be newer or older than the current one.
     /// It is dropped once the current one registers again.
-    rival: Option<Rival>,
+    contender: Option<Contender>,
     /// Whether the back end has sent a packet, which shows that it runs.
     seen_alive: bool,
     /// Until when a back end that hasn't registered may get new flows.
     provisional_until: Timestamp,
     /// Whether the back end has returned a SYN since its last packet.
-    returned_opening: bool,
+    returned_syn: bool,
     /// Sequence number of the first registration received.
-    first_call: Option<u64>,
+    first_sequence: Option<u64>,
     /// Whether an incarnation has replaced another one.
     was_replaced: bool,
     /// When the back end got the first SYN that it hasn't answered.
     unanswered_since: Option<Timestamp>,
     /// Whether the back end may have restarted, and be cold, since its last registration.
-    is_doubtful: bool,
+    may_have_restarted: bool,
     /// Digests of deregistered incarnations, which must not get new flows again.
-    departed: VecDeque<u64>,
+    deregistered: VecDeque<u64>,
     /// Increases when another incarnation registers or when the labels change.
     description_revision: u64,
 }
 
 #[derive(Debug)]
 struct Current {
-    life: Life,
-    call_number: u64,
-    capacity: u32,
+    incarnation: BackendIncarnation,
+    sequence: u64,
+    slots: u32,
     draining: bool,
     cold_until: Timestamp,
-    heard_at: Timestamp,
+    last_seen_at: Timestamp,
     /// When its first registration was received.
-    known_since: Timestamp,
+    first_seen_at: Timestamp,
     labels: BTreeMap<String, String>,
 }
 
@@ -139,13 +139,13 @@
 /// incarnation has registered. Names don't show which incarnation is the newer one. Start times
 /// do, unless a clock was set back in between.
 #[derive(Debug)]
-struct Rival {
-    life: Life,
-    call_number: u64,
+struct Contender {
+    incarnation: BackendIncarnation,
+    sequence: u64,
     draining: bool,
     /// When its first registration since the last one of the current incarnation was received;
     /// `None` if there is none.
-    called_since: Option<Timestamp>,
+    registering_since: Option<Timestamp>,
 }
 
 impl RegistrationState {
@@ -154,61 +154,62 @@
     pub fn new(provisional_until: Timestamp) -> RegistrationState {
         RegistrationState {
             current: None,
-            rival: None,
+            contender: None,
             seen_alive: false,
             provisional_until,
-            returned_opening: false,
-            first_call: None,
+            returned_syn: false,
+            first_sequence: None,
             was_replaced: false,
             unanswered_since: None,
-            is_doubtful: false,
-            departed: VecDeque::new(),
+            may_have_restarted: false,
+            deregistered: VecDeque::new(),
             description_revision: 0,
         }
     }
 
     /// Handles a registration. Returns whether the current incarnation or its draining state
     /// changed.
-    pub fn handle_registration(&mut self, now: Timestamp, call: &Registration) -> bool {
-        let life = call.life();
-        if self.departed.contains(&life.digest()) {
+    pub fn handle_registration(&mut self, now: Timestamp, registration: &Registration) -> bool {
+        let incarnation = registration.incarnation();
+        if self.deregistered.contains(&incarnation.digest()) {
             return false;
         }
-        let before = self.offer();
-        let mut known_since = now;
-        self.first_call.get_or_insert(call.sequence);
+        let before = self.drain_state();
+        let mut first_seen_at = now;
+        self.first_sequence.get_or_insert(registration.sequence);
         if let Some(current) = &mut self.current
-            && current.life == life
+            && current.incarnation == incarnation
         {
-            if call.sequence < current.call_number {
+            if registration.sequence < current.sequence {
                 return false;
             }
-            known_since = current.known_since;
+            first_seen_at = current.first_seen_at;
         } else if self.current.is_some() {
-            if !self.is_newer(now, &life, call) {
-                self.note_rival(now, life, call);
-                return before != self.offer();
+            if !self.is_newer(now, &incarnation, registration) {
+                self.note_contender(now, incarnation, registration);
+                return before != self.drain_state();
             }
             self.replace_current();
         }
-        let is_described = |it: &Current| it.life == life && it.labels == call.labels;
+        let is_described =
+            |it: &Current| it.incarnation == incarnation && it.labels == registration.labels;
         if !self.current.as_ref().is_some_and(is_described) {
             self.description_revision += 1;
         }
-        self.rival = None;
+        self.contender = None;
         self.unanswered_since = None;
-        self.is_doubtful = false;
+        self.may_have_restarted = false;
         self.current = Some(Current {
-            life,
-            call_number: call.sequence,
-            capacity: call.slots.max(1),
-            draining: call.draining,
-            cold_until: now + call.cold_for,
-            heard_at: now,
-            known_since,
-            labels: call.labels.clone(),
+            incarnation,
+            sequence: registration.sequence,
+            slots: registration.slots.max(1),
+            draining: registration.draining,
+            cold_until: now + registration.cold_for,
+            last_seen_at: now,
+            first_seen_at,
+            labels: registration.labels.clone(),
         });
-        before != self.offer()
+        before != self.drain_state()
     }
 
     /// Whether an incarnation is newer than the current one: its start time is later, or it has
@@ -216,106 +217,129 @@
     ///
     /// A low sequence number shows nothing if the current one drains, as it may have sent its
     /// last registration, or if the start time is earlier than that of the current one.
-    fn is_newer(&self, now: Timestamp, life: &Life, call: &Registration) -> bool {
+    fn is_newer(
+        &self,
+        now: Timestamp,
+        incarnation: &BackendIncarnation,
+        registration: &Registration,
+    ) -> bool {
         let Some(current) = &self.current else {
             return true;
         };
-        let is_born_after = life.is_born_after(&current.life);
-        let goes_on = |rival: &&Rival| rival.life == *life && rival.call_number < call.sequence;
-        if let Some(rival) = self.rival.as_ref().filter(goes_on) {
-            let called_for = rival.called_since.map(|since| now.saturating_since(since));
-            let outlives = called_for.is_some_and(|time| time >= EARLIER_BORN_PATIENCE);
-            return is_born_after != Some(false) || outlives;
+        let started_after = incarnation.started_after(&current.incarnation);
+        let keeps_registering = |contender: &&Contender| {
+            contender.incarnation == *incarnation && contender.sequence < registration.sequence
+        };
+        if let Some(contender) = self.contender.as_ref().filter(keeps_registering) {
+            let registering_for = contender
+                .registering_since
+                .map(|since| now.saturating_since(since));
+            let outlasts = registering_for.is_some_and(|time| time >= EARLIER_START_TIMEOUT);
+            return started_after != Some(false) || outlasts;
         }
-        let has_just_begun = call.sequence <= EARLY_CALLS;
-        is_born_after.unwrap_or(has_just_begun && !current.draining)
+        let has_just_started = registration.sequence <= EARLY_REGISTRATIONS;
+        started_after.unwrap_or(has_just_started && !current.draining)
     }
 
     /// Notes a registration of an incarnation that isn't known to be newer. If its start time
     /// is earlier than that of the current one, its draining state has no effect.
-    fn note_rival(&mut self, now: Timestamp, life: Life, call: &Registration) {
-        let current = self.current.as_ref().map(|current| &current.life);
-        let is_former = current.and_then(|current| life.is_born_after(current)) == Some(false);
-        let known = self.rival.as_ref().filter(|rival| rival.life == life);
-        let called_since = known.and_then(|rival| rival.called_since);
-        self.rival = Some(Rival {
-            life,
-            call_number: call.sequence,
-            draining: call.draining && !is_former,
-            called_since: called_since.or(Some(now)),
+    fn note_contender(
+        &mut self,
+        now: Timestamp,
+        incarnation: BackendIncarnation,
+        registration: &Registration,
+    ) {
+        let current = self.current.as_ref().map(|current| &current.incarnation);
+        let is_older =
+            current.and_then(|current| incarnation.started_after(current)) == Some(false);
+        let known = self
+            .contender
+            .as_ref()
+            .filter(|contender| contender.incarnation == incarnation);
+        let registering_since = known.and_then(|contender| contender.registering_since);
+        self.contender = Some(Contender {
+            incarnation,
+            sequence: registration.sequence,
+            draining: registration.draining && !is_older,
+            registering_since: registering_since.or(Some(now)),
         });
     }
 
     /// Removes the current incarnation in favour of another one. If it was draining, it must
     /// not come back.
     fn replace_current(&mut self) {
-        let Some(former) = self.current.take() else {
+        let Some(replaced) = self.current.take() else {
             return;
         };
         self.was_replaced = true;
-        if former.draining {
-            self.note_departed(former.life.digest());
+        if replaced.draining {
+            self.note_deregistered(replaced.incarnation.digest());
         }
     }
 
     /// Handles a deregistration. The back end keeps its flows, and its later registrations are
     /// ignored. Returns whether the current incarnation or its draining state changed.
     pub fn handle_deregistration(&mut self, id: &str) -> bool {
-        let before = self.offer();
-        let life = self.withdrawn_life(id);
-        let has_left_before = self.departed.contains(&life.digest());
-        self.note_departed(life.digest());
+        let before = self.drain_state();
+        let incarnation = self.deregistered_incarnation(id);
+        let was_deregistered = self.deregistered.contains(&incarnation.digest());
+        self.note_deregistered(incarnation.digest());
         if let Some(current) = &mut self.current
-            && current.life == life
+            && current.incarnation == incarnation
         {
             current.draining = true;
-        } else if self.current.is_some() && !has_left_before {
+        } else if self.current.is_some() && !was_deregistered {
             // The current one may be a previous incarnation whose registration was delayed.
-            self.rival = Some(Rival {
-                life,
-                call_number: u64::MAX,
+            self.contender = Some(Contender {
+                incarnation,
+                sequence: u64::MAX,
                 draining: true,
-                called_since: None,
+                registering_since: None,
             });
         }
-        before != self.offer()
+        before != self.drain_state()
     }
 
     /// The incarnation that deregisters under a name: the last one that registered under it.
-    fn withdrawn_life(&self, id: &str) -> Life {
-        let current = self.current.as_ref().map(|current| &current.life);
-        let rival = self.rival.as_ref().map(|rival| &rival.life);
-        let mut known = rival.into_iter().chain(current);
-        let known = known.find(|life| life.id == id).cloned();
-        known.unwrap_or_else(|| Life {
+    fn deregistered_incarnation(&self, id: &str) -> BackendIncarnation {
+        let current = self.current.as_ref().map(|current| &current.incarnation);
+        let contender = self
+            .contender
+            .as_ref()
+            .map(|contender| &contender.incarnation);
+        let mut known = contender.into_iter().chain(current);
+        let known = known.find(|incarnation| incarnation.id == id).cloned();
+        known.unwrap_or_else(|| BackendIncarnation {
             id: id.to_owned(),
-            born: None,
+            started_at_millis: None,
         })
     }
 
     /// Notes a packet of the back end, which shows that it runs. A returned packet doesn't
     /// count: packets for a back end that has ended are returned as well.
     pub fn note_alive(&mut self, now: Timestamp) {
-        self.is_doubtful |= self.is_unanswered(now);
+        self.may_have_restarted |= self.is_unanswered(now);
         self.unanswered_since = None;
         self.seen_alive = true;
-        self.returned_opening = false;
+        self.returned_syn = false;
         if let Some(current) = &mut self.current {
-            current.heard_at = now;
+            current.last_seen_at = now;
         }
     }
 
     /// Notes a returned SYN. A back end that hasn't registered gets no new flows until it
     /// registers or sends a packet.
-    pub fn note_returned_opening(&mut self) {
-        self.returned_opening = true;
+    pub fn note_returned_syn(&mut self) {
+        self.returned_syn = true;
     }
 
     /// State of the back end. It is unavailable if it was silent for `silence_limit`.
-    pub fn state(&self, now: Timestamp, limit: Duration) -> AgentState {
+    pub fn state(&self, now: Timestamp, silence_limit: Duration) -> AgentState {
         match &self.current {
-            Some(current) if current.draining || self.rival_leaves() => AgentState::Draining,
-            Some(current) if now.saturating_since(current.heard_at) < limit => AgentState::Ready,
+            Some(current) if current.draining || self.contender_drains() => AgentState::Draining,
+            Some(current) if now.saturating_since(current.last_seen_at) < silence_limit => {
+                AgentState::Ready
+            }
             None if self.is_provisional(now) && self.seen_alive => AgentState::Ready,
             None if self.is_provisional(now) => AgentState::Starting,
             Some(_) | None => AgentState::Unavailable,
@@ -325,24 +349,25 @@
     /// Whether a back end that hasn't registered may get new flows. It may not after a
     /// deregistration, as packets may come from the incarnation that deregistered.
     fn is_provisional(&self, now: Timestamp) -> bool {
-        self.departed.is_empty() && !self.returned_opening && now < self.provisional_until
+        self.deregistered.is_empty() && !self.returned_syn && now < self.provisional_until
     }
 
     /// Number of requests that the back end processes at once.
-    pub fn capacity(&self) -> u32 {
+    pub fn slots(&self) -> u32 {
         match &self.current {
-            Some(current) => current.capacity,
-            None => PROVISIONAL_CAPACITY,
+            Some(current) => current.slots,
+            None => PROVISIONAL_SLOTS,
         }
     }
 
     /// Whether one of the first registrations of an incarnation was received.
-    pub fn called_early(&self) -> bool {
-        self.first_call.is_some_and(|call| call <= EARLY_CALLS)
+    pub fn saw_first_registration(&self) -> bool {
+        self.first_sequence
+            .is_some_and(|sequence| sequence <= EARLY_REGISTRATIONS)
     }
 
     /// Whether a back end has registered.
-    pub fn has_called(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         self.current.is_some()
     }
 
@@ -354,25 +379,25 @@
     /// Description of the registered back end for placement policies, if there is one.
     pub fn description(&self, now: Timestamp) -> Option<BackendDescription> {
         let current = self.current.as_ref()?;
-        let age = now.saturating_since(current.known_since);
+        let age = now.saturating_since(current.first_seen_at);
         Some(BackendDescription {
-            name: current.life.id.clone(),
+            name: current.incarnation.id.clone(),
             labels: current.labels.clone(),
             age_millis: age.as_millis() as u64,
         })
     }
 
     /// Digest of the registered incarnation, if there is one.
-    pub fn backend(&self) -> Option<u64> {
+    pub fn incarnation_digest(&self) -> Option<u64> {
         let current = self.current.as_ref()?;
-        Some(current.life.digest())
+        Some(current.incarnation.digest())
     }
 
     /// Whether that digest identifies a single incarnation: the back end reports its start
     /// time.
-    pub fn tells_lives_apart(&self) -> bool {
+    pub fn identifies_incarnation(&self) -> bool {
         let current = self.current.as_ref();
-        current.is_some_and(|current| current.life.born.is_some())
+        current.is_some_and(|current| current.incarnation.started_at_millis.is_some())
     }
 
     /// Whether the current incarnation replaced another one while this agent ran.
@@ -387,70 +412,72 @@
     }
 
     /// Notes that a SYN was delivered to the back end.
-    pub fn note_offered(&mut self, now: Timestamp) {
+    pub fn note_syn_delivered(&mut self, now: Timestamp) {
         self.unanswered_since.get_or_insert(now);
     }
 
     /// Notes that the back end may have restarted. It counts as cold until it registers.
-    pub fn note_doubt(&mut self) {
-        self.is_doubtful = true;
+    pub fn note_possible_restart(&mut self) {
+        self.may_have_restarted = true;
     }
 
     /// Whether the back end may be warming up: it has registered so, hasn't registered yet, or
     /// may have restarted since.
     pub fn may_be_cold(&self, now: Timestamp) -> bool {
-        let is_in_doubt = self.is_doubtful || self.is_unanswered(now);
-        self.current.is_none() || self.is_cold(now) || is_in_doubt
+        let may_have_restarted = self.may_have_restarted || self.is_unanswered(now);
+        self.current.is_none() || self.is_cold(now) || may_have_restarted
     }
 
     fn is_unanswered(&self, now: Timestamp) -> bool {
-        let is_late = |since| now.saturating_since(since) >= UNANSWERED_LIMIT;
+        let is_late = |since| now.saturating_since(since) >= SYN_ACK_TIMEOUT;
         self.unanswered_since.is_some_and(is_late)
     }
 
     /// Whether the contender drains; it may be the incarnation that runs.
-    fn rival_leaves(&self) -> bool {
-        self.rival.as_ref().is_some_and(|rival| rival.draining)
+    fn contender_drains(&self) -> bool {
+        self.contender
+            .as_ref()
+            .is_some_and(|contender| contender.draining)
     }
 
-    fn offer(&self) -> Option<(Life, bool)> {
+    fn drain_state(&self) -> Option<(BackendIncarnation, bool)> {
         let current = self.current.as_ref()?;
-        let leaves = current.draining || self.rival_leaves();
-        Some((current.life.clone(), leaves))
+        let drains = current.draining || self.contender_drains();
+        Some((current.incarnation.clone(), drains))
     }
 
     /// Digests of draining and deregistered incarnations, the latest last.
-    pub fn leaving(&self) -> Vec<u64> {
+    pub fn draining_backends(&self) -> Vec<u64> {
         let current = self.current.iter().filter(|current| current.draining);
-        let current = current.map(|current| current.life.digest());
-        let rival = self.rival.iter().filter(|rival| rival.draining);
-        let rival = rival.map(|rival| rival.life.digest());
-        let departed = self.departed.iter().copied();
-        let mut leaving: Vec<u64> = departed.chain(rival).chain(current).collect();
-        leaving.dedup();
-        leaving.split_off(leaving.len().saturating_sub(MAX_LEAVING_TOLD))
+        let current = current.map(|current| current.incarnation.digest());
+        let contender = self.contender.iter().filter(|contender| contender.draining);
+        let contender = contender.map(|contender| contender.incarnation.digest());
+        let deregistered = self.deregistered.iter().copied();
+        let mut draining: Vec<u64> = deregistered.chain(contender).chain(current).collect();
+        draining.dedup();
+        draining.split_off(draining.len().saturating_sub(MAX_DRAINING_REPORTED))
     }
 
     /// Restores what a previous incarnation of the agent reported with
     /// [`RegistrationState::draining_backends`].
-    pub fn recall(&mut self, leaving: &[u64]) {
-        for digest in leaving {
-            self.note_departed(*digest);
+    pub fn restore_draining(&mut self, draining: &[u64]) {
+        for digest in draining {
+            self.note_deregistered(*digest);
         }
         if let Some(current) = &mut self.current
-            && leaving.contains(&current.life.digest())
+            && draining.contains(&current.incarnation.digest())
         {
             current.draining = true;
         }
     }
 
-    fn note_departed(&mut self, digest: u64) {
-        if self.departed.contains(&digest) {
+    fn note_deregistered(&mut self, digest: u64) {
+        if self.deregistered.contains(&digest) {
             return;
         }
-        self.departed.push_back(digest);
-        if self.departed.len() > MAX_DEPARTED {
-            self.departed.pop_front();
+        self.deregistered.push_back(digest);
+        if self.deregistered.len() > MAX_DEREGISTERED {
+            self.deregistered.pop_front();
         }
     }
 }
--- a/crates/petrellatch-core/src/pass_through/admission/cold_admission.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/warm_up_limiter.rs
@@ -16,24 +16,24 @@
 
 /// Window over which admissions are counted: one second, plus a margin for packets whose
 /// transit times differ, because the bounds apply to arrivals at the back end.
-const SPAN: Duration = Duration::from_millis(1_050);
+const WINDOW: Duration = Duration::from_millis(1_050);
 /// Fraction of the bounds that is used.
-const USED_PART: f64 = 0.9;
+const USED_FRACTION: f64 = 0.9;
 /// Maximum number of admission times that are kept. Higher limits are reduced to it.
-const MAX_REMEMBERED: usize = 4_096;
+const MAX_COUNTED: usize = 4_096;
 
 /// Limits new flows by the number of those admitted within the window.
 #[derive(Debug)]
-pub(crate) struct ColdAdmission {
+pub(crate) struct WarmUpLimiter {
     bounds: WarmUpBounds,
     /// Warm-up rate of the back end in requests per 1,000 s; zero if unknown.
     millirequests_per_second: u32,
     admitted: VecDeque<Timestamp>,
 }
 
-impl ColdAdmission {
+impl WarmUpLimiter {
     pub(crate) fn new(bounds: WarmUpBounds) -> Self {
-        ColdAdmission {
+        WarmUpLimiter {
             bounds,
             millirequests_per_second: 0,
             admitted: VecDeque::new(),
@@ -51,29 +51,29 @@
     /// Whether one more flow is within the bounds. There is no limit while the warm-up rate is
     /// unknown.
     pub(crate) fn admits(&mut self, now: Timestamp) -> bool {
-        self.forget_old(now);
+        self.drop_expired(now);
         self.millirequests_per_second == 0 || self.admitted.len() < self.limit()
     }
 
     /// Notes an admitted flow.
     pub(crate) fn note_admitted(&mut self, now: Timestamp) {
-        self.forget_old(now);
-        if self.admitted.len() == MAX_REMEMBERED {
+        self.drop_expired(now);
+        if self.admitted.len() == MAX_COUNTED {
             self.admitted.pop_front();
         }
         self.admitted.push_back(now);
     }
 
     fn limit(&self) -> usize {
-        let borne = f64::from(self.millirequests_per_second) / 1_000.0;
-        let bound = borne * self.bounds.excess + self.bounds.slack;
+        let rate = f64::from(self.millirequests_per_second) / 1_000.0;
+        let bound = rate * self.bounds.excess + self.bounds.slack;
         // At least one: a back end without requests would never warm up.
-        ((bound * USED_PART) as usize).clamp(1, MAX_REMEMBERED)
+        ((bound * USED_FRACTION) as usize).clamp(1, MAX_COUNTED)
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         while let Some(admitted) = self.admitted.front()
-            && now.saturating_since(*admitted) >= SPAN
+            && now.saturating_since(*admitted) >= WINDOW
         {
             self.admitted.pop_front();
         }
--- a/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/backend_packets.rs
@@ -16,16 +16,16 @@
 
 /// A back end takes at least this long to restart. If it returns a packet of a flow that was
 /// admitted more recently, the same incarnation has accepted that flow.
-const YOUNG_FLOW: Duration = Duration::from_millis(500);
+const MIN_RESTART_TIME: Duration = Duration::from_millis(500);
 
 impl<C: PacketCodec> PassThroughAgent<C> {
     /// Handles a packet from the back end.
     pub fn handle_backend_packet(&mut self, now: Timestamp, packet: &[u8]) {
-        self.take_backend_packet(now, packet);
-        self.serve_waiting(now);
+        self.process_backend_packet(now, packet);
+        self.serve_queue(now);
     }
 
-    fn take_backend_packet(&mut self, now: Timestamp, packet: &[u8]) {
+    fn process_backend_packet(&mut self, now: Timestamp, packet: &[u8]) {
         let Some(view) = self.codec.view(packet) else {
             self.counters.malformed += 1;
             return;
@@ -38,18 +38,18 @@
         }
         self.registration.note_alive(now);
         let flow = view.flow_from_backend();
-        let wants_to_know = self.tried.take_pending(flow);
+        let pending_delivery = self.speculative_deliveries.take_pending(flow);
         self.outputs.push_back(PassThroughOutput::ToCaller {
             address: *flow.caller.ip(),
             packet: packet.to_vec(),
         });
         match view.syn {
-            true => self.former.forget(flow),
-            false => self.former.note_alive(flow),
+            true => self.previous.forget(flow),
+            false => self.previous.note_alive(flow),
         }
         let known = self.flows.get(flow);
-        let answered_before = known.is_some_and(|flow| flow.sequence.is_some());
-        let meaning = match view {
+        let was_accepted = known.is_some_and(|flow| flow.sequence.is_some());
+        let packet_kind = match view {
             PacketView { rst: true, .. } => {
                 if known.is_some_and(AgentFlow::has_pending_request) {
                     self.note_failure(now, flow);
@@ -68,23 +68,24 @@
             } => BackendPacket::Response,
             _ => BackendPacket::Established,
         };
-        if let Some(time) = self.flows.note_from_backend(now, flow, meaning) {
-            self.service_time.record(time);
-            self.work_times.record(time, self.registration.is_cold(now));
-            if self.failure_watch.note_answer(now) {
+        if let Some(time) = self.flows.note_from_backend(now, flow, packet_kind) {
+            self.processing_time.record(time);
+            self.reported_processing_time
+                .record(time, self.registration.is_cold(now));
+            if self.outlier_detector.note_response(now) {
                 let subject = self.settings.service.clone();
                 self.emit_event(EventKind::BackendRecovered, subject);
             }
         }
         self.report_if_changed(now);
-        if let Some(pending) = wants_to_know {
-            self.tell_held(pending.balancer, flow);
+        if let Some(pending) = pending_delivery {
+            self.send_owned(pending.balancer, flow);
         }
-        if view.syn && !answered_before {
+        if view.syn && !was_accepted {
             let admitted_at = self.flows.get(flow).map(|flow| flow.created_at);
             let time = now.saturating_since(admitted_at.unwrap_or(now));
             self.latencies.first_response.record(time);
-            self.tell_accepted(now, flow, view.sequence_number);
+            self.send_accepted(now, flow, view.sequence_number);
         }
     }
 
@@ -92,18 +93,18 @@
     pub(super) fn handle_returned(&mut self, now: Timestamp, view: &PacketView) {
         let id = view.flow_from_caller();
         if !view.is_syn() {
-            self.tried.note_returned(now, id);
+            self.speculative_deliveries.note_returned(now, id);
         }
-        let is_gone = self.note_returned_witness(now, view);
-        self.take_returned(now, view, is_gone);
-        self.continue_proofs(now);
+        let is_orphaned = self.note_returned_probe(now, view);
+        self.handle_returned_flow(now, view, is_orphaned);
+        self.continue_restart_probes(now);
     }
 
-    fn take_returned(&mut self, now: Timestamp, view: &PacketView, is_gone: bool) {
+    fn handle_returned_flow(&mut self, now: Timestamp, view: &PacketView, is_orphaned: bool) {
         let id = view.flow_from_caller();
-        if let Some(pending) = self.tried.take_pending(id) {
-            if pending.report_return || is_gone {
-                self.tell_not_held(pending.balancer, view, is_gone);
+        if let Some(pending) = self.speculative_deliveries.take_pending(id) {
+            if pending.report_return || is_orphaned {
+                self.send_returned_packet(pending.balancer, view, is_orphaned);
             }
             return;
         }
@@ -114,29 +115,29 @@
             return;
         };
         if view.is_syn() {
-            self.registration.note_returned_opening();
+            self.registration.note_returned_syn();
             self.decline(now, balancer, id, DeclineReason::Returned);
         } else {
             self.emit_event(EventKind::PacketReturned, format!("flow={id}"));
             let was_open = flow.sequence.is_some() && flow.owns_ack(view.ack_number);
-            let is_young = now.saturating_since(flow.created_at) < YOUNG_FLOW;
-            if was_open && is_young && view.data_bytes > 0 {
+            let is_recent = now.saturating_since(flow.created_at) < MIN_RESTART_TIME;
+            if was_open && is_recent && view.data_bytes > 0 {
                 self.note_failure(now, id);
             }
-            self.tell_not_held(balancer, view, was_open);
+            self.send_returned_packet(balancer, view, was_open);
         }
     }
 
     /// Notes that the back end accepted a flow and failed its request.
     fn note_failure(&mut self, now: Timestamp, flow: FlowId) {
-        if self.failure_watch.note_failure(now, *flow.caller.ip()) {
-            let left_out = self.failure_watch.left_out(now).as_millis();
+        if self.outlier_detector.note_failure(now, *flow.caller.ip()) {
+            let left_out = self.outlier_detector.remaining_ejection(now).as_millis();
             let subject = format!("flow={flow} left_out={left_out}");
             self.emit_event(EventKind::BackendLeftOut, subject);
         }
     }
 
-    pub(super) fn tell_accepted(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
+    pub(super) fn send_accepted(&mut self, now: Timestamp, id: FlowId, sequence: u32) {
         let balancer = self.flows.get(id).and_then(|flow| flow.last_balancer);
         let Some(balancer) = balancer else { return };
         let load = self.load_message(now);
@@ -148,15 +149,15 @@
         self.send(balancer, PassThroughBody::Accepted(accepted));
     }
 
-    pub(super) fn tell_held(&mut self, to: SocketAddrV4, id: FlowId) {
+    pub(super) fn send_owned(&mut self, to: SocketAddrV4, id: FlowId) {
         let sequence = self.flows.get(id).and_then(|flow| flow.sequence);
-        let held = OwnedFlow {
+        let owned = OwnedFlow {
             flow: id.into(),
             sequence,
         };
         self.send(
             to,
-            PassThroughBody::FlowsOwned(FlowsOwned { flows: vec![held] }),
+            PassThroughBody::FlowsOwned(FlowsOwned { flows: vec![owned] }),
         );
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -10,89 +10,95 @@
 
 use super::PassThroughAgent;
 use crate::event::EventKind;
-use crate::pass_through::admission::waiting_openings::Opening;
+use crate::pass_through::admission::admission_queue::NewFlow;
 use crate::pass_through::flows::agent_flows::CallerPacket;
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::{FlowId, PacketCodec, PacketView};
 use crate::time::Timestamp;
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    pub(super) fn handle_carry(
+    pub(super) fn handle_forwarded_packet(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        carry: ForwardedPacket,
+        forwarded: ForwardedPacket,
     ) {
-        let Some(view) = self.codec.view(&carry.packet) else {
+        let Some(view) = self.codec.view(&forwarded.packet) else {
             return;
         };
-        let is_passed_on = carry.origin_balancer != 0;
-        let from = match is_passed_on {
-            true => unpack_address(carry.origin_balancer),
+        let is_relayed = forwarded.origin_balancer != 0;
+        let from = match is_relayed {
+            true => unpack_address(forwarded.origin_balancer),
             false => from,
         };
         self.balancers.insert(from, now);
         let flow = view.flow_from_caller();
-        let reason = carry.reason();
+        let reason = forwarded.reason();
         match reason {
-            ForwardReason::Open | ForwardReason::OpenQueued if carry.service != self.service => {
+            ForwardReason::Open | ForwardReason::OpenQueued
+                if forwarded.service != self.service =>
+            {
                 self.decline(now, from, flow, DeclineReason::WrongService);
             }
-            ForwardReason::Deliver | ForwardReason::Try if self.is_gone(&view) => {
-                self.pass_on(from, &carry);
-                self.tell_gone(now, from, &view);
+            ForwardReason::Deliver | ForwardReason::Try if self.is_orphaned(&view) => {
+                self.relay_packet(from, &forwarded);
+                self.send_orphaned(now, from, &view);
             }
             // The packet is for the agent that had this address before.
-            ForwardReason::Deliver if carry.service != self.service && !self.holds(&view) => {
-                self.tell_not_held(from, &view, false);
+            ForwardReason::Deliver
+                if forwarded.service != self.service && !self.owns_flow(&view) =>
+            {
+                self.send_returned_packet(from, &view, false);
             }
             ForwardReason::Open if self.state(now) == AgentState::Starting => {
                 self.decline(now, from, flow, DeclineReason::NoBackend);
             }
             ForwardReason::Open | ForwardReason::OpenQueued => {
-                self.cold_admission
-                    .note_rate(carry.warm_up_millirequests_per_second);
-                self.asking.note_asked(now, from);
-                let opening = Opening {
+                self.warm_up_limiter
+                    .note_rate(forwarded.warm_up_millirequests_per_second);
+                self.competing_balancers.note_offer(now, from);
+                let new_flow = NewFlow {
                     flow,
                     balancer: from,
-                    objective: Duration::from_millis(u64::from(carry.latency_objective_millis)),
-                    age: Duration::from_millis(u64::from(carry.syn_age_millis)),
-                    priority: carry.priority,
-                    deadline: Duration::from_millis(u64::from(carry.deadline_millis)),
+                    latency_objective: Duration::from_millis(u64::from(
+                        forwarded.latency_objective_millis,
+                    )),
+                    syn_age: Duration::from_millis(u64::from(forwarded.syn_age_millis)),
+                    priority: forwarded.priority,
+                    deadline: Duration::from_millis(u64::from(forwarded.deadline_millis)),
                     may_queue: reason == ForwardReason::OpenQueued,
-                    despite_failures: carry.ignore_ejection,
-                    packet: carry.packet,
+                    ignore_ejection: forwarded.ignore_ejection,
+                    packet: forwarded.packet,
                 };
-                self.handle_opening(now, opening);
+                self.handle_new_flow(now, new_flow);
             }
-            ForwardReason::Deliver => self.deliver(now, from, &view, carry.packet),
+            ForwardReason::Deliver => self.deliver(now, from, &view, forwarded.packet),
             ForwardReason::Try => {
-                self.pass_on(from, &carry);
-                let tells_return = !is_passed_on && carry.relay_to.is_empty();
-                self.try_flow(now, from, &view, carry.packet, tells_return);
+                self.relay_packet(from, &forwarded);
+                let report_return = !is_relayed && forwarded.relay_to.is_empty();
+                self.deliver_speculatively(now, from, &view, forwarded.packet, report_return);
             }
             ForwardReason::Unspecified => {}
         }
     }
 
     /// Whether the back end is known to own the flow of a packet.
-    fn holds(&self, view: &PacketView) -> bool {
+    fn owns_flow(&self, view: &PacketView) -> bool {
         let known = self.flows.get(view.flow_from_caller());
         known.is_some_and(|known| known.owns_ack(view.ack_number))
     }
 
     /// Relays a packet to the other agents that are to deliver it speculatively.
-    fn pass_on(&mut self, balancer: SocketAddrV4, carry: &ForwardedPacket) {
-        for other in &carry.relay_to {
-            let passed_on = ForwardedPacket {
+    fn relay_packet(&mut self, balancer: SocketAddrV4, forwarded: &ForwardedPacket) {
+        for other in &forwarded.relay_to {
+            let relayed = ForwardedPacket {
                 relay_to: Vec::new(),
                 origin_balancer: pack_address(balancer),
-                ..carry.clone()
+                ..forwarded.clone()
             };
             self.send(
                 unpack_address(*other),
-                PassThroughBody::ForwardedPacket(passed_on),
+                PassThroughBody::ForwardedPacket(relayed),
             );
         }
     }
@@ -101,35 +107,43 @@
     /// back end returns it, this is reported to the balancer at once with `report_return`, and
     /// in reply to its next query otherwise: if many back ends get the packet, nearly all of
     /// them return it.
-    fn try_flow(
+    fn deliver_speculatively(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
         view: &PacketView,
         packet: Vec<u8>,
-        tells_return: bool,
+        report_return: bool,
     ) {
         let flow = view.flow_from_caller();
-        if self.holds(view) {
-            self.tell_held(from, flow);
+        if self.owns_flow(view) {
+            self.send_owned(from, flow);
             self.deliver(now, from, view, packet);
-        } else if self.tried.was_returned(flow) {
-            self.tell_not_held(from, view, false);
-        } else if self.tried.note_delivered(now, flow, from, tells_return) {
+        } else if self.speculative_deliveries.was_returned(flow) {
+            self.send_returned_packet(from, view, false);
+        } else if self
+            .speculative_deliveries
+            .note_delivered(now, flow, from, report_return)
+        {
             self.counters.tried += 1;
             self.outputs.push_back(PassThroughOutput::ToBackend(packet));
         }
     }
 
     /// Reports to a balancer that the back end doesn't own the flow of a packet.
-    pub(super) fn tell_not_held(&mut self, to: SocketAddrV4, view: &PacketView, was_open: bool) {
-        let not_held = ReturnedPacket {
+    pub(super) fn send_returned_packet(
+        &mut self,
+        to: SocketAddrV4,
+        view: &PacketView,
+        was_open: bool,
+    ) {
+        let returned = ReturnedPacket {
             flow: view.flow_from_caller().into(),
             acknowledged: view.ack_number,
             carried_data: view.data_bytes > 0 && !view.fin,
             was_open,
         };
-        self.send(to, PassThroughBody::ReturnedPacket(not_held));
+        self.send(to, PassThroughBody::ReturnedPacket(returned));
     }
 
     pub(super) fn deliver(
@@ -139,7 +153,7 @@
         view: &PacketView,
         packet: Vec<u8>,
     ) {
-        let meaning = match view {
+        let packet_kind = match view {
             PacketView { rst: true, .. } => CallerPacket::Reset,
             PacketView { fin: true, .. } => CallerPacket::Fin,
             PacketView {
@@ -148,22 +162,24 @@
             _ => CallerPacket::Established,
         };
         self.counters.delivered += 1;
-        let capacity = self.registration.capacity();
+        let slots = self.registration.slots();
         let flow = view.flow_from_caller();
         self.flows
-            .note_from_caller(now, flow, from, meaning, capacity);
+            .note_from_caller(now, flow, from, packet_kind, slots);
         self.flows.note_acknowledged(flow, view, &packet);
         self.outputs.push_back(PassThroughOutput::ToBackend(packet));
     }
 
     /// Expected wait of a balancer for a slot, if a new flow is declined for this reason.
-    fn turn(&self, now: Timestamp, reason: DeclineReason) -> Duration {
-        let work = match reason {
-            DeclineReason::Full => self.service_time.known_mean(),
+    fn expected_wait(&self, now: Timestamp, reason: DeclineReason) -> Duration {
+        let processing_time = match reason {
+            DeclineReason::Full => self.processing_time.known_mean(),
             _ => None,
         };
-        let slots = self.registration.capacity();
-        work.map_or(Duration::ZERO, |work| self.asking.turn(now, work, slots))
+        let slots = self.registration.slots();
+        processing_time.map_or(Duration::ZERO, |time| {
+            self.competing_balancers.expected_wait(now, time, slots)
+        })
     }
 
     pub(super) fn decline(
@@ -175,14 +191,14 @@
     ) {
         *self.counters.declined.entry(reason).or_default() += 1;
         let load = self.load_message(now);
-        let busy = load.in_flight_requests;
-        let subject = format!("flow={flow} reason={reason:?} busy={busy}");
+        let in_flight = load.in_flight_requests;
+        let subject = format!("flow={flow} reason={reason:?} busy={in_flight}");
         self.emit_event(EventKind::FlowDeclined, subject);
         let declined = Declined {
             flow: flow.into(),
             reason: reason.into(),
             load,
-            expected_wait_micros: self.turn(now, reason).as_micros() as u32,
+            expected_wait_micros: self.expected_wait(now, reason).as_micros() as u32,
         };
         self.send(to, PassThroughBody::Declined(declined));
     }
--- a/crates/petrellatch-core/src/pass_through/agent/recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/flow_recording.rs
@@ -30,93 +30,93 @@
     /// Sends changes to the record replicas. They keep the previous incarnation's record until
     /// its recovery has ended.
     pub(super) fn record_flows(&mut self, now: Timestamp) {
-        if self.recall.is_some() {
+        if self.recovery.is_some() {
             return;
         }
-        self.recorder.set_record_replicas(self.keepers());
-        let backend = self.registration.backend().unwrap_or_default();
+        self.recorder.set_record_replicas(self.record_replicas());
+        let backend = self.registration.incarnation_digest().unwrap_or_default();
         self.recorder.note_flows(now, backend, &self.flows);
         let agent = pack_address(self.settings.address);
         let messages = self.recorder.poll_messages(now, agent, self.incarnation.0);
-        for (keeper, change) in messages {
-            self.send(keeper, PassThroughBody::FlowRecordChange(Box::new(change)));
+        for (replica, change) in messages {
+            self.send(replica, PassThroughBody::FlowRecordChange(Box::new(change)));
         }
     }
 
     /// The replicas that keep the flow record: one more than may be lost.
-    fn keepers(&self) -> BTreeSet<SocketAddrV4> {
+    fn record_replicas(&self) -> BTreeSet<SocketAddrV4> {
         let agent = pack_address(self.settings.address);
-        let known = self.contacts.all();
+        let known = self.known_replicas.all();
         let replicas: Vec<u64> = known.iter().copied().map(pack_address).collect();
         let count = self.settings.flow_record.record_replicas;
-        let is_keeper =
+        let is_record_replica =
             |replica: &SocketAddrV4| is_assigned(agent, pack_address(*replica), &replicas, count);
-        known.into_iter().filter(is_keeper).collect()
+        known.into_iter().filter(is_record_replica).collect()
     }
 
-    pub(super) fn handle_record_kept(
+    pub(super) fn handle_flow_record_ack(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        kept: &FlowRecordAck,
+        ack: &FlowRecordAck,
     ) {
-        let own_life = self.incarnation.0;
+        let own_incarnation = self.incarnation.0;
         let was_full = self.recorder.stats().full_replicas;
-        self.recorder.handle_ack(now, from, own_life, kept);
+        self.recorder.handle_ack(now, from, own_incarnation, ack);
         if self.recorder.stats().full_replicas > was_full {
             self.emit_event(EventKind::FlowRecordRefused, format!("replica={from}"));
         }
     }
 
-    pub(super) fn handle_former_flows(
+    pub(super) fn handle_flow_record_response(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        answer: FlowRecordResponse,
+        response: FlowRecordResponse,
     ) {
-        if answer.incarnation != self.incarnation.0 {
+        if response.incarnation != self.incarnation.0 {
             return;
         }
-        let Some(recall) = &mut self.recall else {
+        let Some(recovery) = &mut self.recovery else {
             return;
         };
-        recall.handle_response(now, from, answer);
-        if let Some(record) = recall.take_newer() {
-            self.take_former_record(now, record);
+        recovery.handle_response(now, from, response);
+        if let Some(record) = recovery.take_newer() {
+            self.store_previous_record(now, record);
         }
-        self.continue_recall(now);
+        self.continue_recovery(now);
     }
 
     /// Requests the previous incarnation's flow record from replicas, until it is recovered or
     /// the recovery times out.
-    pub(super) fn continue_recall(&mut self, now: Timestamp) {
-        let Some(mut recall) = self.recall.take() else {
+    pub(super) fn continue_recovery(&mut self, now: Timestamp) {
+        let Some(mut recovery) = self.recovery.take() else {
             return;
         };
-        let known = self.contacts.all();
-        if let Some(end) = recall.poll_end(now, &known) {
-            self.end_recall(end);
+        let known = self.known_replicas.all();
+        if let Some(end) = recovery.poll_end(now, &known) {
+            self.end_recovery(end);
             return;
         }
-        let question = FlowRecordRequest {
+        let request = FlowRecordRequest {
             agent: pack_address(self.settings.address),
             incarnation: self.incarnation.0,
         };
-        for replica in recall.poll_requests(now, known) {
-            self.send(replica, PassThroughBody::FlowRecordRequest(question));
+        for replica in recovery.poll_requests(now, known) {
+            self.send(replica, PassThroughBody::FlowRecordRequest(request));
         }
-        self.recall = Some(recall);
+        self.recovery = Some(recovery);
     }
 
-    fn end_recall(&mut self, end: RecoveryEnd) {
+    fn end_recovery(&mut self, end: RecoveryEnd) {
         let RecoveryEnd {
             outcome,
-            revision: number,
+            revision,
             flows,
         } = end;
-        let subject = format!("outcome={outcome:?} flows={flows} number={number}");
+        let subject = format!("outcome={outcome:?} flows={flows} number={revision}");
         self.emit_event(EventKind::FormerFlowsRecalled, subject);
         self.recovery_outcome = Some(outcome);
-        self.recorder.continue_from(number);
+        self.recorder.continue_from(revision);
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -3,13 +3,13 @@
 
 mod backend_packets;
 mod caller_packets;
-mod former_flows;
-mod openings;
-mod questions;
-mod recording;
+mod flow_queries;
+mod flow_recording;
+mod new_flows;
+mod reported_processing_time;
 mod reports;
+mod restart_probes;
 mod stopping;
-mod work_times;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -24,14 +24,14 @@
 use crate::identity::Incarnation;
 use crate::time::Timestamp;
 
-use crate::pass_through::admission::cold_admission::{ColdAdmission, WarmUpBounds};
-use crate::pass_through::admission::failure_watch::FailureWatch;
+use crate::pass_through::admission::admission_queue::AdmissionQueue;
+use crate::pass_through::admission::competing_balancers::CompetingBalancers;
+use crate::pass_through::admission::outlier_detector::OutlierDetector;
+use crate::pass_through::admission::processing_time::ProcessingTime;
 use crate::pass_through::admission::registration::{
     Registration, RegistrationRefusal, RegistrationState,
 };
-use crate::pass_through::admission::service_time::ServiceTime;
-use crate::pass_through::admission::turns::AskingBalancers;
-use crate::pass_through::admission::waiting_openings::WaitingOpenings;
+use crate::pass_through::admission::warm_up_limiter::{WarmUpBounds, WarmUpLimiter};
 use crate::pass_through::digest::service_digest;
 use crate::pass_through::flows::agent_flows::AgentFlows;
 use crate::pass_through::flows::flow_record_recovery::{FlowRecordRecovery, RecoveryOutcome};
@@ -44,21 +44,21 @@
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::PacketCodec;
 
-use former_flows::FormerLives;
+use reported_processing_time::ReportedProcessingTime;
 pub(crate) use reports::NEW_AGENT_REPORTS;
-use stopping::LastWord;
-use work_times::WorkTimes;
+use restart_probes::PreviousIncarnations;
+use stopping::FinalReport;
 
 /// Interval between sweeps over the flows.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Upper bound of [`PassThroughAgentSettings::provisional_timeout`]: a draining back end may
 /// get new flows for this long after a restart of its agent.
-const MAX_PROVISIONAL_LIMIT: Duration = Duration::from_millis(2_500);
+const MAX_PROVISIONAL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Interval between checks for slots of flows that were never established, and for queued flows
 /// that have expired.
-const WAITING_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// A balancer that sent nothing for this long gets no messages about owned flows.
-const BALANCER_MEMORY: Duration = Duration::from_secs(30);
+const BALANCER_TTL: Duration = Duration::from_secs(30);
 
 /// Settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
@@ -129,7 +129,7 @@
 }
 
 impl PassThroughAgentCounters {
-    fn note_full(&mut self, priority: u32) {
+    fn note_declined_full(&mut self, priority: u32) {
         *self.declined_full.entry(priority).or_default() += 1;
     }
 }
@@ -150,17 +150,17 @@
     codec: C,
     incarnation: Incarnation,
     service: u64,
-    contacts: KnownReplicas,
+    known_replicas: KnownReplicas,
     registration: RegistrationState,
     flows: AgentFlows,
-    tried: SpeculativeDeliveries,
-    former: FormerLives,
+    speculative_deliveries: SpeculativeDeliveries,
+    previous: PreviousIncarnations,
     /// Flow queries that this agent relays to other agents for balancers.
-    gathered: RelayedQueries,
+    relayed_queries: RelayedQueries,
     started_at: Timestamp,
     /// Whether a replica knows a previous incarnation of this agent; `None` until one has
     /// acknowledged a report.
-    had_former_life: Option<bool>,
+    has_previous_incarnation: Option<bool>,
     balancers: BTreeMap<SocketAddrV4, Timestamp>,
     report_number: u64,
     report_at: Timestamp,
@@ -172,30 +172,30 @@
     /// Interval between reports without changes.
     report_interval: Duration,
     /// Whether no replica has acknowledged the reported state.
-    unheard: bool,
+    report_unacknowledged: bool,
     /// Replicas that have saved this agent, and know of it after a restart.
-    remembered_by: BTreeSet<SocketAddrV4>,
+    saved_by: BTreeSet<SocketAddrV4>,
     stop_at: Option<Timestamp>,
     /// The final report, which is repeated until a replica acknowledges it.
-    last_word: Option<LastWord>,
+    final_report: Option<FinalReport>,
     stopped: bool,
     /// Whether the agent has stopped and its back end certainly has no open flow.
-    leaves_nothing: bool,
+    has_no_open_flows: bool,
     counters: PassThroughAgentCounters,
     latencies: PassThroughAgentLatencies,
-    service_time: ServiceTime,
-    work_times: WorkTimes,
-    cold_admission: ColdAdmission,
-    failure_watch: FailureWatch,
-    asking: AskingBalancers,
-    waiting: WaitingOpenings,
+    processing_time: ProcessingTime,
+    reported_processing_time: ReportedProcessingTime,
+    warm_up_limiter: WarmUpLimiter,
+    outlier_detector: OutlierDetector,
+    competing_balancers: CompetingBalancers,
+    admission_queue: AdmissionQueue,
     /// Next check for slots that were freed without a packet, while flows are queued.
-    waiting_check_at: Timestamp,
+    queue_check_at: Timestamp,
     evacuations: Evacuations,
     registered_at: Option<Timestamp>,
     recorder: FlowRecorder,
     /// Recovery of the previous incarnation's flow record, while it lasts.
-    recall: Option<FlowRecordRecovery>,
+    recovery: Option<FlowRecordRecovery>,
     recovery_outcome: Option<RecoveryOutcome>,
     outputs: VecDeque<PassThroughOutput>,
 }
@@ -207,33 +207,34 @@
         settings: PassThroughAgentSettings,
         codec: C,
         incarnation: Incarnation,
-        contacts: KnownReplicas,
+        known_replicas: KnownReplicas,
     ) -> Self {
-        let provisional_timeout = settings.provisional_timeout.min(MAX_PROVISIONAL_LIMIT);
-        let has_former = !settings.first_start && !settings.flow_record.min_flow_age.is_zero();
+        let provisional_timeout = settings.provisional_timeout.min(MAX_PROVISIONAL_TIMEOUT);
+        let may_have_previous =
+            !settings.first_start && !settings.flow_record.min_flow_age.is_zero();
         PassThroughAgent {
             service: service_digest(&settings.service),
             report_interval: settings.report_interval,
             registration: RegistrationState::new(now + provisional_timeout),
-            cold_admission: ColdAdmission::new(settings.warm_up_bounds),
-            failure_watch: FailureWatch::default(),
-            asking: AskingBalancers::default(),
-            waiting: WaitingOpenings::default(),
-            waiting_check_at: now,
+            warm_up_limiter: WarmUpLimiter::new(settings.warm_up_bounds),
+            outlier_detector: OutlierDetector::default(),
+            competing_balancers: CompetingBalancers::default(),
+            admission_queue: AdmissionQueue::default(),
+            queue_check_at: now,
             evacuations: Evacuations::default(),
             recorder: FlowRecorder::new(settings.flow_record),
-            recall: has_former.then(|| FlowRecordRecovery::new(now)),
+            recovery: may_have_previous.then(|| FlowRecordRecovery::new(now)),
             recovery_outcome: None,
             settings,
             codec,
             incarnation,
-            contacts,
+            known_replicas,
             flows: AgentFlows::default(),
-            tried: SpeculativeDeliveries::default(),
-            former: FormerLives::default(),
-            gathered: RelayedQueries::default(),
+            speculative_deliveries: SpeculativeDeliveries::default(),
+            previous: PreviousIncarnations::default(),
+            relayed_queries: RelayedQueries::default(),
             started_at: now,
-            had_former_life: None,
+            has_previous_incarnation: None,
             balancers: BTreeMap::new(),
             report_number: 0,
             report_at: now,
@@ -241,16 +242,16 @@
             sweep_at: now + SWEEP_INTERVAL,
             reported_state: AgentState::Unavailable,
             reported_description: 0,
-            unheard: true,
-            remembered_by: BTreeSet::new(),
+            report_unacknowledged: true,
+            saved_by: BTreeSet::new(),
             stop_at: None,
-            last_word: None,
+            final_report: None,
             stopped: false,
-            leaves_nothing: false,
+            has_no_open_flows: false,
             counters: PassThroughAgentCounters::default(),
             latencies: PassThroughAgentLatencies::default(),
-            service_time: ServiceTime::default(),
-            work_times: WorkTimes::default(),
+            processing_time: ProcessingTime::default(),
+            reported_processing_time: ReportedProcessingTime::default(),
             registered_at: None,
             outputs: VecDeque::new(),
         }
@@ -258,7 +259,7 @@
 
     /// The replicas that this agent knows.
     pub fn known_replicas_mut(&mut self) -> &mut KnownReplicas {
-        &mut self.contacts
+        &mut self.known_replicas
     }
 
     /// Whether the agent serves its back end: no planned stop has begun.
@@ -273,7 +274,7 @@
 
     /// Number of restart probes in progress.
     pub fn pending_restart_probes(&self) -> usize {
-        self.former.pending()
+        self.previous.pending()
     }
 
     /// Counters since the start.
@@ -288,10 +289,7 @@
 
     /// In-flight requests, and the back end's number of slots.
     pub fn load(&self) -> (u32, u32) {
-        (
-            self.flows.in_flight_requests(),
-            self.registration.capacity(),
-        )
+        (self.flows.in_flight_requests(), self.registration.slots())
     }
 
     /// Open flows at the back end, and the mean number of slots that they kept busy over the
@@ -303,7 +301,8 @@
     /// Mean processing time of a request in the back end's present state, warm or cold, in
     /// microseconds; zero if unknown.
     pub fn processing_micros(&self, now: Timestamp) -> u32 {
-        self.work_times.micros(self.registration.is_cold(now))
+        self.reported_processing_time
+            .micros(self.registration.is_cold(now))
     }
 
     /// Handles a registration of the back end. It may be acknowledged once this returns: every
@@ -315,29 +314,32 @@
     pub fn handle_registration(
         &mut self,
         now: Timestamp,
-        call: &Registration,
+        registration: &Registration,
     ) -> Result<(), RegistrationRefusal> {
-        if call.service != self.settings.service {
+        if registration.service != self.settings.service {
             return Err(RegistrationRefusal::WrongService {
                 own: self.settings.service.clone(),
-                named: call.service.clone(),
+                named: registration.service.clone(),
             });
         }
-        if let Some(former) = self.registered_at.replace(now) {
-            let gap = now.saturating_since(former);
+        if let Some(previous) = self.registered_at.replace(now) {
+            let gap = now.saturating_since(previous);
             self.latencies.registration_gap.record(gap);
         }
-        let changed = self.registration.handle_registration(now, call);
+        let changed = self.registration.handle_registration(now, registration);
         if changed {
-            let kind = match call.draining {
+            let kind = match registration.draining {
                 true => EventKind::BackendLeaving,
                 false => EventKind::BackendRegistered,
             };
-            let capacity = call.slots;
-            let subject = format!("{} call={} slots={capacity}", call.id, call.sequence);
+            let slots = registration.slots;
+            let subject = format!(
+                "{} call={} slots={slots}",
+                registration.id, registration.sequence
+            );
             self.emit_event(kind, subject);
         }
-        self.note_call(now, call);
+        self.note_registration(now, registration);
         self.report_if_changed(now);
         Ok(())
     }
@@ -353,48 +355,51 @@
     /// Handles a message of a balancer, a replica or another agent.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
-            PassThroughBody::ForwardedPacket(carry) => self.handle_carry(now, from, carry),
-            PassThroughBody::FlowQuery(seek) => {
-                self.handle_seek(now, from, &seek);
-                self.tell_gathered(now);
+            PassThroughBody::ForwardedPacket(forwarded) => {
+                self.handle_forwarded_packet(now, from, forwarded)
             }
-            PassThroughBody::FlowsOwned(holds) => {
-                self.gathered.handle_flows_owned(now, from, &holds);
-                self.tell_gathered(now);
+            PassThroughBody::FlowQuery(query) => {
+                self.handle_flow_query(now, from, &query);
+                self.send_aggregated_replies(now);
             }
-            PassThroughBody::FlowsNotOwned(lacks) => {
-                self.gathered.handle_flows_not_owned(now, from, &lacks);
-                self.tell_gathered(now);
+            PassThroughBody::FlowsOwned(owned) => {
+                self.relayed_queries.handle_flows_owned(now, from, &owned);
+                self.send_aggregated_replies(now);
             }
-            PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
-            PassThroughBody::FlowRecordAck(kept) => self.handle_record_kept(now, from, &kept),
-            PassThroughBody::FlowRecordResponse(former) => {
-                self.handle_former_flows(now, from, former)
+            PassThroughBody::FlowsNotOwned(not_owned) => {
+                self.relayed_queries
+                    .handle_flows_not_owned(now, from, &not_owned);
+                self.send_aggregated_replies(now);
+            }
+            PassThroughBody::GroupStatus(group) => self.handle_group_status(now, from, &group),
+            PassThroughBody::FlowRecordAck(ack) => self.handle_flow_record_ack(now, from, &ack),
+            PassThroughBody::FlowRecordResponse(response) => {
+                self.handle_flow_record_response(now, from, response)
             }
             _ => {}
         }
-        self.serve_waiting(now);
+        self.serve_queue(now);
     }
 
     /// Handles the status of a replica. A report is sent at once if it names new replicas:
     /// otherwise, balancers that poll these would learn of this agent only with its next
     /// regular report, seconds later.
-    fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
+    fn handle_group_status(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.handle_zones(from, group.zones.as_ref());
-        let known = self.contacts.all();
-        self.contacts.handle_group_status(group);
-        let has_more = !self.contacts.all().is_subset(&known);
-        self.registration.recall(&group.draining_backends);
+        let known = self.known_replicas.all();
+        self.known_replicas.handle_group_status(group);
+        let has_new_replicas = !self.known_replicas.all().is_subset(&known);
+        self.registration.restore_draining(&group.draining_backends);
         if group.has_report {
-            *self.had_former_life.get_or_insert(false) |= group.knows_previous_incarnation;
+            *self.has_previous_incarnation.get_or_insert(false) |= group.knows_previous_incarnation;
             self.note_report_interval(group.report_interval_millis);
-            self.unheard = false;
-            self.note_last_word_heard(group.acknowledged_report);
+            self.report_unacknowledged = false;
+            self.note_report_acknowledged(group.acknowledged_report);
         }
         if group.agent_is_saved {
-            self.remembered_by.insert(from);
+            self.saved_by.insert(from);
         }
-        match has_more || self.owes_report(now, group) {
+        match has_new_replicas || self.owes_report(now, group) {
             true => self.report(now),
             false => self.report_if_changed(now),
         }
@@ -402,22 +407,22 @@
     }
 
     /// Applies zone statuses if they are newer, and acknowledges them.
-    fn handle_zones(&mut self, from: SocketAddrV4, told: Option<&ZoneStatuses>) {
-        let Some(told) = told else { return };
+    fn handle_zones(&mut self, from: SocketAddrV4, zones: Option<&ZoneStatuses>) {
+        let Some(zones) = zones else { return };
         let was_evacuated = self.is_evacuated();
-        if self.evacuations.take_newer(told) {
+        if self.evacuations.take_newer(zones) {
             if was_evacuated && !self.is_evacuated() {
                 // The back end may have restarted during the evacuation.
-                self.registration.note_doubt();
+                self.registration.note_possible_restart();
             }
             let subject = self.evacuations.to_string();
             self.emit_event(EventKind::ZonesApplied, subject);
         }
-        let known = EvacuationsAck {
+        let ack = EvacuationsAck {
             address: pack_address(self.settings.address),
             index: self.evacuations.index(),
         };
-        self.send(from, PassThroughBody::EvacuationsAck(known));
+        self.send(from, PassThroughBody::EvacuationsAck(ack));
     }
 
     /// Whether the agent's zone is evacuated.
@@ -430,36 +435,37 @@
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
             self.flows.expire(now, self.settings.flow_lifetime);
-            self.tried.expire(now, self.settings.flow_lifetime);
-            self.former.expire(now, self.settings.flow_lifetime);
-            self.asking.expire(now);
+            self.speculative_deliveries
+                .expire(now, self.settings.flow_lifetime);
+            self.previous.expire(now, self.settings.flow_lifetime);
+            self.competing_balancers.expire(now);
             self.balancers
-                .retain(|_, heard| now.saturating_since(*heard) < BALANCER_MEMORY);
+                .retain(|_, last_seen_at| now.saturating_since(*last_seen_at) < BALANCER_TTL);
             self.report_if_changed(now);
             self.record_flows(now);
         }
-        self.continue_recall(now);
+        self.continue_recovery(now);
         if now >= self.report_at {
             self.report(now);
         }
-        self.continue_proofs(now);
-        self.tell_gathered(now);
-        self.serve_waiting(now);
-        self.waiting_check_at = now + WAITING_CHECK_INTERVAL;
+        self.continue_restart_probes(now);
+        self.send_aggregated_replies(now);
+        self.serve_queue(now);
+        self.queue_check_at = now + QUEUE_CHECK_INTERVAL;
         self.continue_stop(now);
     }
 
     /// When [`PassThroughAgent::handle_timeout`] is due next.
     pub fn poll_timeout(&self) -> Timestamp {
-        let waiting = (!self.waiting.is_empty()).then_some(self.waiting_check_at);
+        let queue_check = (!self.admission_queue.is_empty()).then_some(self.queue_check_at);
         let first = self.sweep_at.min(self.report_at);
-        let first = waiting.map_or(first, |at| at.min(first));
-        let recall = self.recall.as_ref().map(FlowRecordRecovery::poll_timeout);
+        let first = queue_check.map_or(first, |at| at.min(first));
+        let recovery = self.recovery.as_ref().map(FlowRecordRecovery::poll_timeout);
         let others = [
-            recall,
-            self.last_word_until(),
-            self.gathered.poll_timeout(),
-            self.former.poll_timeout(),
+            recovery,
+            self.final_report_until(),
+            self.relayed_queries.poll_timeout(),
+            self.previous.poll_timeout(),
         ];
         others.into_iter().flatten().fold(first, Timestamp::min)
     }
--- a/crates/petrellatch-core/src/pass_through/agent/work_times.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reported_processing_time.rs
@@ -10,7 +10,7 @@
 
 /// Mean processing times of a back end, separate for its warm and its cold state.
 #[derive(Debug, Default)]
-pub(crate) struct WorkTimes {
+pub(crate) struct ReportedProcessingTime {
     warm: MeanTime,
     cold: MeanTime,
     is_cold: bool,
@@ -22,7 +22,7 @@
     samples: u32,
 }
 
-impl WorkTimes {
+impl ReportedProcessingTime {
     /// Records the processing time of a request, counted from when it got a slot.
     pub(crate) fn record(&mut self, time: Duration, is_cold: bool) {
         if is_cold && !self.is_cold {
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -10,18 +10,18 @@
 use crate::time::Timestamp;
 
 /// Maximum number of flows in one message about owned flows.
-const HELD_FLOWS_PER_MESSAGE: usize = 200;
+const OWNED_FLOWS_PER_MESSAGE: usize = 200;
 /// How long the final report is repeated, within the timeout of the stop, if no replica
 /// acknowledges it: it may be lost, and replicas may be starting.
-const LAST_WORD_LIMIT: Duration = Duration::from_millis(300);
+const FINAL_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The final report of an agent that has stopped, which is repeated.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LastWord {
+pub(super) struct FinalReport {
     /// Sequence number of the first final report.
-    number: u64,
+    sequence: u64,
     until: Timestamp,
-    is_heard: bool,
+    is_acknowledged: bool,
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
@@ -37,23 +37,23 @@
 
     pub(super) fn continue_stop(&mut self, now: Timestamp) {
         let Some(stop_at) = self.stop_at else { return };
-        if let Some(word) = self.last_word {
-            self.stopped |= word.is_heard || now >= word.until;
+        if let Some(report) = self.final_report {
+            self.stopped |= report.is_acknowledged || now >= report.until;
             return;
         }
-        let must_stay = self.flows.unclosed() > 0 || self.awaits_backend(now);
-        if now < stop_at && must_stay {
+        let must_wait = self.flows.unclosed() > 0 || self.awaits_backend(now);
+        if now < stop_at && must_wait {
             return;
         }
         // A back end that was never seen is reported as silent before the final report.
         self.report_if_changed(now);
-        self.leave_flows();
-        self.leaves_nothing = self.flows.unclosed() == 0 && self.knows_all_flows(now);
+        self.announce_owned_flows();
+        self.has_no_open_flows = self.flows.unclosed() == 0 && self.all_flows_are_known(now);
         // Balancers await replies of an agent whose back end may have flows.
-        self.last_word = Some(LastWord {
-            number: self.report_number + 1,
-            until: stop_at.min(now + LAST_WORD_LIMIT),
-            is_heard: false,
+        self.final_report = Some(FinalReport {
+            sequence: self.report_number + 1,
+            until: stop_at.min(now + FINAL_REPORT_TIMEOUT),
+            is_acknowledged: false,
         });
         self.report(now);
         self.stopped = now >= stop_at;
@@ -61,15 +61,16 @@
 
     /// Notes that a replica has acknowledged a report. Zero doesn't say which one, and stands
     /// for the latest.
-    pub(super) fn note_last_word_heard(&mut self, answered_report: u64) {
-        if let Some(word) = &mut self.last_word {
-            word.is_heard |= answered_report == 0 || answered_report >= word.number;
+    pub(super) fn note_report_acknowledged(&mut self, acknowledged_report: u64) {
+        if let Some(report) = &mut self.final_report {
+            report.is_acknowledged |=
+                acknowledged_report == 0 || acknowledged_report >= report.sequence;
         }
     }
 
     /// Until when the final report is repeated.
-    pub(super) fn last_word_until(&self) -> Option<Timestamp> {
-        self.last_word.map(|word| word.until)
+    pub(super) fn final_report_until(&self) -> Option<Timestamp> {
+        self.final_report.map(|report| report.until)
     }
 
     /// Whether nothing was received from the back end yet. It may run and own flows that this
@@ -80,10 +81,10 @@
     }
 
     /// Reports to the balancers which flows the back end still owns.
-    pub(super) fn leave_flows(&mut self) {
-        let flows: Vec<OwnedFlow> = self.held_flows().collect();
+    pub(super) fn announce_owned_flows(&mut self) {
+        let flows: Vec<OwnedFlow> = self.owned_flows().collect();
         let balancers: Vec<SocketAddrV4> = self.balancers.keys().copied().collect();
-        for part in flows.chunks(HELD_FLOWS_PER_MESSAGE) {
+        for part in flows.chunks(OWNED_FLOWS_PER_MESSAGE) {
             for balancer in &balancers {
                 let flows = part.to_vec();
                 self.send(*balancer, PassThroughBody::FlowsOwned(FlowsOwned { flows }));
@@ -91,7 +92,7 @@
         }
     }
 
-    pub(super) fn held_flows(&self) -> impl Iterator<Item = OwnedFlow> + '_ {
+    pub(super) fn owned_flows(&self) -> impl Iterator<Item = OwnedFlow> + '_ {
         let open = self.flows.iter().filter(|(_, flow)| flow.open);
         open.map(|(id, flow)| OwnedFlow {
             flow: (*id).into(),
--- a/crates/petrellatch-core/src/pass_through/digest.rs
+++ b/crates/petrellatch-core/src/pass_through/digest.rs
@@ -17,9 +17,11 @@
 
 /// Digest that identifies one incarnation of a back end in messages between processes.
 /// `started_at_millis` distinguishes incarnations of the same name, if the back end reports it.
-pub fn backend_digest(id: &str, born: Option<u64>) -> u64 {
+pub fn backend_digest(id: &str, started_at_millis: Option<u64>) -> u64 {
     let name = name_digest(id, BACKEND_SALT);
-    born.map_or(name, |born| address_digest(born, name))
+    started_at_millis.map_or(name, |started_at_millis| {
+        address_digest(started_at_millis, name)
+    })
 }
 
 /// Digest that identifies a zone within a process.
--- a/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct FairQueue<K, T> {
     flows: HashMap<K, FlowQueue<T>>,
-    turns: VecDeque<K>,
+    active: VecDeque<K>,
     bytes: usize,
 }
 
@@ -33,7 +33,7 @@
     pub(crate) fn new() -> Self {
         FairQueue {
             flows: HashMap::new(),
-            turns: VecDeque::new(),
+            active: VecDeque::new(),
             bytes: 0,
         }
     }
@@ -44,11 +44,11 @@
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.active.is_empty()
     }
 
     /// Whether items of a flow are queued.
-    pub(crate) fn holds(&self, key: K) -> bool {
+    pub(crate) fn has_flow(&self, key: K) -> bool {
         self.flows.contains_key(&key)
     }
 
@@ -60,9 +60,9 @@
 
     pub(crate) fn push(&mut self, key: K, sized: Queued<T>) {
         self.bytes += sized.bytes;
-        let turns = &mut self.turns;
+        let active = &mut self.active;
         let flow = self.flows.entry(key).or_insert_with(|| {
-            turns.push_back(key);
+            active.push_back(key);
             FlowQueue {
                 items: VecDeque::new(),
                 bytes: 0,
@@ -76,20 +76,20 @@
     /// Removes the next item in round-robin order.
     pub(crate) fn pop(&mut self) -> Option<Queued<T>> {
         loop {
-            let key = *self.turns.front()?;
+            let key = *self.active.front()?;
             let Some(flow) = self.flows.get_mut(&key) else {
-                self.turns.pop_front();
+                self.active.pop_front();
                 continue;
             };
             let next_bytes = flow.items.front().map(|next| next.bytes);
             if next_bytes.is_some_and(|bytes| bytes > flow.deficit) {
                 flow.deficit += QUANTUM_BYTES;
-                self.turns.rotate_left(1);
+                self.active.rotate_left(1);
                 continue;
             }
             let Some(next) = flow.items.pop_front() else {
                 self.flows.remove(&key);
-                self.turns.pop_front();
+                self.active.pop_front();
                 continue;
             };
             flow.deficit -= next.bytes;
@@ -97,7 +97,7 @@
             self.bytes -= next.bytes;
             if flow.items.is_empty() {
                 self.flows.remove(&key);
-                self.turns.pop_front();
+                self.active.pop_front();
             }
             return Some(next);
         }
@@ -112,7 +112,7 @@
         self.bytes -= dropped.bytes;
         if longest.items.is_empty() {
             self.flows.remove(&key);
-            self.turns.retain(|other| *other != key);
+            self.active.retain(|other| *other != key);
         }
         Some(dropped)
     }
--- a/crates/petrellatch-core/src/pass_through/link/link_pacer.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_pacer.rs
@@ -33,10 +33,10 @@
     }
 
     /// Refills the bucket and returns whether a datagram may be sent.
-    pub(crate) fn is_free(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn may_send(&mut self, now: Timestamp) -> bool {
         let elapsed = now.saturating_since(self.refilled_at).as_secs_f64();
-        let most = self.bytes_per_second * BURST.as_secs_f64();
-        self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(most);
+        let capacity = self.bytes_per_second * BURST.as_secs_f64();
+        self.tokens = (self.tokens + elapsed * self.bytes_per_second).min(capacity);
         self.refilled_at = now;
         self.tokens > 0.0
     }
@@ -47,14 +47,14 @@
     }
 
     /// When the next datagram may be sent, as of the last refill.
-    pub(crate) fn free_at(&self) -> Timestamp {
-        let lacking = (-self.tokens).max(0.0) / self.bytes_per_second;
+    pub(crate) fn next_send_at(&self) -> Timestamp {
+        let refill_seconds = (-self.tokens).max(0.0) / self.bytes_per_second;
         // Rounded up, so that the bucket has tokens at that time.
-        self.refilled_at + Duration::from_secs_f64(lacking) + Duration::from_micros(1)
+        self.refilled_at + Duration::from_secs_f64(refill_seconds) + Duration::from_micros(1)
     }
 
     /// Transmission time of a number of bytes.
-    pub(crate) fn time_for(&self, bytes: usize) -> Duration {
+    pub(crate) fn transmission_time(&self, bytes: usize) -> Duration {
         Duration::from_secs_f64(bytes as f64 / self.bytes_per_second)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/link/link_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_queue.rs
@@ -12,7 +12,7 @@
 use super::link_pacer::LinkPacer;
 
 /// Maximum transmission time of the queued packets: callers give up a SYN after that.
-const MAX_WAIT: Duration = SYN_TIMEOUT;
+const MAX_BACKLOG: Duration = SYN_TIMEOUT;
 /// Maximum size of a short datagram: a SYN, an acknowledgement, or a request in a single
 /// packet. A full-size datagram of 1.3 KB shows that more packets of its flow follow.
 const SHORT_BYTES: usize = 1_100;
@@ -21,9 +21,9 @@
 const SHORT_RUN_BYTES: usize = 4 * 1_300;
 /// Backlog from which a link counts as congested: half of the time after which a caller sends
 /// an unacknowledged packet again.
-const FULL_WAIT: Duration = Duration::from_millis(100);
+const CONGESTED_BACKLOG: Duration = Duration::from_millis(100);
 /// A congested link counts as cleared once its queue was empty for this long.
-const CLEAR_AFTER: Duration = Duration::from_secs(1);
+const CLEARED_AFTER: Duration = Duration::from_secs(1);
 
 /// Scheduling class of an output on the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,14 +59,14 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedOutput {
     output: PassThroughOutput,
-    since: Timestamp,
+    queued_at: Timestamp,
 }
 
 /// Equality ignores when an output was queued.
-impl PartialEq for Waiting {
-    fn eq(&self, other: &Waiting) -> bool {
+impl PartialEq for QueuedOutput {
+    fn eq(&self, other: &QueuedOutput) -> bool {
         self.output == other.output
     }
 }
@@ -75,16 +75,16 @@
 #[derive(Debug)]
 pub(crate) struct LinkQueue {
     pacer: LinkPacer,
-    control: VecDeque<Queued<Waiting>>,
-    short: FairQueue<FlowId, Waiting>,
+    control: VecDeque<Queued<QueuedOutput>>,
+    short: FairQueue<FlowId, QueuedOutput>,
     /// Bytes of short datagrams sent since the last long one.
     short_run: usize,
-    long: FairQueue<FlowId, Waiting>,
-    full_since: Option<Timestamp>,
+    long: FairQueue<FlowId, QueuedOutput>,
+    congested_since: Option<Timestamp>,
     /// When the queue was last known not to be empty.
-    waited_at: Timestamp,
+    last_queued_at: Timestamp,
     counters: LinkCounters,
-    waits: LatencyHistogram,
+    wait_times: LatencyHistogram,
 }
 
 impl LinkQueue {
@@ -95,10 +95,10 @@
             short: FairQueue::new(),
             short_run: 0,
             long: FairQueue::new(),
-            full_since: None,
-            waited_at: now,
+            congested_since: None,
+            last_queued_at: now,
             counters: LinkCounters::default(),
-            waits: LatencyHistogram::default(),
+            wait_times: LatencyHistogram::default(),
         }
     }
 
@@ -108,12 +108,13 @@
 
     /// Queueing times of the datagrams that had to wait.
     pub(crate) fn wait_times(&self) -> &LatencyHistogram {
-        &self.waits
+        &self.wait_times
     }
 
     /// Transmission time of all queued packets of flows.
     pub(crate) fn backlog(&self) -> Duration {
-        self.pacer.time_for(self.short.bytes() + self.long.bytes())
+        self.pacer
+            .transmission_time(self.short.bytes() + self.long.bytes())
     }
 
     /// Queues an output of `bytes` bytes, all headers included. A packet that equals one that
@@ -125,7 +126,10 @@
         bytes: usize,
         output: PassThroughOutput,
     ) {
-        let item = Waiting { output, since: now };
+        let item = QueuedOutput {
+            output,
+            queued_at: now,
+        };
         let flow = match class {
             LinkClass::Control => {
                 self.control.push_back(Queued { item, bytes });
@@ -134,7 +138,7 @@
             LinkClass::Flow(flow) => flow,
         };
         // Packets of one flow keep their order.
-        let is_short = bytes <= SHORT_BYTES && !self.long.holds(flow);
+        let is_short = bytes <= SHORT_BYTES && !self.long.has_flow(flow);
         let queue = match is_short {
             true => &mut self.short,
             false => &mut self.long,
@@ -144,7 +148,7 @@
             return;
         }
         queue.push(flow, Queued { item, bytes });
-        while self.backlog() > MAX_WAIT {
+        while self.backlog() > MAX_BACKLOG {
             let longest = self.long.drop_from_longest();
             if longest.or_else(|| self.short.drop_from_longest()).is_none() {
                 return;
@@ -155,7 +159,7 @@
 
     /// Removes the next output, if the pacer lets it go now.
     pub(crate) fn pop(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
-        if self.is_empty() || !self.pacer.is_free(now) {
+        if self.is_empty() || !self.pacer.may_send(now) {
             return None;
         }
         self.pop_immediate(now)
@@ -167,15 +171,15 @@
         let Queued { item, bytes } = next?;
         self.pacer.note_sent(bytes);
         self.counters.sent_bytes += bytes as u64;
-        let waited = now.saturating_since(item.since);
+        let waited = now.saturating_since(item.queued_at);
         if !waited.is_zero() {
             self.counters.waited += 1;
-            self.waits.record(waited);
+            self.wait_times.record(waited);
         }
         Some(item.output)
     }
 
-    fn pop_flow(&mut self) -> Option<Queued<Waiting>> {
+    fn pop_flow(&mut self) -> Option<Queued<QueuedOutput>> {
         let is_turn_of_long = self.short_run >= SHORT_RUN_BYTES && !self.long.is_empty();
         if !is_turn_of_long && let Some(short) = self.short.pop() {
             self.short_run += short.bytes;
@@ -187,22 +191,24 @@
 
     /// When [`LinkQueue::pop`] returns the next output; `None` if nothing is queued.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
-        (!self.is_empty()).then(|| self.pacer.free_at())
+        (!self.is_empty()).then(|| self.pacer.next_send_at())
     }
 
     /// Returns a change of the congestion state since the last call, if there is one.
     pub(crate) fn take_change(&mut self, now: Timestamp) -> Option<LinkChange> {
         if !self.is_empty() {
-            self.waited_at = now;
+            self.last_queued_at = now;
         }
-        match self.full_since {
-            None if self.backlog() >= FULL_WAIT => {
-                self.full_since = Some(now);
+        match self.congested_since {
+            None if self.backlog() >= CONGESTED_BACKLOG => {
+                self.congested_since = Some(now);
                 Some(LinkChange::Congested)
             }
-            Some(since) if now.saturating_since(self.waited_at) >= CLEAR_AFTER => {
-                self.full_since = None;
-                Some(LinkChange::Cleared(self.waited_at.saturating_since(since)))
+            Some(since) if now.saturating_since(self.last_queued_at) >= CLEARED_AFTER => {
+                self.congested_since = None;
+                Some(LinkChange::Cleared(
+                    self.last_queued_at.saturating_since(since),
+                ))
             }
             _ => None,
         }
--- a/crates/petrellatch-core/src/pass_through/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/mod.rs
@@ -29,8 +29,8 @@
 mod policies;
 mod routes;
 
-pub use admission::cold_admission::WarmUpBounds;
 pub use admission::registration::{Registration, RegistrationRefusal};
+pub use admission::warm_up_limiter::WarmUpBounds;
 pub use agent::{
     PassThroughAgent, PassThroughAgentCounters, PassThroughAgentLatencies, PassThroughAgentSettings,
 };
--- a/crates/petrellatch-core/src/pass_through/packet.rs
+++ b/crates/petrellatch-core/src/pass_through/packet.rs
@@ -6,7 +6,7 @@
 use petrellatch_proto::pass_through::{FlowMessage, pack_address, unpack_address};
 
 /// Times at which a caller sends a SYN that isn't answered, counted from the first one.
-const COPY_AGES: [Duration; 3] = [
+const SYN_RETRANSMISSION_AGES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(200),
     Duration::from_millis(600),
@@ -66,8 +66,8 @@
 
     /// Minimum time since the first SYN of the flow, from the number of this retransmission.
     pub fn min_syn_age(&self) -> Duration {
-        let copy = self.ack_number as usize;
-        COPY_AGES[copy.min(COPY_AGES.len() - 1)]
+        let retransmission = self.ack_number as usize;
+        SYN_RETRANSMISSION_AGES[retransmission.min(SYN_RETRANSMISSION_AGES.len() - 1)]
     }
 
     /// The flow of a packet that a caller sent.
