--- a/crates/petrellatch-core/src/pass_through/admission/admission_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/admission_queue.rs
@@ -97,8 +97,8 @@
     fn rank(&self, now: Timestamp, rate: ProcessingRate) -> Rank {
         let age = self.new_flow.syn_age + now.saturating_since(self.queued_at);
         let latency_objective = self.new_flow.latency_objective;
-        let answered = age + rate.processing_time.unwrap_or(Duration::ZERO);
-        let is_late = !latency_objective.is_zero() && answered > latency_objective;
+        let response_age = age + rate.processing_time.unwrap_or(Duration::ZERO);
+        let is_late = !latency_objective.is_zero() && response_age > latency_objective;
         let priority = self.new_flow.priority;
         (priority, is_late, Reverse(age))
     }
@@ -301,6 +301,6 @@
     if new_flow.deadline.is_zero() {
         return max_wait;
     }
-    let answered = new_flow.syn_age + rate.processing_time.unwrap_or_default() + RETURN_DELAY;
-    max_wait.min(new_flow.deadline.saturating_sub(answered))
+    let response_age = new_flow.syn_age + rate.processing_time.unwrap_or_default() + RETURN_DELAY;
+    max_wait.min(new_flow.deadline.saturating_sub(response_age))
 }
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -1,5 +1,5 @@
-//! Callers that find the queue of a back end full: who waits for a place, who is refused
-//! at once, and in which order places are given.
+//! The admission queue of an agent whose back end is full: which flows are queued, which are
+//! declined at once, and in which order slots are granted.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -11,32 +11,32 @@
 use super::world::MILLI;
 
 const OBJECTIVE_MILLIS: u32 = 400;
-const WORK: Duration = Duration::from_millis(40);
+const PROCESSING_TIME: Duration = Duration::from_millis(40);
 
-/// What balancers were told of flows.
+/// Replies to the balancer, by the flows' callers.
 #[derive(Default)]
-struct Told {
-    waiting: BTreeSet<u64>,
+struct Replies {
+    queued: BTreeSet<u64>,
     declined: Vec<u64>,
 }
 
-/// A desk whose back end has a full queue.
-struct FullDesk {
-    desk: LoadedAgent,
-    inside: Vec<SocketAddrV4>,
-    told: Told,
+/// An agent whose back end has a full queue.
+struct FullAgent {
+    loaded: LoadedAgent,
+    in_flight: Vec<SocketAddrV4>,
+    replies: Replies,
 }
 
-impl FullDesk {
-    fn new() -> FullDesk {
-        let mut desk = LoadedAgent::new(WORK);
-        desk.now = desk.now + Duration::from_secs(1);
-        let mut full = FullDesk {
-            desk,
-            inside: Vec::new(),
-            told: Told::default(),
+impl FullAgent {
+    fn new() -> FullAgent {
+        let mut loaded = LoadedAgent::new(PROCESSING_TIME);
+        loaded.now = loaded.now + Duration::from_secs(1);
+        let mut full = FullAgent {
+            loaded,
+            in_flight: Vec::new(),
+            replies: Replies::default(),
         };
-        while full.told.waiting.is_empty() {
+        while full.replies.queued.is_empty() {
             full.offer();
         }
         full
@@ -45,129 +45,130 @@
     /// Offers one more flow.
     fn offer(&mut self) {
         let taken = self
-            .desk
+            .loaded
             .request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
-        self.inside.extend(taken);
-        self.listen();
+        self.in_flight.extend(taken);
+        self.collect_replies();
     }
 
-    fn listen(&mut self) {
+    fn collect_replies(&mut self) {
         let flow = |flow: FlowMessage| flow.caller;
-        for opened in self.desk.take_dequeued() {
-            self.inside.push(opened);
+        for dequeued in self.loaded.take_dequeued() {
+            self.in_flight.push(dequeued);
         }
-        for body in self.desk.replies.drain(..) {
+        for body in self.loaded.replies.drain(..) {
             match body {
-                PassThroughBody::FlowQueued(waiting) => {
-                    self.told.waiting.insert(flow(waiting.flow));
+                PassThroughBody::FlowQueued(queued) => {
+                    self.replies.queued.insert(flow(queued.flow));
                 }
                 PassThroughBody::Declined(declined) => {
-                    self.told.declined.push(flow(declined.flow));
+                    self.replies.declined.push(flow(declined.flow));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Lets time pass while the back end answers a round of requests after each time of
-    /// work, if it works.
-    fn run(&mut self, millis: u64, works: bool) {
+    /// Runs for a time, in which the back end responds to a round of requests after each
+    /// processing time if it `works`.
+    fn run(&mut self, millis: u64, responds: bool) {
         for passed in 1..=millis {
-            self.desk.now = self.desk.now + MILLI;
-            if works && passed % WORK.as_millis() as u64 == 0 {
-                let done = self.inside.len().min(SLOTS as usize);
-                for flow in self.inside.drain(..done).collect::<Vec<_>>() {
-                    self.desk.respond(flow);
+            self.loaded.now = self.loaded.now + MILLI;
+            if responds && passed % PROCESSING_TIME.as_millis() as u64 == 0 {
+                let done = self.in_flight.len().min(SLOTS as usize);
+                for flow in self.in_flight.drain(..done).collect::<Vec<_>>() {
+                    self.loaded.respond(flow);
                 }
             }
-            if self.desk.agent.poll_timeout() <= self.desk.now {
-                self.desk.agent.handle_timeout(self.desk.now);
+            if self.loaded.agent.poll_timeout() <= self.loaded.now {
+                self.loaded.agent.handle_timeout(self.loaded.now);
             }
-            self.listen();
+            self.collect_replies();
         }
     }
 }
 
-/// A gush after an outage: 60 callers come within a moment, and nobody after them. A
-/// back end that does 75 a second answers all that it lets wait.
+/// After an outage, 100 callers arrive at once and none after them. A back end that processes
+/// 75 requests a second responds to all that were queued.
 #[test]
-fn after_an_outage_whoever_can_be_served_waits_and_the_others_are_refused_at_once() {
-    let mut full = FullDesk::new();
+fn after_an_outage_flows_that_get_a_slot_in_time_are_queued_and_the_others_declined_at_once() {
+    let mut full = FullAgent::new();
     for _ in 0..100 {
         full.offer();
     }
-    let waited = full.told.waiting.len();
-    let refused = full.told.declined.len();
-    // Half of 75 places a second, for the 1.3 s in which a caller is patient.
-    assert!((40..=50).contains(&waited), "{waited} wait");
-    assert_eq!(waited + refused, 101);
+    let queued = full.replies.queued.len();
+    let declined = full.replies.declined.len();
+    // Half of 75 slots a second, for the 1.3 s until a caller gives up.
+    assert!((40..=50).contains(&queued), "{queued} are queued");
+    assert_eq!(queued + declined, 101);
     full.run(1_300, true);
-    let in_vain = full.told.declined.len() - refused;
-    assert_eq!(in_vain, 0, "of {waited} that waited");
+    let expired = full.replies.declined.len() - declined;
+    assert_eq!(expired, 0, "of {queued} that were queued");
 }
 
-/// A burst that goes on: fresh callers take every place.
+/// The back end has no slots for queued flows, as if fresh flows took them all.
 #[test]
-fn who_has_no_hope_is_told_after_a_moment_and_few_wait_after_that() {
-    let mut full = FullDesk::new();
+fn queued_flows_that_get_no_slots_are_declined_soon_and_few_are_queued_after_that() {
+    let mut full = FullAgent::new();
     for _ in 0..20 {
         full.offer();
     }
     full.run(400, false);
-    let waited = full.told.waiting.len();
-    assert_eq!(full.told.declined.len(), waited, "told within 0.4 s");
+    let queued = full.replies.queued.len();
+    assert_eq!(full.replies.declined.len(), queued, "declined within 0.4 s");
     full.offer();
     assert_eq!(
-        full.told.waiting.len(),
-        waited,
-        "none waits for half a second"
+        full.replies.queued.len(),
+        queued,
+        "no flow is queued for half a second"
     );
     full.run(600, false);
     for _ in 0..100 {
         full.offer();
     }
-    let again = full.told.waiting.len() - waited;
+    let queued_again = full.replies.queued.len() - queued;
     assert!(
-        (15..=30).contains(&again),
-        "{again} wait when half is assumed"
+        (15..=30).contains(&queued_again),
+        "{queued_again} are queued when half of the fraction is assumed"
     );
 }
 
 #[test]
-fn who_could_not_be_served_before_its_deadline_is_refused_at_once() {
-    let mut full = FullDesk::new();
-    full.desk.offer_template.deadline_millis = 300;
-    let refused = full.told.declined.len();
+fn a_flow_that_would_miss_its_deadline_is_declined_at_once() {
+    let mut full = FullAgent::new();
+    full.loaded.offer_template.deadline_millis = 300;
+    let declined = full.replies.declined.len();
     for _ in 0..20 {
         full.offer();
     }
-    // The way back and work take 140 ms of it: six places come free in the others.
-    let waited = full.told.waiting.len();
-    assert!((5..=7).contains(&waited), "{waited} wait");
-    assert_eq!(full.told.declined.len() - refused, 21 - waited);
+    // Processing and the way to the caller take 140 ms; six slots free in the rest.
+    let queued = full.replies.queued.len();
+    assert!((5..=7).contains(&queued), "{queued} are queued");
+    assert_eq!(full.replies.declined.len() - declined, 21 - queued);
 }
 
 #[test]
-fn places_go_to_the_urgent_then_to_those_in_time_then_to_the_oldest() {
-    let mut full = FullDesk::new();
+fn slots_go_to_the_most_urgent_then_to_flows_in_time_then_to_the_oldest() {
+    let mut full = FullAgent::new();
     let mut expected = Vec::new();
     for (priority, age_millis) in [(2, 500), (2, 600), (2, 0), (1, 600), (1, 10), (1, 20)] {
-        full.desk.offer_template.priority = priority;
-        full.desk.offer_template.syn_age_millis = age_millis;
+        full.loaded.offer_template.priority = priority;
+        full.loaded.offer_template.syn_age_millis = age_millis;
         full.offer();
-        expected.push(full.desk.latest_caller());
+        expected.push(full.loaded.latest_caller());
     }
-    // The back end answers one after the other; the one that filled the queue came first.
-    let before = full.inside.len() + 1;
-    let mut answered = 0;
-    while full.inside.len() < before + expected.len() {
-        full.desk.respond(full.inside[answered]);
-        answered += 1;
-        full.listen();
+    // The back end responds to one request after the other. The flow that filled the queue was
+    // queued first.
+    let before = full.in_flight.len() + 1;
+    let mut responded = 0;
+    while full.in_flight.len() < before + expected.len() {
+        full.loaded.respond(full.in_flight[responded]);
+        responded += 1;
+        full.collect_replies();
     }
-    let order = &full.inside[before..];
-    let place = |flow: &SocketAddrV4| order.iter().position(|it| it == flow);
-    let places: Vec<Option<usize>> = expected.iter().map(place).collect();
+    let order = &full.in_flight[before..];
+    let position = |flow: &SocketAddrV4| order.iter().position(|it| it == flow);
+    let positions: Vec<Option<usize>> = expected.iter().map(position).collect();
     let wanted = [5, 4, 3, 2, 1, 0].map(Some);
-    assert_eq!(places, wanted);
+    assert_eq!(positions, wanted);
 }
--- a/crates/petrellatch-core/tests/pass_through/cold_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/cold_backends.rs
@@ -1,4 +1,4 @@
-//! What back ends get while they warm up.
+//! Rate limit of new flows for back ends that warm up.
 
 use std::time::Duration;
 
@@ -8,37 +8,37 @@
 use super::world::{MILLI, REPLICA, SERVICE, World, agent_address};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Requests in 1,000 s that a cold back end bears.
-const COLD_RATE: u32 = 10_000;
-/// 1.5 times ten and five more in any second.
+/// Warm-up rate of the service, in requests per 1,000 s.
+const WARM_UP_RATE: u32 = 10_000;
+/// Maximum arrivals in any second: 1.5 times the rate of ten, plus five.
 const BOUND: usize = 20;
-const CAPACITY: u32 = 1_000;
+const SLOTS: u32 = 1_000;
 
 /// One agent, to which the balancer offers all flows.
 fn world() -> World {
-    let mut world = World::new(0, CAPACITY);
-    world.warm_up_rate = COLD_RATE;
+    let mut world = World::new(0, SLOTS);
+    world.warm_up_rate = WARM_UP_RATE;
     world.start_agent(1);
     world.restart_balancer();
     world
 }
 
-fn call(world: &mut World, id: &str, call_number: u64, cold: Duration) {
-    let call = Registration {
+fn register(world: &mut World, id: &str, sequence: u64, cold: Duration) {
+    let registration = Registration {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
-        sequence: call_number,
-        slots: CAPACITY,
+        sequence,
+        slots: SLOTS,
         draining: false,
         cold_for: cold,
         ..Registration::default()
     };
-    world.send_registration(1, &call);
+    world.send_registration(1, &registration);
     world.run(5 * MILLI);
 }
 
-/// Offers a flow each few milliseconds; returns when the back end got them.
+/// Offers a flow every 4 ms. Returns when the back end got each of those that were admitted.
 fn arrivals(world: &mut World, first_port: u16, span: Duration) -> Vec<Duration> {
     let start = world.now;
     let mut times = Vec::new();
@@ -55,7 +55,7 @@
     times
 }
 
-/// The most arrivals in any span of a second.
+/// Maximum number of arrivals within any second.
 fn most_in_a_second(times: &[Duration]) -> usize {
     let within = |first: &Duration| {
         let end = *first + SECOND;
@@ -68,37 +68,41 @@
 }
 
 #[test]
-fn a_back_end_that_warms_up_gets_no_more_than_the_bounds_in_any_second() {
+fn a_back_end_that_warms_up_stays_within_the_bounds_in_any_second() {
     let mut world = world();
-    call(&mut world, "one", 1, 4 * SECOND);
+    register(&mut world, "one", 1, 4 * SECOND);
     let times = arrivals(&mut world, 1_000, 3 * SECOND);
     let most = most_in_a_second(&times);
     assert!(most <= BOUND, "{most} in a second");
-    assert!(times.len() >= 40, "it gets what it bears: {}", times.len());
+    assert!(
+        times.len() >= 40,
+        "too few flows were admitted: {}",
+        times.len()
+    );
 }
 
 #[test]
-fn a_refusal_says_how_many_agents_are_cold() {
+fn a_refusal_event_counts_the_cold_agents() {
     let mut world = world();
-    call(&mut world, "one", 1, 4 * SECOND);
+    register(&mut world, "one", 1, 4 * SECOND);
     arrivals(&mut world, 1_000, SECOND);
-    let told = world.refusals.last().expect("more came than it bears");
-    assert!(told.contains("agents=1 "), "{told}");
-    assert!(told.ends_with(" cold=1"), "{told}");
+    let refusal = world.refusals.last().expect("some flows exceed the limit");
+    assert!(refusal.contains("agents=1 "), "{refusal}");
+    assert!(refusal.ends_with(" cold=1"), "{refusal}");
 }
 
 #[test]
-fn a_warm_back_end_is_not_bounded() {
+fn a_warm_back_end_is_not_limited() {
     let mut world = world();
-    call(&mut world, "one", 1, Duration::ZERO);
+    register(&mut world, "one", 1, Duration::ZERO);
     let times = arrivals(&mut world, 1_000, SECOND);
     assert!(times.len() > 200, "{}", times.len());
 }
 
 #[test]
-fn an_agent_that_has_started_bounds_a_back_end_that_has_not_called() {
+fn a_restarted_agent_limits_a_back_end_that_has_not_registered() {
     let mut world = world();
-    call(&mut world, "one", 1, 4 * SECOND);
+    register(&mut world, "one", 1, 4 * SECOND);
     arrivals(&mut world, 1_000, SECOND);
     world.start_agent(1);
     world.send_backend_data(agent_address(1), 900);
@@ -109,26 +113,26 @@
 }
 
 #[test]
-fn a_back_end_that_speaks_again_after_silence_is_bounded_until_it_calls() {
+fn a_back_end_that_sends_packets_after_a_silence_is_limited_until_it_registers() {
     let mut world = world();
-    call(&mut world, "one", 1, Duration::ZERO);
+    register(&mut world, "one", 1, Duration::ZERO);
     arrivals(&mut world, 1_000, SECOND / 10);
-    // It is gone: opening packets get no answer.
+    // The back end has ended: SYNs get no answer.
     world.silent = vec![agent_address(1)];
     arrivals(&mut world, 2_000, SECOND);
     world.silent.clear();
     let times = arrivals(&mut world, 3_000, SECOND);
     let most = most_in_a_second(&times);
     assert!((1..=BOUND).contains(&most), "{most} in a second");
-    call(&mut world, "two", 1, Duration::ZERO);
+    register(&mut world, "two", 1, Duration::ZERO);
     let times = arrivals(&mut world, 5_000, SECOND);
     assert!(times.len() > 200, "{}", times.len());
 }
 
 #[test]
-fn back_ends_of_a_zone_that_is_back_are_bounded_until_they_call() {
+fn back_ends_of_a_restored_zone_are_limited_until_they_register() {
     let mut world = world();
-    call(&mut world, "one", 1, Duration::ZERO);
+    register(&mut world, "one", 1, Duration::ZERO);
     for (index, evacuated) in [(5, true), (6, false)] {
         let record = ZoneStatus {
             zone: "a".to_owned(),
@@ -152,7 +156,7 @@
     let times = arrivals(&mut world, 3_000, SECOND);
     let most = most_in_a_second(&times);
     assert!((1..=BOUND).contains(&most), "{most} in a second");
-    call(&mut world, "one", 2, Duration::ZERO);
+    register(&mut world, "one", 2, Duration::ZERO);
     let times = arrivals(&mut world, 5_000, SECOND);
     assert!(times.len() > 200, "{}", times.len());
 }
--- a/crates/petrellatch-core/tests/pass_through/final_reports.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -1,4 +1,4 @@
-//! What an agent says before it ends, and how often.
+//! The final report of an agent that stops, and its repetition.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,21 +16,21 @@
 use super::codec::TestCodec;
 use super::world::{MILLI, REPLICA, SERVICE, WARM_UP_BOUNDS, agent_address};
 
-const STOP_LIMIT: Duration = Duration::from_secs(2);
-const AWAITS_BACKEND: Duration = Duration::from_millis(1_300);
+const STOP_TIMEOUT: Duration = Duration::from_secs(2);
+const PROVISIONAL_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-struct Leaving {
+struct StoppingAgent {
     now: Timestamp,
     agent: PassThroughAgent<TestCodec>,
     reports: Vec<Report>,
     events: Vec<EventKind>,
 }
 
-impl Leaving {
-    /// An agent, whose back end has begun with it, after the replica has heard it.
-    fn new() -> Leaving {
-        let mut leaving = Leaving::beside_nobody();
-        let call = Registration {
+impl StoppingAgent {
+    /// An agent whose back end has started with it, after a replica has acknowledged a report.
+    fn new() -> StoppingAgent {
+        let mut stopping = StoppingAgent::without_back_end();
+        let registration = Registration {
             id: "backend".to_owned(),
             service: SERVICE.to_owned(),
             started_at_millis: None,
@@ -40,15 +40,17 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = leaving.agent.handle_registration(leaving.now, &call);
+        let taken = stopping
+            .agent
+            .handle_registration(stopping.now, &registration);
         taken.expect("it is of the agent's service");
-        leaving.run(100 * MILLI);
-        leaving.answer(0);
-        leaving
+        stopping.run(100 * MILLI);
+        stopping.acknowledge(0);
+        stopping
     }
 
-    /// An agent whose back end does not call.
-    fn beside_nobody() -> Leaving {
+    /// An agent whose back end doesn't register.
+    fn without_back_end() -> StoppingAgent {
         let now = Timestamp::from_millis(1_000);
         let settings = PassThroughAgentSettings {
             address: agent_address(1),
@@ -57,16 +59,16 @@
             first_start: false,
             report_interval: Duration::from_millis(500),
             silence_limit: Duration::from_secs(6),
-            provisional_timeout: AWAITS_BACKEND,
+            provisional_timeout: PROVISIONAL_TIMEOUT,
             flow_lifetime: Duration::from_secs(60),
             queue_factor: 3,
-            stop_timeout: STOP_LIMIT,
+            stop_timeout: STOP_TIMEOUT,
             warm_up_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
-        let contacts = KnownReplicas::new(vec![REPLICA]);
-        let agent = PassThroughAgent::new(now, settings, TestCodec, Incarnation(9), contacts);
-        Leaving {
+        let known_replicas = KnownReplicas::new(vec![REPLICA]);
+        let agent = PassThroughAgent::new(now, settings, TestCodec, Incarnation(9), known_replicas);
+        StoppingAgent {
             now,
             agent,
             reports: Vec::new(),
@@ -104,8 +106,8 @@
         }
     }
 
-    /// The replica answers the report with this number.
-    fn answer(&mut self, number: u64) {
+    /// The replica acknowledges the report with this sequence number.
+    fn acknowledge(&mut self, number: u64) {
         let group = GroupStatus {
             replicas: vec![pack_address(REPLICA)],
             has_report: true,
@@ -118,7 +120,7 @@
         self.collect();
     }
 
-    fn last_words(&self) -> Vec<u64> {
+    fn final_reports(&self) -> Vec<u64> {
         let last = self.reports.iter();
         let last =
             last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
@@ -127,46 +129,55 @@
 }
 
 #[test]
-fn the_last_word_is_said_again_until_a_replica_has_heard_it() {
-    let mut leaving = Leaving::new();
-    leaving.begin_stop();
-    leaving.run(100 * MILLI);
-    assert!(!leaving.agent.is_stopped(), "nobody may have heard it");
-    let words = leaving.last_words();
-    assert!(words.len() >= 3, "said {} times", words.len());
-    leaving.answer(words[1]);
-    assert!(leaving.agent.is_stopped());
+fn the_final_report_is_repeated_until_a_replica_acknowledges_it() {
+    let mut stopping = StoppingAgent::new();
+    stopping.begin_stop();
+    stopping.run(100 * MILLI);
+    assert!(
+        !stopping.agent.is_stopped(),
+        "no replica has acknowledged it"
+    );
+    let repeated = stopping.final_reports();
+    assert!(repeated.len() >= 3, "sent {} times", repeated.len());
+    stopping.acknowledge(repeated[1]);
+    assert!(stopping.agent.is_stopped());
 }
 
 #[test]
-fn an_answer_to_an_earlier_report_does_not_end_the_last_word() {
-    let mut leaving = Leaving::new();
-    let earlier = leaving.reports.last().expect("a report").sequence;
-    leaving.begin_stop();
-    leaving.answer(earlier);
-    assert!(!leaving.agent.is_stopped());
+fn an_acknowledgement_of_an_earlier_report_does_not_end_the_repetition() {
+    let mut stopping = StoppingAgent::new();
+    let earlier = stopping.reports.last().expect("a report").sequence;
+    stopping.begin_stop();
+    stopping.acknowledge(earlier);
+    assert!(!stopping.agent.is_stopped());
 }
 
 #[test]
-fn nobody_waits_long_for_a_replica_that_hears_nothing() {
-    let mut leaving = Leaving::new();
-    leaving.begin_stop();
-    leaving.run(STOP_LIMIT / 4);
-    assert!(leaving.agent.is_stopped());
+fn a_stop_does_not_wait_long_for_a_silent_replica() {
+    let mut stopping = StoppingAgent::new();
+    stopping.begin_stop();
+    stopping.run(STOP_TIMEOUT / 4);
+    assert!(stopping.agent.is_stopped());
 }
 
 #[test]
-fn an_agent_whose_back_end_never_called_says_so_before_it_ends() {
-    for heard_after in [5, 25, 45, 65, 85, 105, 205, 245] {
-        let mut leaving = Leaving::beside_nobody();
-        leaving.run(heard_after * MILLI);
-        leaving.answer(0);
-        leaving.run(1_000 * MILLI);
-        leaving.begin_stop();
-        leaving.run(STOP_LIMIT);
-        assert!(leaving.agent.is_stopped());
-        assert!(leaving.last_words().len() >= 3, "after {heard_after}");
-        let is_told = leaving.events.contains(&EventKind::BackendSilent);
-        assert!(is_told, "the log names it, after {heard_after}");
+fn a_back_end_that_never_registered_is_reported_as_silent_before_the_stop() {
+    for acknowledged_after in [5, 25, 45, 65, 85, 105, 205, 245] {
+        let mut stopping = StoppingAgent::without_back_end();
+        stopping.run(acknowledged_after * MILLI);
+        stopping.acknowledge(0);
+        stopping.run(1_000 * MILLI);
+        stopping.begin_stop();
+        stopping.run(STOP_TIMEOUT);
+        assert!(stopping.agent.is_stopped());
+        assert!(
+            stopping.final_reports().len() >= 3,
+            "after {acknowledged_after}"
+        );
+        let is_logged = stopping.events.contains(&EventKind::BackendSilent);
+        assert!(
+            is_logged,
+            "the silence is logged, after {acknowledged_after}"
+        );
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/late_registrations.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_registrations.rs
@@ -1,4 +1,4 @@
-//! Calls of back ends that arrive after a newer life has called.
+//! Registrations of back ends that arrive after a newer incarnation has registered.
 
 use std::time::Duration;
 
@@ -8,142 +8,142 @@
 
 const AGENT: u8 = 1;
 
-fn call(world: &mut World, id: &str, call_number: u64, draining: bool) {
-    let call = Registration {
+fn register(world: &mut World, id: &str, sequence: u64, draining: bool) {
+    let registration = Registration {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
-        sequence: call_number,
+        sequence,
         slots: 4,
         draining,
         cold_for: Duration::ZERO,
         ..Registration::default()
     };
-    world.send_registration(AGENT, &call);
+    world.send_registration(AGENT, &registration);
     world.run(MILLI);
 }
 
-/// Whether a new flow is taken.
-fn takes_flows(world: &mut World, port: u16) -> bool {
+/// Whether a new flow is admitted.
+fn admits_flows(world: &mut World, port: u16) -> bool {
     world.open(port, 0);
     world.accepted_by(port).is_some()
 }
 
-/// An agent that has started beside a back end that may have called before.
-fn restarted() -> World {
+/// An agent that has started, with a back end that may have registered before.
+fn world_with_restarted_agent() -> World {
     let mut world = World::new(0, 4);
     world.start_agent(AGENT);
     world
 }
 
 #[test]
-fn a_back_end_that_leaves_is_heard_after_a_late_call_of_its_predecessor() {
-    let mut world = restarted();
-    call(&mut world, "new", 1, false);
-    call(&mut world, "old", 40, false);
-    call(&mut world, "new", 2, true);
-    assert!(!takes_flows(&mut world, 1));
+fn draining_is_applied_after_a_delayed_registration_of_the_previous_incarnation() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "new", 1, false);
+    register(&mut world, "old", 40, false);
+    register(&mut world, "new", 2, true);
+    assert!(!admits_flows(&mut world, 1));
 }
 
 #[test]
-fn a_late_call_that_says_ready_does_not_take_a_goodbye_back() {
-    let mut world = restarted();
-    call(&mut world, "new", 1, true);
-    call(&mut world, "old", 2, false);
-    assert!(!takes_flows(&mut world, 1));
+fn a_delayed_registration_does_not_undo_a_deregistration() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "new", 1, true);
+    register(&mut world, "old", 2, false);
+    assert!(!admits_flows(&mut world, 1));
     let agent = super::world::agent_address(AGENT);
     let now = world.now;
-    let withdrawn = world.agents.get_mut(&agent).expect("known");
-    withdrawn.handle_deregistration(now, "new");
-    call(&mut world, "old", 3, false);
+    let agent = world.agents.get_mut(&agent).expect("known");
+    agent.handle_deregistration(now, "new");
+    register(&mut world, "old", 3, false);
     world.run(MILLI);
-    // Two calls: it goes on, so it is the one that runs.
-    call(&mut world, "next", 1, false);
-    call(&mut world, "next", 2, false);
-    assert!(takes_flows(&mut world, 2));
+    // After a second registration, this incarnation is known to be the one that runs.
+    register(&mut world, "next", 1, false);
+    register(&mut world, "next", 2, false);
+    assert!(admits_flows(&mut world, 2));
 }
 
 #[test]
-fn the_living_one_is_heard_although_a_late_call_came_first() {
-    let mut world = restarted();
-    call(&mut world, "old", 40, false);
-    call(&mut world, "new", 50, true);
+fn the_running_back_end_drains_although_a_delayed_registration_arrived_first() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "old", 40, false);
+    register(&mut world, "new", 50, true);
     assert!(
-        !takes_flows(&mut world, 1),
-        "whoever runs may be the one that leaves"
+        !admits_flows(&mut world, 1),
+        "the draining incarnation may be the one that runs"
     );
-    call(&mut world, "new", 51, true);
-    assert!(!takes_flows(&mut world, 2));
+    register(&mut world, "new", 51, true);
+    assert!(!admits_flows(&mut world, 2));
 }
 
 #[test]
-fn a_goodbye_counts_although_a_late_call_came_first() {
-    let mut world = restarted();
-    call(&mut world, "old", 40, false);
+fn a_deregistration_is_applied_although_a_delayed_registration_arrived_first() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "old", 40, false);
     let agent = super::world::agent_address(AGENT);
     let now = world.now;
     let agent = world.agents.get_mut(&agent).expect("known");
     agent.handle_deregistration(now, "new");
     world.run(MILLI);
-    assert!(!takes_flows(&mut world, 1));
+    assert!(!admits_flows(&mut world, 1));
 }
 
 #[test]
-fn a_late_call_that_says_it_leaves_holds_only_until_the_living_one_calls() {
-    let mut world = restarted();
-    call(&mut world, "new", 4, false);
-    call(&mut world, "old", 40, true);
-    assert!(!takes_flows(&mut world, 1));
-    call(&mut world, "new", 5, false);
-    assert!(takes_flows(&mut world, 2));
+fn a_delayed_draining_registration_is_applied_until_the_running_back_end_registers() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "new", 4, false);
+    register(&mut world, "old", 40, true);
+    assert!(!admits_flows(&mut world, 1));
+    register(&mut world, "new", 5, false);
+    assert!(admits_flows(&mut world, 2));
 }
 
 #[test]
-fn a_new_life_is_offered_at_its_first_call() {
-    let mut world = restarted();
-    call(&mut world, "old", 40, false);
-    call(&mut world, "new", 1, false);
-    assert!(takes_flows(&mut world, 1));
-    call(&mut world, "new", 2, true);
-    assert!(!takes_flows(&mut world, 2));
+fn a_new_incarnation_gets_flows_after_its_first_registration() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "old", 40, false);
+    register(&mut world, "new", 1, false);
+    assert!(admits_flows(&mut world, 1));
+    register(&mut world, "new", 2, true);
+    assert!(!admits_flows(&mut world, 2));
 }
 
 #[test]
-fn a_second_goodbye_of_a_back_end_that_has_left_does_not_stop_the_next_one() {
-    let mut world = restarted();
-    call(&mut world, "old", 40, true);
+fn a_repeated_deregistration_does_not_stop_the_next_incarnation() {
+    let mut world = world_with_restarted_agent();
+    register(&mut world, "old", 40, true);
     let agent = super::world::agent_address(AGENT);
     for _ in 0..2 {
         let now = world.now;
         let agent = world.agents.get_mut(&agent).expect("known");
         agent.handle_deregistration(now, "old");
-        call(&mut world, "new", 1, false);
-        call(&mut world, "new", 2, false);
+        register(&mut world, "new", 1, false);
+        register(&mut world, "new", 2, false);
     }
     let now = world.now;
     let agent = world.agents.get_mut(&agent).expect("known");
     agent.handle_deregistration(now, "old");
     world.run(MILLI);
-    assert!(takes_flows(&mut world, 1));
+    assert!(admits_flows(&mut world, 1));
 }
 
-/// A call of `backend`, which says when it was born.
-fn call_born(world: &mut World, born: u64, call_number: u64, draining: bool) {
-    let call = Registration {
+/// A registration of `backend`, which reports its start time.
+fn register_started_at(world: &mut World, started_at: u64, sequence: u64, draining: bool) {
+    let registration = Registration {
         id: "backend".to_owned(),
         service: SERVICE.to_owned(),
-        started_at_millis: Some(born),
-        sequence: call_number,
+        started_at_millis: Some(started_at),
+        sequence,
         slots: 4,
         draining,
         cold_for: Duration::ZERO,
         ..Registration::default()
     };
-    world.send_registration(AGENT, &call);
+    world.send_registration(AGENT, &registration);
     world.run(MILLI);
 }
 
-fn withdraw(world: &mut World) {
+fn deregister(world: &mut World) {
     let now = world.now;
     let agent = world.agents.get_mut(&super::world::agent_address(AGENT));
     agent.expect("known").handle_deregistration(now, "backend");
@@ -151,71 +151,77 @@
 }
 
 #[test]
-fn a_back_end_that_starts_again_under_its_name_is_taken_with_its_first_call() {
-    let mut world = restarted();
-    call_born(&mut world, 1_000, 40, false);
-    // It crashed; the number of its calls begins anew.
+fn a_back_end_restarted_under_its_name_gets_flows_after_its_first_registration() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 1_000, 40, false);
+    // The back end crashed. The sequence numbers of its registrations start over.
     world.run(Duration::from_secs(9));
-    assert!(!takes_flows(&mut world, 1), "it has been silent");
-    call_born(&mut world, 11_000, 1, false);
-    assert!(takes_flows(&mut world, 2));
+    assert!(!admits_flows(&mut world, 1), "the back end was silent");
+    register_started_at(&mut world, 11_000, 1, false);
+    assert!(admits_flows(&mut world, 2));
 }
 
 #[test]
-fn a_back_end_that_left_is_taken_when_it_starts_again_under_its_name() {
-    let mut world = restarted();
-    call_born(&mut world, 1_000, 40, true);
-    withdraw(&mut world);
-    call_born(&mut world, 1_000, 41, false);
-    assert!(!takes_flows(&mut world, 1), "the life that left stays gone");
-    call_born(&mut world, 11_000, 1, false);
-    assert!(takes_flows(&mut world, 2));
+fn a_deregistered_back_end_gets_flows_once_it_restarts_under_its_name() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 1_000, 40, true);
+    deregister(&mut world);
+    register_started_at(&mut world, 1_000, 41, false);
+    assert!(
+        !admits_flows(&mut world, 1),
+        "a deregistered incarnation gets no flows"
+    );
+    register_started_at(&mut world, 11_000, 1, false);
+    assert!(admits_flows(&mut world, 2));
 }
 
 #[test]
-fn late_calls_of_a_former_life_change_nothing() {
-    let mut world = restarted();
-    call_born(&mut world, 11_000, 1, false);
-    // They were held up, and come one after the other.
-    call_born(&mut world, 1_000, 40, true);
-    call_born(&mut world, 1_000, 41, true);
-    call_born(&mut world, 1_000, 42, true);
-    assert!(takes_flows(&mut world, 1));
-    call_born(&mut world, 11_000, 2, true);
-    call_born(&mut world, 1_000, 43, false);
-    assert!(!takes_flows(&mut world, 2), "the one that runs leaves");
+fn delayed_registrations_of_a_previous_incarnation_change_nothing() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 11_000, 1, false);
+    // The registrations were delayed, and arrive one after the other.
+    register_started_at(&mut world, 1_000, 40, true);
+    register_started_at(&mut world, 1_000, 41, true);
+    register_started_at(&mut world, 1_000, 42, true);
+    assert!(admits_flows(&mut world, 1));
+    register_started_at(&mut world, 11_000, 2, true);
+    register_started_at(&mut world, 1_000, 43, false);
+    assert!(
+        !admits_flows(&mut world, 2),
+        "the running incarnation drains"
+    );
 }
 
 #[test]
-fn a_life_whose_clock_was_set_back_is_taken_once_it_alone_goes_on_calling() {
-    let mut world = restarted();
-    call_born(&mut world, 99_000, 40, true);
-    call_born(&mut world, 12_000, 1, false);
-    assert!(!takes_flows(&mut world, 1));
+fn an_incarnation_whose_clock_was_set_back_gets_flows_once_only_it_registers() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 99_000, 40, true);
+    register_started_at(&mut world, 12_000, 1, false);
+    assert!(!admits_flows(&mut world, 1));
     world.run(Duration::from_secs(2));
-    call_born(&mut world, 12_000, 2, false);
-    assert!(!takes_flows(&mut world, 2));
+    register_started_at(&mut world, 12_000, 2, false);
+    assert!(!admits_flows(&mut world, 2));
     world.run(Duration::from_secs(2));
-    call_born(&mut world, 12_000, 3, false);
-    assert!(takes_flows(&mut world, 3));
+    register_started_at(&mut world, 12_000, 3, false);
+    assert!(admits_flows(&mut world, 3));
 }
 
 #[test]
-fn an_agent_that_restarts_learns_which_life_has_left() {
-    let mut world = restarted();
-    call_born(&mut world, 1_000, 40, true);
-    withdraw(&mut world);
+fn a_restarted_agent_restores_the_deregistered_incarnation() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 1_000, 40, true);
+    deregister(&mut world);
     world.restart_agent_with_draining(AGENT);
-    call_born(&mut world, 1_000, 41, false);
-    assert!(!takes_flows(&mut world, 1));
-    call_born(&mut world, 11_000, 1, false);
-    assert!(takes_flows(&mut world, 2));
+    register_started_at(&mut world, 1_000, 41, false);
+    assert!(!admits_flows(&mut world, 1));
+    register_started_at(&mut world, 11_000, 1, false);
+    assert!(admits_flows(&mut world, 2));
 }
 
 #[test]
-fn a_call_for_another_service_changes_nothing() {
-    let mut world = restarted();
-    call_born(&mut world, 1_000, 1, false);
+fn a_registration_for_another_service_changes_nothing() {
+    let mut world = world_with_restarted_agent();
+    register_started_at(&mut world, 1_000, 1, false);
     let foreign = Registration {
         id: "stranger".to_owned(),
         service: "files".to_owned(),
@@ -230,5 +236,5 @@
     let agent = super::world::agent_address(AGENT);
     let agent = world.agents.get_mut(&agent).expect("known");
     assert!(agent.handle_registration(now, &foreign).is_err());
-    assert!(takes_flows(&mut world, 1));
+    assert!(admits_flows(&mut world, 1));
 }
--- a/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
@@ -1,5 +1,5 @@
-//! Load of flows that live long, at back ends of two speeds: 2,000 of them, whose
-//! requests swing by 0.55, so that the back ends are busy by a half in the mean.
+//! Distribution of long-lived flows over back ends of two speeds: 2,000 flows whose request
+//! rate oscillates by 0.55, so that the back ends are half busy on average.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::f64::consts::TAU;
@@ -14,48 +14,48 @@
 const AGENTS: u8 = 8;
 const FAST: f64 = 1.2;
 const SLOW: f64 = 0.55;
-/// Agents of the slow back ends are the first ones.
-const SLOW_ONES: u8 = 2;
-const WORK: Duration = Duration::from_millis(34);
-/// Between two requests of a flow in the mean.
-const PAUSE: Duration = Duration::from_secs(5);
-const SWING: f64 = 0.55;
-const SWING_PERIOD: f64 = 15.0;
-
-/// A back end that works on as many requests at once as it has slots.
-struct Desk {
+/// Number of slow back ends, which are those of the first agents.
+const SLOW_BACKENDS: u8 = 2;
+const PROCESSING_TIME: Duration = Duration::from_millis(34);
+/// Mean interval between requests of a flow.
+const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
+const OSCILLATION: f64 = 0.55;
+const OSCILLATION_PERIOD: f64 = 15.0;
+
+/// A back end that processes as many requests at once as it has slots.
+struct Backend {
     speed: f64,
-    working: Vec<(Timestamp, u16)>,
-    waiting: VecDeque<u16>,
+    in_progress: Vec<(Timestamp, u16)>,
+    queued: VecDeque<u16>,
 }
 
-struct Hall {
+struct LoadedWorld {
     world: World,
-    desks: BTreeMap<SocketAddrV4, Desk>,
-    /// Open flows, with their agents and when they ask next.
+    backends: BTreeMap<SocketAddrV4, Backend>,
+    /// Open flows by port, with their agents and the times of their next requests.
     flows: BTreeMap<u16, (SocketAddrV4, Timestamp)>,
     next_port: u16,
 }
 
-impl Hall {
-    fn new() -> Hall {
-        let speed = |index| if index <= SLOW_ONES { SLOW } else { FAST };
-        let desk = |index| Desk {
+impl LoadedWorld {
+    fn new() -> LoadedWorld {
+        let speed = |index| if index <= SLOW_BACKENDS { SLOW } else { FAST };
+        let backend = |index| Backend {
             speed: speed(index),
-            working: Vec::new(),
-            waiting: VecDeque::new(),
+            in_progress: Vec::new(),
+            queued: VecDeque::new(),
         };
-        Hall {
+        LoadedWorld {
             world: World::new(AGENTS, SLOTS),
-            desks: (1..=AGENTS)
-                .map(|index| (agent_address(index), desk(index)))
+            backends: (1..=AGENTS)
+                .map(|index| (agent_address(index), backend(index)))
                 .collect(),
             flows: BTreeMap::new(),
             next_port: FIRST_OWN_PORT,
         }
     }
 
-    /// Opens so many flows, one every 5 ms, while the open ones ask.
+    /// Opens flows, one every 5 ms, while the open ones send requests.
     fn open(&mut self, flows: u16) {
         for _ in 0..flows {
             let port = self.next_port;
@@ -72,46 +72,48 @@
     fn run(&mut self, millis: u32) {
         for _ in 0..millis {
             self.world.step(MILLI);
-            self.ask();
-            self.work();
+            self.send_requests();
+            self.process();
         }
     }
 
-    fn ask(&mut self) {
+    fn send_requests(&mut self) {
         let now = self.world.now;
-        let turn = TAU * now.as_micros() as f64 / 1e6 / SWING_PERIOD;
-        let pause = PAUSE.div_f64(1.0 + SWING * turn.sin());
+        let phase = TAU * now.as_micros() as f64 / 1e6 / OSCILLATION_PERIOD;
+        let interval = REQUEST_INTERVAL.div_f64(1.0 + OSCILLATION * phase.sin());
         let mut due = Vec::new();
         for (port, (agent, at)) in &mut self.flows {
             if *at <= now {
-                // Callers differ, and none of them waits for another one.
-                let part = 0.5 + f64::from(port.wrapping_mul(40_503) >> 6) / 1_024.0;
-                *at = now + pause.mul_f64(part);
+                // Callers have different intervals, and send independently of each other.
+                let factor = 0.5 + f64::from(port.wrapping_mul(40_503) >> 6) / 1_024.0;
+                *at = now + interval.mul_f64(factor);
                 due.push((*port, *agent));
             }
         }
         for (port, agent) in due {
-            let desk = self.desks.get_mut(&agent).expect("known");
-            let has_it = |it: &(Timestamp, u16)| it.1 == port;
-            if !desk.working.iter().any(has_it) && !desk.waiting.contains(&port) {
-                desk.waiting.push_back(port);
+            let backend = self.backends.get_mut(&agent).expect("known");
+            let is_of_flow = |it: &(Timestamp, u16)| it.1 == port;
+            if !backend.in_progress.iter().any(is_of_flow) && !backend.queued.contains(&port) {
+                backend.queued.push_back(port);
                 self.world.request(port, agent);
             }
         }
     }
 
-    fn work(&mut self) {
+    fn process(&mut self) {
         let now = self.world.now;
-        for (agent, desk) in &mut self.desks {
-            let done = desk.working.extract_if(.., |(at, _)| *at <= now);
+        for (agent, backend) in &mut self.backends {
+            let done = backend.in_progress.extract_if(.., |(at, _)| *at <= now);
             for (_, port) in done.collect::<Vec<_>>() {
                 self.world.send_backend_data(*agent, port);
             }
-            while desk.working.len() < SLOTS as usize {
-                let Some(port) = desk.waiting.pop_front() else {
+            while backend.in_progress.len() < SLOTS as usize {
+                let Some(port) = backend.queued.pop_front() else {
                     break;
                 };
-                desk.working.push((now + WORK.div_f64(desk.speed), port));
+                backend
+                    .in_progress
+                    .push((now + PROCESSING_TIME.div_f64(backend.speed), port));
             }
         }
     }
@@ -121,84 +123,90 @@
         self.flows.values().filter(|(it, _)| *it == agent).count()
     }
 
-    /// The back end beside an agent starts again, without any flow.
-    fn lose(&mut self, index: u8) {
+    /// An agent's back end restarts, without any flow.
+    fn restart_backend(&mut self, index: u8) {
         let agent = agent_address(index);
-        let desk = self.desks.get_mut(&agent).expect("known");
-        desk.working.clear();
-        desk.waiting.clear();
+        let backend = self.backends.get_mut(&agent).expect("known");
+        backend.in_progress.clear();
+        backend.queued.clear();
         self.flows.retain(|_, (it, _)| *it != agent);
         self.world.backends.insert(agent, Default::default());
         self.world.restart_agent(index, SLOTS);
     }
 }
 
-fn assert_near(found: usize, expected: f64, part: f64, what: &str) {
+fn assert_near(found: usize, expected: f64, tolerance: f64, what: &str) {
     let found = found as f64;
     let distance = (found - expected).abs() / expected;
-    assert!(distance <= part, "{what}: {found}, not {expected:.0}");
+    assert!(distance <= tolerance, "{what}: {found}, not {expected:.0}");
 }
 
 #[test]
-fn long_flows_are_shared_out_by_speed() {
-    let mut hall = Hall::new();
-    hall.open(2_000);
-    let flows = hall.flows.len() as f64;
+fn long_flows_are_distributed_by_speed() {
+    let mut loaded = LoadedWorld::new();
+    loaded.open(2_000);
+    let flows = loaded.flows.len() as f64;
     assert!(flows > 1_990.0, "{flows} of 2000 flows are open");
-    let speeds = f64::from(SLOW_ONES) * SLOW + f64::from(AGENTS - SLOW_ONES) * FAST;
-    let counts: Vec<usize> = (1..=AGENTS).map(|index| hall.flows_at(index)).collect();
+    let speeds = f64::from(SLOW_BACKENDS) * SLOW + f64::from(AGENTS - SLOW_BACKENDS) * FAST;
+    let counts: Vec<usize> = (1..=AGENTS).map(|index| loaded.flows_at(index)).collect();
     println!("{counts:?}");
-    let slow: usize = counts[..usize::from(SLOW_ONES)].iter().sum();
-    let expected = flows * f64::from(SLOW_ONES) * SLOW / speeds;
+    let slow: usize = counts[..usize::from(SLOW_BACKENDS)].iter().sum();
+    let expected = flows * f64::from(SLOW_BACKENDS) * SLOW / speeds;
     assert_near(slow, expected, 0.1, "flows of the slow back ends");
-    for count in &counts[usize::from(SLOW_ONES)..] {
-        assert_near(*count, flows * FAST / speeds, 0.1, "flows of a fast one");
+    for count in &counts[usize::from(SLOW_BACKENDS)..] {
+        assert_near(
+            *count,
+            flows * FAST / speeds,
+            0.1,
+            "flows of a fast back end",
+        );
     }
 }
 
 #[test]
-fn a_back_end_that_turns_five_times_slower_gets_a_fifth_of_its_share() {
-    let mut hall = Hall::new();
-    hall.open(1_000);
+fn a_back_end_that_becomes_five_times_slower_gets_hardly_any_new_flows() {
+    let mut loaded = LoadedWorld::new();
+    loaded.open(1_000);
     let changed = 5;
-    hall.desks
+    loaded
+        .backends
         .get_mut(&agent_address(changed))
         .expect("known")
         .speed = FAST / 5.0;
-    hall.open(100);
-    let before = hall.flows_at(changed);
-    hall.open(400);
-    let more = hall.flows_at(changed) - before;
+    loaded.open(100);
+    let before = loaded.flows_at(changed);
+    loaded.open(400);
+    let more = loaded.flows_at(changed) - before;
     println!("{before} {more}");
-    // It has more than its share already, so nearly none may come.
+    // The back end has more than its share already, so it may get hardly any.
     assert!(more <= 10, "{more} of 400 new flows came");
 }
 
 #[test]
-fn a_back_end_that_returns_empty_is_filled_without_a_herd() {
-    let mut hall = Hall::new();
-    hall.open(1_200);
-    let returned = 5;
-    hall.lose(returned);
-    let mut most_waiting = 0;
+fn a_restarted_back_end_is_filled_without_a_burst() {
+    let mut loaded = LoadedWorld::new();
+    loaded.open(1_200);
+    let restarted = 5;
+    loaded.restart_backend(restarted);
+    let mut max_queued = 0;
     for _ in 0..300 {
-        hall.open(1);
-        let desk = &hall.desks[&agent_address(returned)];
-        most_waiting = most_waiting.max(desk.waiting.len());
+        loaded.open(1);
+        let backend = &loaded.backends[&agent_address(restarted)];
+        max_queued = max_queued.max(backend.queued.len());
     }
-    let other = hall.flows_at(6);
-    let found = hall.flows_at(returned);
-    println!("{found} {other} {most_waiting}");
+    let other = loaded.flows_at(6);
+    let found = loaded.flows_at(restarted);
+    println!("{found} {other} {max_queued}");
     assert!(
         found > other / 2,
-        "{found} flows, and {other} at another one"
+        "{found} flows, and {other} at another back end"
     );
     assert!(
         found < other * 11 / 10,
-        "{found} flows, and {other} at another one"
+        "{found} flows, and {other} at another back end"
     );
     assert!(
-        most_waiting <= SLOTS as usize,
-        "{most_waiting} requests waited"
+        max_queued <= SLOTS as usize,
+        "{max_queued} requests were queued"
     );
 }
--- a/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
+++ b/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
@@ -1,38 +1,38 @@
-//! Flows that died with their back ends, while one agent after the other is replaced:
-//! an agent that stops as planned says whether its back end has flows.
+//! Orphaned flows while agents are replaced one by one: an agent that stops as planned reports
+//! whether its back end has flows.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use super::world::{MILLI, World, agent_address, caller};
 
-const CAPACITY: u32 = 4;
-/// By then a caller is to know that its flow is dead.
-const TOLD_WITHIN: Duration = Duration::from_millis(200);
+const SLOTS: u32 = 4;
+/// Time within which the caller of an orphaned flow must be reset.
+const RESET_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A world after a loss of power of everything: back ends that have just begun, and
-/// agents and a balancer that know it.
-fn world_after_loss_of_power(agents: u8) -> World {
-    let mut world = World::new(agents, CAPACITY);
+/// A world after a power loss of all machines: back ends that have just started, and agents and
+/// a balancer that know this.
+fn world_after_power_loss(agents: u8) -> World {
+    let mut world = World::new(agents, SLOTS);
     for index in 1..=agents {
         world.start_agent(index);
-        world.register(index, CAPACITY, false, 1);
+        world.register(index, SLOTS, false, 1);
         world.acknowledge_report(index, false);
     }
     world.restart_balancer();
     world
 }
 
-/// The back ends beside the agents that run call.
-fn call_all(world: &mut World, agents: u8, call_number: u64) {
+/// The back ends of the running agents register.
+fn register_all(world: &mut World, agents: u8, sequence: u64) {
     for index in 1..=agents {
         if !world.frozen.contains(&agent_address(index)) {
-            world.register(index, CAPACITY, false, call_number);
+            world.register(index, SLOTS, false, sequence);
         }
     }
 }
 
-/// Asks an agent to stop and lets time pass until it has.
+/// Stops an agent as planned, and waits until it has stopped.
 fn stop(world: &mut World, agent: SocketAddrV4) {
     let now = world.now;
     world.agents.get_mut(&agent).expect("known").begin_stop(now);
@@ -48,33 +48,33 @@
 }
 
 #[test]
-fn dead_flows_are_told_while_one_agent_after_the_other_stops() {
+fn callers_of_orphaned_flows_are_reset_while_agents_stop_one_by_one() {
     for agents in [46, 163, 250] {
-        let mut world = world_after_loss_of_power(agents);
-        let mut told = 0;
+        let mut world = world_after_power_loss(agents);
+        let mut expected_resets = 0;
         for port in 1..=8 {
-            call_all(&mut world, agents, u64::from(port) + 1);
+            register_all(&mut world, agents, u64::from(port) + 1);
             stop(&mut world, agent_address(port as u8 * 3));
-            for copy in 0..4 {
-                let port = port * 4 + copy;
+            for offset in 0..4 {
+                let port = port * 4 + offset;
                 let agent = agent_address(port as u8);
                 world.notify_complete_directory();
                 world.request(port, agent);
-                world.run(TOLD_WITHIN);
-                told += 1;
+                world.run(RESET_TIMEOUT);
+                expected_resets += 1;
                 let subject = format!("of flow {port}, {agents} agents");
-                assert_eq!(world.resets(), told, "{subject}");
+                assert_eq!(world.resets(), expected_resets, "{subject}");
             }
         }
     }
 }
 
 #[test]
-fn a_flow_that_stays_behind_a_stopped_agent_is_not_reset() {
+fn an_open_flow_of_a_stopped_agent_is_not_reset() {
     for agents in [46, 163] {
-        let mut world = world_after_loss_of_power(agents);
+        let mut world = world_after_power_loss(agents);
         world.open(1, 0);
-        let agent = world.accepted_by(1).expect("an answer");
+        let agent = world.accepted_by(1).expect("a SYN-ACK");
         world.request(1, agent);
         stop(&mut world, agent);
         assert!(world.backends[&agent].flows.contains(&caller(1)));
@@ -90,13 +90,13 @@
 }
 
 #[test]
-fn an_agent_that_has_not_seen_its_back_end_begin_does_not_speak_for_it() {
+fn an_agent_that_has_not_seen_its_back_end_start_reports_no_orphaned_flow() {
     for agents in [46, 163] {
-        let mut world = world_after_loss_of_power(agents);
+        let mut world = world_after_power_loss(agents);
         world.open(1, 0);
-        let agent = world.accepted_by(1).expect("an answer");
+        let agent = world.accepted_by(1).expect("a SYN-ACK");
         world.request(1, agent);
-        world.restart_agent(agent.ip().octets()[3], CAPACITY);
+        world.restart_agent(agent.ip().octets()[3], SLOTS);
         stop(&mut world, agent);
         world.restart_balancer();
         world.repeat_reports();
@@ -110,17 +110,17 @@
 }
 
 #[test]
-fn an_agent_that_is_to_stop_before_it_has_heard_of_its_back_end_finds_out_first() {
+fn an_agent_waits_for_a_sign_of_its_back_end_before_it_stops() {
     for agents in [46, 163] {
-        let mut world = world_after_loss_of_power(agents);
+        let mut world = world_after_power_loss(agents);
         let agent = agent_address(1);
         world.start_agent(1);
         world.run(700 * MILLI);
         stop(&mut world, agent);
-        call_all(&mut world, agents, 2);
+        register_all(&mut world, agents, 2);
         world.notify_complete_directory();
         world.request(1, agent);
-        world.run(TOLD_WITHIN);
+        world.run(RESET_TIMEOUT);
         assert_eq!(world.resets(), 1, "{agents} agents");
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -1,4 +1,4 @@
-//! How many requests an agent lets wait for its back end.
+//! Queue limits: how many requests an agent lets queue at its back end.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -24,30 +24,30 @@
     pub now: Timestamp,
     pub agent: PassThroughAgent<TestCodec>,
     next_port: u16,
-    /// What balancers say of the route and the caller with opening packets.
+    /// Fields of the offers, such as priority and deadline.
     pub offer_template: ForwardedPacket,
     pub balancer: SocketAddrV4,
-    /// What the agent has answered to balancers, until it is taken.
+    /// Messages that the agent sent to balancers, until they are taken.
     pub replies: Vec<PassThroughBody>,
-    /// Callers whose opening packets reached the back end, until it answers them.
+    /// Callers whose SYNs reached the back end, until it accepts them.
     reached: Vec<SocketAddrV4>,
 }
 
 impl LoadedAgent {
-    /// An agent whose back end has answered some requests after `work`.
-    pub fn new(work: Duration) -> LoadedAgent {
-        let mut desk = LoadedAgent::without_responses();
+    /// An agent whose back end has responded to some requests after `work` each.
+    pub fn new(processing_time: Duration) -> LoadedAgent {
+        let mut loaded = LoadedAgent::without_responses();
         for _ in 0..30 {
-            let flow = desk
+            let flow = loaded
                 .request(0, ForwardReason::Open)
                 .expect("slots are free");
-            desk.now = desk.now + work;
-            desk.respond(flow);
+            loaded.now = loaded.now + processing_time;
+            loaded.respond(flow);
         }
-        desk
+        loaded
     }
 
-    /// An agent whose back end has answered nothing yet.
+    /// An agent whose back end has sent no response yet.
     pub fn without_responses() -> LoadedAgent {
         let now = Timestamp::from_millis(1_000);
         let settings = PassThroughAgentSettings {
@@ -64,9 +64,10 @@
             warm_up_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
         };
-        let contacts = KnownReplicas::new(Vec::new());
-        let mut agent = PassThroughAgent::new(now, settings, TestCodec, Incarnation(1), contacts);
-        let call = Registration {
+        let known_replicas = KnownReplicas::new(Vec::new());
+        let mut agent =
+            PassThroughAgent::new(now, settings, TestCodec, Incarnation(1), known_replicas);
+        let registration = Registration {
             id: "backend-1".to_owned(),
             service: SERVICE.to_owned(),
             started_at_millis: None,
@@ -76,7 +77,7 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = agent.handle_registration(now, &call);
+        let taken = agent.handle_registration(now, &registration);
         taken.expect("it is of the agent's service");
         LoadedAgent {
             now,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Offers a flow with a request; returns it if it was taken.
+    /// Offers a flow with a request. Returns the caller if the flow was admitted.
     pub fn request(
         &mut self,
         objective_millis: u32,
@@ -97,36 +98,37 @@
     ) -> Option<SocketAddrV4> {
         self.next_port += 1;
         let caller = SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 1), self.next_port);
-        let opening = PacketView {
+        let syn = PacketView {
             syn: true,
             ..empty(caller, ROUTE)
         };
         self.outputs();
-        self.carry(&opening, reason, objective_millis);
+        self.forward(&syn, reason, objective_millis);
         self.outputs();
-        let place = self.reached.iter().position(|reached| *reached == caller)?;
-        self.reached.remove(place);
+        let position = self.reached.iter().position(|reached| *reached == caller)?;
+        self.reached.remove(position);
         self.accept(caller);
         Some(caller)
     }
 
-    /// The back end takes a flow, and its caller sends a request.
+    /// The back end accepts a flow, and the caller sends its request.
     fn accept(&mut self, caller: SocketAddrV4) {
-        let answer = PacketView {
+        let syn_ack = PacketView {
             syn: true,
             ack: true,
             ..empty(ROUTE, caller)
         };
-        self.agent.handle_backend_packet(self.now, &encode(&answer));
+        self.agent
+            .handle_backend_packet(self.now, &encode(&syn_ack));
         let request = PacketView {
             ack: true,
             data_bytes: 50,
             ..empty(caller, ROUTE)
         };
-        self.carry(&request, ForwardReason::Deliver, 0);
+        self.forward(&request, ForwardReason::Deliver, 0);
     }
 
-    /// Flows that waited and reached the back end since it was last asked.
+    /// Queued flows that were admitted since the last call.
     pub fn take_dequeued(&mut self) -> Vec<SocketAddrV4> {
         self.outputs();
         let reached = std::mem::take(&mut self.reached);
@@ -143,11 +145,11 @@
     fn outputs(&mut self) -> Vec<PassThroughOutput> {
         let outputs: Vec<PassThroughOutput> =
             std::iter::from_fn(|| self.agent.poll_output()).collect();
-        let told = outputs.iter().filter_map(|output| match output {
+        let replies = outputs.iter().filter_map(|output| match output {
             PassThroughOutput::Send { body, .. } => Some(body.clone()),
             _ => None,
         });
-        self.replies.extend(told);
+        self.replies.extend(replies);
         let reached = outputs.iter().filter_map(|output| match output {
             PassThroughOutput::ToBackend(packet) => TestCodec.view(packet),
             _ => None,
@@ -158,37 +160,38 @@
     }
 
     pub fn respond(&mut self, caller: SocketAddrV4) {
-        let answer = PacketView {
+        let response = PacketView {
             ack: true,
             data_bytes: 500,
             ..empty(ROUTE, caller)
         };
-        self.agent.handle_backend_packet(self.now, &encode(&answer));
+        self.agent
+            .handle_backend_packet(self.now, &encode(&response));
     }
 
-    /// The back end ends a flow; its packet may overtake those of the answer.
-    fn end(&mut self, caller: SocketAddrV4) {
-        let end = PacketView {
+    /// The back end closes a flow. The FIN may overtake packets of the response.
+    fn close(&mut self, caller: SocketAddrV4) {
+        let fin = PacketView {
             ack: true,
             fin: true,
             ..empty(ROUTE, caller)
         };
-        self.agent.handle_backend_packet(self.now, &encode(&end));
+        self.agent.handle_backend_packet(self.now, &encode(&fin));
     }
 
-    fn carry(&mut self, view: &PacketView, reason: ForwardReason, objective_millis: u32) {
-        let carry = ForwardedPacket {
+    fn forward(&mut self, view: &PacketView, reason: ForwardReason, objective_millis: u32) {
+        let forwarded = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(view),
             latency_objective_millis: objective_millis,
             ..self.offer_template.clone()
         };
-        let body = PassThroughBody::ForwardedPacket(carry);
+        let body = PassThroughBody::ForwardedPacket(forwarded);
         self.agent.handle_message(self.now, self.balancer, body);
     }
 
-    /// Requests that are taken until one is declined.
+    /// Offers flows until one isn't admitted at once. Returns the number of admitted ones.
     pub fn fill(&mut self, objective_millis: u32) -> u32 {
         let mut taken = 0;
         while self
@@ -202,9 +205,9 @@
 }
 
 #[test]
-fn as_many_requests_wait_as_are_likely_to_meet_their_objective() {
-    // Three slots, and 0.6 of the objective for waiting and work.
-    for (work_millis, objective_millis, expected) in [
+fn as_many_requests_are_queued_as_are_likely_to_meet_their_objective() {
+    // Three slots, and 0.6 of the latency objective for queueing and processing.
+    for (processing_millis, objective_millis, expected) in [
         (49, 250, 9),
         (55, 210, 6),
         (88, 250, 5),
@@ -212,76 +215,88 @@
         (1, 60_000, 12),
         (50, 0, 6),
     ] {
-        let mut desk = LoadedAgent::new(Duration::from_millis(work_millis));
-        let taken = desk.fill(objective_millis);
+        let mut loaded = LoadedAgent::new(Duration::from_millis(processing_millis));
+        let taken = loaded.fill(objective_millis);
         assert_eq!(
             taken, expected,
-            "{work_millis} ms of work, objective {objective_millis} ms"
+            "{processing_millis} ms of processing, objective {objective_millis} ms"
         );
     }
 }
 
 #[test]
-fn a_back_end_that_turns_slow_gets_a_shorter_queue() {
-    let mut desk = LoadedAgent::new(Duration::from_millis(40));
+fn a_back_end_that_becomes_slow_gets_a_shorter_queue() {
+    let mut loaded = LoadedAgent::new(Duration::from_millis(40));
     for _ in 0..60 {
-        let flow = desk
+        let flow = loaded
             .request(0, ForwardReason::Open)
             .expect("slots are free");
-        desk.now = desk.now + Duration::from_millis(200);
-        desk.respond(flow);
+        loaded.now = loaded.now + Duration::from_millis(200);
+        loaded.respond(flow);
     }
-    assert_eq!(desk.fill(250), SLOTS);
+    assert_eq!(loaded.fill(250), SLOTS);
 }
 
 #[test]
-fn requests_that_waited_say_nothing_about_the_work() {
-    let mut desk = LoadedAgent::new(Duration::from_millis(50));
+fn time_in_the_queue_does_not_count_as_processing_time() {
+    let mut loaded = LoadedAgent::new(Duration::from_millis(50));
     let mut flows = Vec::new();
     for _ in 0..SLOTS * 2 {
-        flows.extend(desk.request(250, ForwardReason::OpenQueued));
+        flows.extend(loaded.request(250, ForwardReason::OpenQueued));
     }
-    desk.now = desk.now + Duration::from_millis(50);
+    loaded.now = loaded.now + Duration::from_millis(50);
     for flow in flows.drain(..SLOTS as usize) {
-        desk.respond(flow);
+        loaded.respond(flow);
     }
-    desk.now = desk.now + Duration::from_millis(50);
+    loaded.now = loaded.now + Duration::from_millis(50);
     for flow in flows {
-        desk.respond(flow);
+        loaded.respond(flow);
     }
-    assert_eq!(desk.fill(260), SLOTS * 3, "work is still 50 ms");
+    assert_eq!(
+        loaded.fill(260),
+        SLOTS * 3,
+        "the processing time is still 50 ms"
+    );
 }
 
 #[test]
-fn a_back_end_that_turns_slow_while_it_is_full_gets_a_shorter_queue() {
-    let mut desk = LoadedAgent::new(Duration::from_millis(10));
-    let mut inside: VecDeque<SocketAddrV4> = VecDeque::new();
+fn a_back_end_that_becomes_slow_while_it_is_full_gets_a_shorter_queue() {
+    let mut loaded = LoadedAgent::new(Duration::from_millis(10));
+    let mut in_flight: VecDeque<SocketAddrV4> = VecDeque::new();
     for _ in 0..30 {
-        while let Some(flow) = desk.request(250, ForwardReason::OpenQueued) {
-            inside.push_back(flow);
+        while let Some(flow) = loaded.request(250, ForwardReason::OpenQueued) {
+            in_flight.push_back(flow);
         }
-        desk.now = desk.now + Duration::from_millis(100);
-        let done: Vec<SocketAddrV4> = inside.drain(..SLOTS as usize).collect();
+        loaded.now = loaded.now + Duration::from_millis(100);
+        let done: Vec<SocketAddrV4> = in_flight.drain(..SLOTS as usize).collect();
         for flow in done {
-            desk.respond(flow);
+            loaded.respond(flow);
         }
-        // Those that found the queue full waited for a place.
-        inside.extend(desk.take_dequeued());
+        // Flows that found the back end's queue full were in the admission queue.
+        in_flight.extend(loaded.take_dequeued());
     }
-    let left = inside.len() as u32;
-    assert_eq!(left + desk.fill(250), SLOTS + 1, "work is 100 ms by now");
+    let left = in_flight.len() as u32;
+    assert_eq!(
+        left + loaded.fill(250),
+        SLOTS + 1,
+        "the processing time is 100 ms by now"
+    );
 }
 
 #[test]
-fn the_end_of_an_answer_that_overtakes_it_tells_the_time_of_work() {
-    let mut desk = LoadedAgent::new(Duration::from_millis(10));
+fn a_fin_that_overtakes_the_response_ends_the_processing_time() {
+    let mut loaded = LoadedAgent::new(Duration::from_millis(10));
     for _ in 0..60 {
-        let flow = desk
+        let flow = loaded
             .request(0, ForwardReason::Open)
             .expect("slots are free");
-        desk.now = desk.now + Duration::from_millis(100);
-        desk.end(flow);
-        desk.respond(flow);
+        loaded.now = loaded.now + Duration::from_millis(100);
+        loaded.close(flow);
+        loaded.respond(flow);
     }
-    assert_eq!(desk.fill(250), SLOTS + 1, "work is 100 ms by now");
+    assert_eq!(
+        loaded.fill(250),
+        SLOTS + 1,
+        "the processing time is 100 ms by now"
+    );
 }
--- a/crates/petrellatch-core/tests/pass_through/restart_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/restart_world.rs
@@ -1,4 +1,4 @@
-//! An agent beside lives of a back end, with callers that keep their flows.
+//! An agent whose back end restarts, with callers that keep their flows.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -21,16 +21,16 @@
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const REPLICA: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 pub const BALANCER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 99), 7000);
-/// Between the numbers of two flows.
+/// Distance between the first sequence numbers of two flows.
 const SEQUENCE_STEP: u32 = 1 << 24;
 
-/// One life of a back end.
+/// One incarnation of a back end.
 #[derive(Clone, Debug)]
 pub struct BackendIncarnation {
     pub id: String,
     pub started_at_millis: Option<u64>,
     pub registrations: u64,
-    /// The flows that it has, by the caller's port, with their first sequence numbers.
+    /// First sequence numbers of the flows that it owns, by the caller's port.
     pub flows: BTreeMap<u16, u32>,
 }
 
@@ -52,21 +52,21 @@
     pub agent: PassThroughAgent<TestCodec>,
     pub backend: Option<BackendIncarnation>,
     pub incarnations: u64,
-    /// The back end does nothing; packets wait.
+    /// Whether the back end is frozen, so that packets for it are held.
     pub frozen: bool,
-    pub waiting: VecDeque<PacketView>,
+    pub held_packets: VecDeque<PacketView>,
     pub callers: BTreeMap<u16, CallerFlow>,
-    /// Resets of the agent, with their times.
+    /// Resets that the agent sent, with their times and the callers' ports.
     pub resets: Vec<(Timestamp, u16)>,
-    /// What balancers were told to be gone.
+    /// Flows that were reported to the balancer as not owned.
     pub returned_packets: Vec<ReturnedPacket>,
     pub owned_flows: Vec<FlowId>,
     pub events: Vec<(EventKind, String)>,
-    /// Packets without data that the back end got, by the caller's port.
+    /// The caller's port of each packet without data that the back end got.
     pub dataless_packets: Vec<u16>,
-    /// Whether a life says when it was born.
-    pub says_birth: bool,
-    /// The same name for all lives.
+    /// Whether an incarnation reports its start time.
+    pub reports_start_time: bool,
+    /// Whether all incarnations have the same name.
     pub keeps_name: bool,
     next_sequence: u32,
     incarnation: u64,
@@ -79,9 +79,9 @@
     }
 }
 
-/// The port of the caller of a flow that is not held.
-pub fn caller_port(not_held: &ReturnedPacket) -> u16 {
-    FlowId::from(not_held.flow).caller.port()
+/// The caller's port of a flow that is not owned.
+pub fn caller_port(returned: &ReturnedPacket) -> u16 {
+    FlowId::from(returned.flow).caller.port()
 }
 
 fn new_agent(now: Timestamp) -> PassThroughAgent<TestCodec> {
@@ -100,43 +100,43 @@
         warm_up_bounds: WARM_UP_BOUNDS,
     };
     let incarnation = Incarnation(now.as_micros());
-    let contacts = KnownReplicas::new(vec![REPLICA]);
-    PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts)
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
+    PassThroughAgent::new(now, settings, TestCodec, incarnation, known_replicas)
 }
 
 impl RestartWorld {
-    /// An agent beside a back end that has called once.
+    /// An agent whose back end has registered once.
     pub fn new() -> RestartWorld {
-        let mut lives = RestartWorld::unregistered(true, false);
-        lives.register();
-        lives
+        let mut world = RestartWorld::unregistered(true, false);
+        world.register();
+        world
     }
 
-    pub fn unregistered(says_birth: bool, keeps_name: bool) -> RestartWorld {
+    pub fn unregistered(reports_start_time: bool, keeps_name: bool) -> RestartWorld {
         let now = Timestamp::from_millis(1_000);
-        let mut lives = RestartWorld {
+        let mut world = RestartWorld {
             now,
             agent: new_agent(now),
             backend: None,
             incarnations: 0,
             frozen: false,
-            waiting: VecDeque::new(),
+            held_packets: VecDeque::new(),
             callers: BTreeMap::new(),
             resets: Vec::new(),
             returned_packets: Vec::new(),
             owned_flows: Vec::new(),
             events: Vec::new(),
             dataless_packets: Vec::new(),
-            says_birth,
+            reports_start_time,
             keeps_name,
             next_sequence: 0,
             incarnation: now.as_micros(),
         };
-        lives.restart_backend();
-        lives
+        world.restart_backend();
+        world
     }
 
-    /// The back end starts again, and has no flow.
+    /// The back end restarts, without any flow.
     pub fn restart_backend(&mut self) {
         self.incarnations += 1;
         let number = match self.keeps_name {
@@ -145,46 +145,47 @@
         };
         self.backend = Some(BackendIncarnation {
             id: format!("backend-{number}"),
-            started_at_millis: self.says_birth.then_some(self.incarnations * 1_000),
+            started_at_millis: self.reports_start_time.then_some(self.incarnations * 1_000),
             registrations: 0,
             flows: BTreeMap::new(),
         });
-        self.waiting.clear();
+        self.held_packets.clear();
         self.frozen = false;
     }
 
     pub fn incarnation(&self) -> BackendIncarnation {
-        self.backend.clone().expect("one runs")
+        self.backend.clone().expect("a back end runs")
     }
 
-    /// The back end calls.
+    /// The back end registers.
     pub fn register(&mut self) {
-        let Some(life) = &mut self.backend else {
+        let Some(incarnation) = &mut self.backend else {
             return;
         };
-        life.registrations += 1;
-        let life = life.clone();
-        self.register_incarnation(&life);
+        incarnation.registrations += 1;
+        let incarnation = incarnation.clone();
+        self.register_incarnation(&incarnation);
     }
 
-    /// A call of a life arrives, now or late.
-    pub fn register_incarnation(&mut self, life: &BackendIncarnation) {
-        let call = Registration {
-            id: life.id.clone(),
+    /// A registration of an incarnation arrives, which may be a delayed one.
+    pub fn register_incarnation(&mut self, incarnation: &BackendIncarnation) {
+        let registration = Registration {
+            id: incarnation.id.clone(),
             service: SERVICE.to_owned(),
-            started_at_millis: life.started_at_millis,
-            sequence: life.registrations,
+            started_at_millis: incarnation.started_at_millis,
+            sequence: incarnation.registrations,
             slots: 100,
             draining: false,
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = self.agent.handle_registration(self.now, &call);
+        let taken = self.agent.handle_registration(self.now, &registration);
         taken.expect("it is of the agent's service");
         self.settle();
     }
 
-    /// A caller opens a flow, also anew under the same port. Returns whether it is open.
+    /// A caller opens a flow, which may have the same port as an earlier one. Returns whether
+    /// it is established.
     pub fn open(&mut self, port: u16) -> bool {
         let is_open = self.open_without_ack(port);
         if is_open {
@@ -193,18 +194,18 @@
         is_open
     }
 
-    /// The same, before the caller acknowledges the answer. Returns whether there is one.
+    /// A caller sends a SYN, and doesn't acknowledge the SYN-ACK. Returns whether it got one.
     pub fn open_without_ack(&mut self, port: u16) -> bool {
         self.callers.remove(&port);
-        let opening = PacketView {
+        let syn = PacketView {
             syn: true,
             ..empty(caller(port), ROUTE)
         };
-        self.carry(ForwardReason::OpenQueued, &opening);
+        self.forward(ForwardReason::OpenQueued, &syn);
         self.callers.contains_key(&port)
     }
 
-    /// The caller's flow is at another back end.
+    /// Gives the caller a flow that another back end owns.
     pub fn open_elsewhere(&mut self, port: u16, sequence: u32) {
         let flow = CallerFlow {
             sequence,
@@ -213,28 +214,28 @@
         self.callers.insert(port, flow);
     }
 
-    /// The caller acknowledges what it has.
+    /// The caller sends an acknowledgement without data.
     pub fn acknowledge(&mut self, port: u16) {
         let packet = self.packet(port, 0);
-        self.carry(ForwardReason::Deliver, &packet);
+        self.forward(ForwardReason::Deliver, &packet);
     }
 
     /// The caller sends a request.
     pub fn request(&mut self, port: u16) {
         let packet = self.packet(port, 50);
-        self.carry(ForwardReason::Deliver, &packet);
+        self.forward(ForwardReason::Deliver, &packet);
     }
 
-    /// The caller ends its flow; the back end learns of it.
+    /// The caller closes its flow, at the back end as well.
     pub fn finish(&mut self, port: u16) {
         let packet = PacketView {
             fin: true,
             ..self.packet(port, 0)
         };
-        self.carry(ForwardReason::Deliver, &packet);
+        self.forward(ForwardReason::Deliver, &packet);
         self.callers.remove(&port);
-        if let Some(life) = &mut self.backend {
-            life.flows.remove(&port);
+        if let Some(incarnation) = &mut self.backend {
+            incarnation.flows.remove(&port);
         }
     }
 
@@ -247,76 +248,76 @@
         }
     }
 
-    pub fn carry(&mut self, reason: ForwardReason, packet: &PacketView) {
-        let carry = ForwardedPacket {
+    pub fn forward(&mut self, reason: ForwardReason, packet: &PacketView) {
+        let forwarded = ForwardedPacket {
             service: service_digest(SERVICE),
             reason: reason.into(),
             packet: encode(packet),
             ..ForwardedPacket::default()
         };
-        let body = PassThroughBody::ForwardedPacket(carry);
+        let body = PassThroughBody::ForwardedPacket(forwarded);
         self.agent.handle_message(self.now, BALANCER, body);
         self.settle();
     }
 
-    /// A balancer hands a packet to the agent to try.
+    /// A balancer forwards a packet to the agent for speculative delivery.
     pub fn deliver_speculatively(&mut self, port: u16, data_bytes: u16) {
         let packet = self.packet(port, data_bytes);
-        self.carry(ForwardReason::Try, &packet);
+        self.forward(ForwardReason::Try, &packet);
     }
 
-    /// A balancer asks for a flow.
+    /// A balancer queries the agent for a flow.
     pub fn query(&mut self, port: u16) {
-        let sought = QueriedFlow {
+        let queried = QueriedFlow {
             flow: flow_id(port).into(),
             acknowledged: self.callers[&port].sequence.wrapping_add(1),
         };
-        let seek = FlowQuery {
-            flows: vec![sought],
+        let query = FlowQuery {
+            flows: vec![queried],
             ..FlowQuery::default()
         };
-        let body = PassThroughBody::FlowQuery(seek);
+        let body = PassThroughBody::FlowQuery(query);
         self.agent.handle_message(self.now, BALANCER, body);
         self.settle();
     }
 
-    /// The agent starts again, and knows nothing.
+    /// The agent restarts, with empty state.
     pub fn restart_agent(&mut self) {
         self.agent = new_agent(self.now);
         self.incarnation = self.now.as_micros();
     }
 
-    /// What a record of a life holds.
-    pub fn record(&self, life: &BackendIncarnation) -> FlowRecordResponse {
+    /// The flow record of an incarnation, with a probe packet for each flow.
+    pub fn record(&self, incarnation: &BackendIncarnation) -> FlowRecordResponse {
         let mut columns = FlowColumns {
             routes: vec![pack_address(ROUTE)],
             ..FlowColumns::default()
         };
-        let mut witnesses = Vec::new();
-        for (port, sequence) in &life.flows {
+        let mut probe_packets = Vec::new();
+        for (port, sequence) in &incarnation.flows {
             columns.callers.push(pack_address(caller(*port)));
             columns.route_indexes.push(0);
             columns.sequences.push(*sequence);
             columns.acknowledged_steps.push(1 / ACKNOWLEDGED_STEP_BYTES);
-            let witness = PacketView {
+            let probe_packet = PacketView {
                 ack: true,
                 ack_number: sequence.wrapping_add(1),
                 ..empty(caller(*port), ROUTE)
             };
-            witnesses.push(encode(&witness));
+            probe_packets.push(encode(&probe_packet));
         }
         FlowRecordResponse {
             incarnation: 0,
-            backend_incarnation: life.digest(),
+            backend_incarnation: incarnation.digest(),
             revision: 1,
             part: 0,
             parts: 1,
             flows: columns,
-            probe_packets: witnesses,
+            probe_packets,
         }
     }
 
-    /// A replica hands a record to the agent.
+    /// A replica sends a flow record to the agent.
     pub fn recover(&mut self, record: FlowRecordResponse) {
         let record = FlowRecordResponse {
             incarnation: self.incarnation,
@@ -338,26 +339,26 @@
         }
     }
 
-    /// A frozen back end goes on.
+    /// A frozen back end resumes, and gets the packets that were held.
     pub fn thaw(&mut self) {
         self.frozen = false;
-        while let Some(view) = self.waiting.pop_front() {
+        while let Some(view) = self.held_packets.pop_front() {
             self.reach_backend(view);
         }
         self.settle();
     }
 
-    /// Ports whose callers hold flows that the back end does not have.
+    /// Ports of callers whose flows the back end doesn't own.
     pub fn orphaned_ports(&self) -> Vec<u16> {
-        let lives = |port: &u16, flow: &CallerFlow| {
-            let life = self.backend.as_ref();
-            life.and_then(|life| life.flows.get(port)) == Some(&flow.sequence)
+        let is_owned = |port: &u16, flow: &CallerFlow| {
+            let incarnation = self.backend.as_ref();
+            incarnation.and_then(|incarnation| incarnation.flows.get(port)) == Some(&flow.sequence)
         };
-        let dead = self
+        let orphaned = self
             .callers
             .iter()
-            .filter(|(port, flow)| !lives(port, flow));
-        dead.map(|(port, _)| *port).collect()
+            .filter(|(port, flow)| !is_owned(port, flow));
+        orphaned.map(|(port, _)| *port).collect()
     }
 
     pub fn reset_ports(&self) -> Vec<u16> {
@@ -376,16 +377,18 @@
                 PassThroughOutput::ToBackend(packet) => {
                     let view = TestCodec.view(&packet).expect("a packet");
                     match self.frozen {
-                        true => self.waiting.push_back(view),
+                        true => self.held_packets.push_back(view),
                         false => self.reach_backend(view),
                     }
                 }
                 PassThroughOutput::ToCaller { packet, .. } => self.reach_caller(&packet),
                 PassThroughOutput::Send { to, body } if to == BALANCER => match body {
-                    PassThroughBody::ReturnedPacket(not_held) => self.take_not_held(not_held),
-                    PassThroughBody::FlowsOwned(holds) => {
-                        let held = holds.flows.iter().map(|held| FlowId::from(held.flow));
-                        self.owned_flows.extend(held);
+                    PassThroughBody::ReturnedPacket(returned) => {
+                        self.note_returned_packet(returned)
+                    }
+                    PassThroughBody::FlowsOwned(owned) => {
+                        let flows = owned.flows.iter().map(|flow| FlowId::from(flow.flow));
+                        self.owned_flows.extend(flows);
                     }
                     _ => {}
                 },
@@ -395,29 +398,33 @@
         }
     }
 
-    fn take_not_held(&mut self, not_held: ReturnedPacket) {
-        let id = FlowId::from(not_held.flow);
-        if not_held.was_open {
-            self.assert_dead(id.caller.port(), not_held.acknowledged);
+    fn note_returned_packet(&mut self, returned: ReturnedPacket) {
+        let id = FlowId::from(returned.flow);
+        if returned.was_open {
+            self.assert_orphaned(id.caller.port(), returned.acknowledged);
         }
-        self.returned_packets.push(not_held);
+        self.returned_packets.push(returned);
     }
 
-    /// A flow that lives must never be told as gone.
-    fn assert_dead(&self, port: u16, acknowledged: u32) {
+    /// Fails if the acknowledgement number belongs to a flow that the back end owns: an owned
+    /// flow must never be reported as orphaned.
+    fn assert_orphaned(&self, port: u16, acknowledged: u32) {
         let Some(flow) = self.callers.get(&port) else {
             return;
         };
-        let is_meant = acknowledged.wrapping_sub(flow.sequence) < SEQUENCE_STEP;
-        let is_dead = self.orphaned_ports().contains(&port);
-        assert!(!is_meant || is_dead, "the flow of port {port} lives");
+        let is_same_flow = acknowledged.wrapping_sub(flow.sequence) < SEQUENCE_STEP;
+        let is_orphaned = self.orphaned_ports().contains(&port);
+        assert!(
+            !is_same_flow || is_orphaned,
+            "the back end owns the flow of port {port}"
+        );
     }
 
     fn reach_caller(&mut self, packet: &[u8]) {
         let view = TestCodec.view(packet).expect("a packet");
         let port = view.destination.port();
         if view.rst {
-            self.assert_dead(port, view.sequence_number);
+            self.assert_orphaned(port, view.sequence_number);
             self.resets.push((self.now, port));
             if let Some(flow) = self.callers.get_mut(&port) {
                 flow.was_reset = true;
@@ -433,24 +440,25 @@
 
     fn reach_backend(&mut self, view: PacketView) {
         let port = view.source.port();
-        let is_bare = view.data_bytes == 0 && !view.is_syn();
-        if is_bare && !view.fin {
+        let is_dataless = view.data_bytes == 0 && !view.is_syn();
+        if is_dataless && !view.fin {
             self.dataless_packets.push(port);
         }
-        let Some(life) = &mut self.backend else {
+        let Some(incarnation) = &mut self.backend else {
             return;
         };
         if view.is_syn() {
             self.next_sequence = self.next_sequence.wrapping_add(SEQUENCE_STEP);
-            life.flows.insert(port, self.next_sequence);
-            let answer = PacketView {
+            incarnation.flows.insert(port, self.next_sequence);
+            let syn_ack = PacketView {
                 syn: true,
                 ack: true,
                 sequence_number: self.next_sequence,
                 ..empty(ROUTE, view.source)
             };
-            self.agent.handle_backend_packet(self.now, &encode(&answer));
-        } else if !life.flows.contains_key(&port) {
+            self.agent
+                .handle_backend_packet(self.now, &encode(&syn_ack));
+        } else if !incarnation.flows.contains_key(&port) {
             let returned = PacketView {
                 returned: true,
                 ..view
