--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -15,6 +15,7 @@
 const URGENT_REPORT_INTERVAL: Duration = Duration::from_millis(60);
 /// The same for the first reports after the start, when replicas may be starting as well.
 const FIRST_REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of reports at that interval.
 const FIRST_REPORTS: u64 = 10;
 /// Minimum interval between reports of a new agent, which most replicas haven't saved: if they
 /// restarted, they would take their directories for complete without it. The interval grows
--- a/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
@@ -44,7 +44,7 @@
 /// The flow record of a previous incarnation of the agent.
 #[derive(Debug)]
 struct RecoveredRecord {
-    record: PreviousFlowRecord,
+    flow_record: PreviousFlowRecord,
     recovered_at: Timestamp,
     probe: Option<RestartProbe>,
     probe_count: u32,
@@ -55,14 +55,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct SeenRegistration {
-    backend: u64,
+    incarnation_digest: u64,
     sequence: u64,
 }
 
 impl SeenRegistration {
     fn new(registration: &Registration) -> SeenRegistration {
         SeenRegistration {
-            backend: backend_digest(&registration.id, registration.started_at_millis),
+            incarnation_digest: backend_digest(&registration.id, registration.started_at_millis),
             sequence: registration.sequence,
         }
     }
@@ -70,7 +70,7 @@
     /// Whether it may come from another incarnation than an earlier registration. It may also
     /// be a delayed one.
     fn may_be_other_incarnation(&self, earlier: &SeenRegistration) -> bool {
-        self.backend != earlier.backend || self.sequence <= earlier.sequence
+        self.incarnation_digest != earlier.incarnation_digest || self.sequence <= earlier.sequence
     }
 }
 
@@ -99,7 +99,7 @@
         self.orphaned.forget(id);
         self.probes_mut().for_each(|probe| probe.forget(id));
         if let Some(record) = &mut self.record {
-            record.record.flows.retain(|flow| flow.id != id);
+            record.flow_record.flows.retain(|flow| flow.id != id);
         }
     }
 
@@ -123,7 +123,7 @@
 
 impl RecoveredRecord {
     fn contains(&self, id: FlowId, acknowledged: u32) -> bool {
-        let mut flows = self.record.flows.iter();
+        let mut flows = self.flow_record.flows.iter();
         flows.any(|flow| flow.id == id && flow.owns_ack(acknowledged))
     }
 
@@ -143,7 +143,7 @@
                 probe_packet: probe_packet.map(|(_, packet)| packet.clone()),
             }
         };
-        let flows = self.record.flows.iter().map(probed).collect();
+        let flows = self.flow_record.flows.iter().map(probed).collect();
         self.probe = Some(RestartProbe::new(now, flows));
     }
 }
@@ -156,7 +156,7 @@
             return;
         }
         self.previous.record = Some(RecoveredRecord {
-            record,
+            flow_record: record,
             recovered_at: now,
             probe: None,
             probe_count: 0,
@@ -197,8 +197,9 @@
         let Some(record) = &self.previous.record else {
             return;
         };
-        let is_same = record.record.backend_incarnation == registration.backend;
-        let is_current = self.registration.incarnation_digest() == Some(registration.backend);
+        let is_same = record.flow_record.backend_incarnation == registration.incarnation_digest;
+        let is_current =
+            self.registration.incarnation_digest() == Some(registration.incarnation_digest);
         let identifies_incarnation = self.registration.identifies_incarnation();
         match (is_same, is_current) {
             (true, true) if identifies_incarnation => self.take_over(now),
@@ -219,7 +220,11 @@
             // The caller may have opened a new flow from the same address and port.
             flows.get(id).is_none().then(|| (id, packet.clone()))
         };
-        let probe_packets = record.record.probe_packets.iter().filter_map(probe_packet);
+        let probe_packets = record
+            .flow_record
+            .probe_packets
+            .iter()
+            .filter_map(probe_packet);
         let probe_packets = probe_packets.collect();
         record.start_probe(now, probe_packets);
     }
@@ -231,18 +236,18 @@
         };
         let age = now.saturating_since(recovered.recovered_at).as_millis();
         let mut taken = 0;
-        for flow in &recovered.record.flows {
+        for flow in &recovered.flow_record.flows {
             taken += u64::from(self.flows.take_over(now, *flow));
         }
-        for packet in &recovered.record.probe_packets {
+        for packet in &recovered.flow_record.probe_packets {
             if let Some(view) = self.codec.view(packet) {
                 self.flows
                     .note_probe_packet(view.flow_from_caller(), packet);
             }
         }
         self.counters.taken_over += taken;
-        let backend = recovered.record.backend_incarnation;
-        let recorded = recovered.record.flows.len();
+        let backend = recovered.flow_record.backend_incarnation;
+        let recorded = recovered.flow_record.flows.len();
         let subject =
             format!("backend={backend:x} flows={taken} recorded={recorded} record_age={age}");
         self.emit_event(EventKind::FlowsTakenOver, subject);
@@ -272,7 +277,7 @@
             return false;
         };
         if let Some(record) = &mut self.previous.record {
-            record.record.flows.retain(|flow| flow.id != id);
+            record.flow_record.flows.retain(|flow| flow.id != id);
         }
         // If the caller sent data, its balancer resets it.
         if view.data_bytes == 0 && !view.fin {
@@ -340,13 +345,13 @@
         };
         let probe = record.probe.take();
         record.next_probe_at = now + PROBE_INTERVAL;
-        let backend = record.record.backend_incarnation;
+        let backend = record.flow_record.backend_incarnation;
         if !result.orphaned.is_empty() {
-            record.record.flows.clone_from(&result.orphaned);
+            record.flow_record.flows.clone_from(&result.orphaned);
             record.probes_returned = true;
         }
         self.note_probe_result(now, "record", probe, &result);
-        let is_other = |registration: SeenRegistration| registration.backend != backend;
+        let is_other = |registration: SeenRegistration| registration.incarnation_digest != backend;
         let registered_as_other = self.previous.last_registration.is_some_and(is_other);
         match result.orphaned.is_empty() {
             true if result.has_ended => self.previous.record = None,
@@ -363,7 +368,7 @@
         let Some(recovered) = self.previous.record.take() else {
             return;
         };
-        for orphaned in recovered.record.flows {
+        for orphaned in recovered.flow_record.flows {
             // A flow that this incarnation of the agent knows has been opened again.
             if self.flows.get(orphaned.id).is_none() {
                 self.previous.orphaned.add(now, orphaned);
--- a/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
@@ -25,6 +25,7 @@
 #[derive(Debug)]
 pub(crate) struct FairQueue<K, T> {
     flows: HashMap<K, FlowQueue<T>>,
+    /// Flows with queued items, in round-robin order.
     active: VecDeque<K>,
     bytes: usize,
 }
