--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -1,15 +1,15 @@
-//! The agent: admits new flows to the back end beside it, hands packets both
-//! ways, and tells how busy the back end is.
+//! The agent: admits new flows to its back end, delivers packets in both directions, and
+//! reports the back end's load.
 
 mod backend_packets;
 mod caller_packets;
-mod former_flows;
-mod openings;
-mod questions;
-mod recording;
+mod flow_queries;
+mod flow_recording;
+mod new_flows;
+mod reported_processing_time;
 mod reports;
+mod restart_probes;
 mod stopping;
-mod work_times;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -24,14 +24,14 @@
 use crate::identity::Incarnation;
 use crate::time::Timestamp;
 
-use crate::pass_through::admission::cold_admission::{ColdAdmission, WarmUpBounds};
-use crate::pass_through::admission::failure_watch::FailureWatch;
+use crate::pass_through::admission::admission_queue::AdmissionQueue;
+use crate::pass_through::admission::competing_balancers::CompetingBalancers;
+use crate::pass_through::admission::outlier_detector::OutlierDetector;
+use crate::pass_through::admission::processing_time::ProcessingTime;
 use crate::pass_through::admission::registration::{
     Registration, RegistrationRefusal, RegistrationState,
 };
-use crate::pass_through::admission::service_time::ServiceTime;
-use crate::pass_through::admission::turns::AskingBalancers;
-use crate::pass_through::admission::waiting_openings::WaitingOpenings;
+use crate::pass_through::admission::warm_up_limiter::{WarmUpBounds, WarmUpLimiter};
 use crate::pass_through::digest::service_digest;
 use crate::pass_through::flows::agent_flows::AgentFlows;
 use crate::pass_through::flows::flow_record_recovery::{FlowRecordRecovery, RecoveryOutcome};
@@ -44,102 +44,102 @@
 use crate::pass_through::output::PassThroughOutput;
 use crate::pass_through::packet::PacketCodec;
 
-use former_flows::FormerLives;
+use reported_processing_time::ReportedProcessingTime;
 pub(crate) use reports::NEW_AGENT_REPORTS;
-use stopping::LastWord;
-use work_times::WorkTimes;
+use restart_probes::PreviousIncarnations;
+use stopping::FinalReport;
 
-/// Between two sweeps over the flows.
+/// Interval between sweeps over the flows.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time in which a new agent admits before its back end has called:
-/// one that leaves may get new flows for so long after a restart of its agent.
-const MAX_PROVISIONAL_LIMIT: Duration = Duration::from_millis(2_500);
-/// Between two looks for places of flows that were not opened, and for packets that
-/// have waited in vain.
-const WAITING_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A balancer that sent nothing for so long is not told about held flows.
-const BALANCER_MEMORY: Duration = Duration::from_secs(30);
+/// Upper bound of [`PassThroughAgentSettings::provisional_timeout`]: a draining back end may
+/// get new flows for this long after a restart of its agent.
+const MAX_PROVISIONAL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Interval between checks for slots of flows that were never established, and for queued flows
+/// that have expired.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A balancer that sent nothing for this long gets no messages about owned flows.
+const BALANCER_TTL: Duration = Duration::from_secs(30);
 
 /// Settings of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PassThroughAgentSettings {
-    /// Where balancers send packets.
+    /// Address to which balancers forward packets.
     pub address: SocketAddrV4,
     /// The agent's zone.
     pub zone: String,
-    /// The service of the back end beside it.
+    /// The service of the agent's back end.
     pub service: String,
-    /// Whether the whole system starts for the first time, so that no flow is
-    /// older than this life of the agent.
+    /// Whether the whole system starts for the first time, so that no flow is older than this
+    /// incarnation of the agent.
     pub first_start: bool,
-    /// Between two reports to the control group; the group may ask for a longer
-    /// time.
+    /// Interval between reports to the replica group, which may ask for a longer one.
     pub report_interval: Duration,
-    /// A back end that was silent for so long gets no new flows.
+    /// A back end that was silent for this long gets no new flows.
     pub silence_limit: Duration,
-    /// After its start an agent admits for so long, 2.5 s at most, beside a back end that has
-    /// not called yet, if packets show that it is alive. A back end that leaves
-    /// gets new flows for at most this long after a restart of its agent.
+    /// How long after its start, 2.5 s at most, an agent admits flows to a back end that hasn't
+    /// registered yet, if packets show that it runs. A draining back end gets new flows for at
+    /// most this long after a restart of its agent.
     pub provisional_timeout: Duration,
-    /// A flow that rested for so long is forgotten.
+    /// A flow that was idle for this long is forgotten.
     pub flow_lifetime: Duration,
-    /// How many requests an agent takes if all others are full, as a multiple of its
-    /// back end's capacity, as long as it does not know how many are likely to meet
-    /// their objective.
+    /// Limit on the in-flight requests per slot that an agent accepts if all others are full,
+    /// while it doesn't know how many are likely to meet their latency objective.
     pub queue_factor: u32,
-    /// The longest that a planned stop waits for open flows.
+    /// Maximum time that a planned stop waits for open flows.
     pub stop_timeout: Duration,
-    /// What a back end that warms up may get.
+    /// Limits on new flows for a back end that warms up.
     pub warm_up_bounds: WarmUpBounds,
-    /// The record of open flows that replicas keep.
+    /// Settings of the flow record, which replicas keep.
     pub flow_record: FlowRecordSettings,
 }
 
 /// Counters of an agent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PassThroughAgentCounters {
-    /// New flows handed to the back end.
+    /// New flows that were admitted to the back end.
     pub admitted: u64,
-    /// Packets of open flows handed to the back end.
+    /// Packets of open flows that were delivered to the back end.
     pub delivered: u64,
     /// New flows that were declined, by reason.
     pub declined: BTreeMap<DeclineReason, u64>,
-    /// New flows that were declined for lack of room, by priority.
+    /// New flows that were declined for lack of capacity, by priority.
     pub declined_full: BTreeMap<u32, u64>,
-    /// New flows that were let wait for a place.
+    /// New flows that entered the admission queue.
     pub waiting: u64,
-    /// Packets handed to the back end to find out whether it has their flows.
+    /// Packets that were delivered speculatively, to find out whether the back end owns their
+    /// flows.
     pub tried: u64,
     /// Packets that the back end returned.
     pub returned: u64,
-    /// Flows of lives of the back end that are over: callers that waited for an answer.
+    /// Orphaned flows whose callers were reset at once, because they awaited a response.
     pub told_at_once: u64,
-    /// The same: balancers that had or asked for a packet of the flow.
+    /// Orphaned flows that were reported to a balancer that forwarded a packet of the flow or
+    /// sent a query for it.
     pub told_when_asked: u64,
-    /// The same: callers that waited for nothing, told at a pace.
+    /// Orphaned flows whose callers awaited no response, and were reset at a limited rate.
     pub told_at_pace: u64,
-    /// Flows of a former life of the agent that were taken over.
+    /// Flows of a previous incarnation of the agent that were taken over.
     pub taken_over: u64,
-    /// Proofs that a life of the back end is over.
+    /// Restart probes which showed that an incarnation of the back end has ended.
     pub lives_over: u64,
-    /// Proofs that showed nothing.
+    /// Restart probes that were inconclusive.
     pub lives_undecided: u64,
-    /// Packets of the back end that could not be read.
+    /// Malformed packets from the back end.
     pub malformed: u64,
 }
 
 impl PassThroughAgentCounters {
-    fn note_full(&mut self, priority: u32) {
+    fn note_declined_full(&mut self, priority: u32) {
         *self.declined_full.entry(priority).or_default() += 1;
     }
 }
 
-/// Times that an agent measures.
+/// Latencies that an agent measures.
 #[derive(Clone, Debug, Default)]
 pub struct PassThroughAgentLatencies {
-    /// From the admission of a flow until the back end answered it.
+    /// Time from the admission of a flow until the back end's SYN-ACK.
     pub first_response: LatencyHistogram,
-    /// Between two calls of the back end.
+    /// Time between registrations of the back end.
     pub registration_gap: LatencyHistogram,
 }
 
@@ -150,16 +150,17 @@
     codec: C,
     incarnation: Incarnation,
     service: u64,
-    contacts: KnownReplicas,
+    known_replicas: KnownReplicas,
     registration: RegistrationState,
     flows: AgentFlows,
-    tried: SpeculativeDeliveries,
-    former: FormerLives,
-    /// Questions that this agent asks others on behalf of balancers.
-    gathered: RelayedQueries,
+    speculative_deliveries: SpeculativeDeliveries,
+    previous: PreviousIncarnations,
+    /// Flow queries that this agent relays to other agents for balancers.
+    relayed_queries: RelayedQueries,
     started_at: Timestamp,
-    /// Whether replicas know of a former life of this agent, once one has said.
-    had_former_life: Option<bool>,
+    /// Whether a replica knows a previous incarnation of this agent; `None` until one has
+    /// acknowledged a report.
+    has_previous_incarnation: Option<bool>,
     balancers: BTreeMap<SocketAddrV4, Timestamp>,
     report_number: u64,
     report_at: Timestamp,
@@ -168,71 +169,72 @@
     reported_state: AgentState,
     /// See [`RegistrationState::description_revision`].
     reported_description: u64,
-    /// Between two reports without news.
+    /// Interval between reports without changes.
     report_interval: Duration,
-    /// Whether no replica has shown that it heard of the reported state.
-    unheard: bool,
-    /// Replicas that will know of this agent in their next lives.
-    remembered_by: BTreeSet<SocketAddrV4>,
+    /// Whether no replica has acknowledged the reported state.
+    report_unacknowledged: bool,
+    /// Replicas that have saved this agent, and know of it after a restart.
+    saved_by: BTreeSet<SocketAddrV4>,
     stop_at: Option<Timestamp>,
-    /// The last word that is repeated until a replica has heard it.
-    last_word: Option<LastWord>,
+    /// The final report, which is repeated until a replica acknowledges it.
+    final_report: Option<FinalReport>,
     stopped: bool,
-    /// It has stopped, and its back end certainly has no open flow.
-    leaves_nothing: bool,
+    /// Whether the agent has stopped and its back end certainly has no open flow.
+    has_no_open_flows: bool,
     counters: PassThroughAgentCounters,
     latencies: PassThroughAgentLatencies,
-    service_time: ServiceTime,
-    work_times: WorkTimes,
-    cold_admission: ColdAdmission,
-    failure_watch: FailureWatch,
-    asking: AskingBalancers,
-    waiting: WaitingOpenings,
-    /// When places that nobody told of are looked for, while packets wait.
-    waiting_check_at: Timestamp,
+    processing_time: ProcessingTime,
+    reported_processing_time: ReportedProcessingTime,
+    warm_up_limiter: WarmUpLimiter,
+    outlier_detector: OutlierDetector,
+    competing_balancers: CompetingBalancers,
+    admission_queue: AdmissionQueue,
+    /// Next check for slots that were freed without a packet, while flows are queued.
+    queue_check_at: Timestamp,
     evacuations: Evacuations,
     registered_at: Option<Timestamp>,
     recorder: FlowRecorder,
-    /// Asks for the flows of the former life, until that is over.
-    recall: Option<FlowRecordRecovery>,
+    /// Recovery of the previous incarnation's flow record, while it lasts.
+    recovery: Option<FlowRecordRecovery>,
     recovery_outcome: Option<RecoveryOutcome>,
     outputs: VecDeque<PassThroughOutput>,
 }
 
 impl<C: PacketCodec> PassThroughAgent<C> {
-    /// Starts a life of an agent.
+    /// Starts an incarnation of an agent.
     pub fn new(
         now: Timestamp,
         settings: PassThroughAgentSettings,
         codec: C,
         incarnation: Incarnation,
-        contacts: KnownReplicas,
+        known_replicas: KnownReplicas,
     ) -> Self {
-        let provisional_timeout = settings.provisional_timeout.min(MAX_PROVISIONAL_LIMIT);
-        let has_former = !settings.first_start && !settings.flow_record.min_flow_age.is_zero();
+        let provisional_timeout = settings.provisional_timeout.min(MAX_PROVISIONAL_TIMEOUT);
+        let may_have_previous =
+            !settings.first_start && !settings.flow_record.min_flow_age.is_zero();
         PassThroughAgent {
             service: service_digest(&settings.service),
             report_interval: settings.report_interval,
             registration: RegistrationState::new(now + provisional_timeout),
-            cold_admission: ColdAdmission::new(settings.warm_up_bounds),
-            failure_watch: FailureWatch::default(),
-            asking: AskingBalancers::default(),
-            waiting: WaitingOpenings::default(),
-            waiting_check_at: now,
+            warm_up_limiter: WarmUpLimiter::new(settings.warm_up_bounds),
+            outlier_detector: OutlierDetector::default(),
+            competing_balancers: CompetingBalancers::default(),
+            admission_queue: AdmissionQueue::default(),
+            queue_check_at: now,
             evacuations: Evacuations::default(),
             recorder: FlowRecorder::new(settings.flow_record),
-            recall: has_former.then(|| FlowRecordRecovery::new(now)),
+            recovery: may_have_previous.then(|| FlowRecordRecovery::new(now)),
             recovery_outcome: None,
             settings,
             codec,
             incarnation,
-            contacts,
+            known_replicas,
             flows: AgentFlows::default(),
-            tried: SpeculativeDeliveries::default(),
-            former: FormerLives::default(),
-            gathered: RelayedQueries::default(),
+            speculative_deliveries: SpeculativeDeliveries::default(),
+            previous: PreviousIncarnations::default(),
+            relayed_queries: RelayedQueries::default(),
             started_at: now,
-            had_former_life: None,
+            has_previous_incarnation: None,
             balancers: BTreeMap::new(),
             report_number: 0,
             report_at: now,
@@ -240,16 +242,16 @@
             sweep_at: now + SWEEP_INTERVAL,
             reported_state: AgentState::Unavailable,
             reported_description: 0,
-            unheard: true,
-            remembered_by: BTreeSet::new(),
+            report_unacknowledged: true,
+            saved_by: BTreeSet::new(),
             stop_at: None,
-            last_word: None,
+            final_report: None,
             stopped: false,
-            leaves_nothing: false,
+            has_no_open_flows: false,
             counters: PassThroughAgentCounters::default(),
             latencies: PassThroughAgentLatencies::default(),
-            service_time: ServiceTime::default(),
-            work_times: WorkTimes::default(),
+            processing_time: ProcessingTime::default(),
+            reported_processing_time: ReportedProcessingTime::default(),
             registered_at: None,
             outputs: VecDeque::new(),
         }
@@ -257,10 +259,10 @@
 
     /// The replicas that this agent knows.
     pub fn known_replicas_mut(&mut self) -> &mut KnownReplicas {
-        &mut self.contacts
+        &mut self.known_replicas
     }
 
-    /// Whether the agent can serve its back end.
+    /// Whether the agent serves its back end: no planned stop has begun.
     pub fn is_ready(&self) -> bool {
         self.stop_at.is_none()
     }
@@ -270,9 +272,9 @@
         self.stopped
     }
 
-    /// Proofs under way that a life of the back end is over.
+    /// Number of restart probes in progress.
     pub fn pending_restart_probes(&self) -> usize {
-        self.former.pending()
+        self.previous.pending()
     }
 
     /// Counters since the start.
@@ -280,69 +282,69 @@
         &self.counters
     }
 
-    /// Times since the start.
+    /// Latencies since the start.
     pub fn latencies(&self) -> &PassThroughAgentLatencies {
         &self.latencies
     }
 
-    /// Requests that wait for their answers, and how many the back end works
-    /// on at once.
+    /// In-flight requests, and the back end's number of slots.
     pub fn load(&self) -> (u32, u32) {
-        (
-            self.flows.in_flight_requests(),
-            self.registration.capacity(),
-        )
+        (self.flows.in_flight_requests(), self.registration.slots())
     }
 
-    /// Flows that are open at the back end, and the slots that they kept busy in the mean
-    /// of the last seconds, in thousandths of a slot.
+    /// Open flows at the back end, and the mean number of slots that they kept busy over the
+    /// last seconds, in thousandths of a slot.
     pub fn demand(&self, now: Timestamp) -> (u32, u32) {
         (self.flows.open_flows(), self.flows.demand_millislots(now))
     }
 
-    /// The mean time that the back end works on a request as it is now, warm or cold, in
-    /// microseconds; zero if that is not known.
+    /// Mean processing time of a request in the back end's present state, warm or cold, in
+    /// microseconds; zero if unknown.
     pub fn processing_micros(&self, now: Timestamp) -> u32 {
-        self.work_times.micros(self.registration.is_cold(now))
+        self.reported_processing_time
+            .micros(self.registration.is_cold(now))
     }
 
-    /// Takes a call of the back end. Once this returns the caller may
-    /// acknowledge it: no new flow is admitted against what it said.
+    /// Handles a registration of the back end. It may be acknowledged once this returns: every
+    /// later admission follows it.
     ///
     /// # Errors
     ///
-    /// A call for another service names no back end to use; it changes nothing.
+    /// Refuses a registration for another service, which changes nothing.
     pub fn handle_registration(
         &mut self,
         now: Timestamp,
-        call: &Registration,
+        registration: &Registration,
     ) -> Result<(), RegistrationRefusal> {
-        if call.service != self.settings.service {
+        if registration.service != self.settings.service {
             return Err(RegistrationRefusal::WrongService {
                 own: self.settings.service.clone(),
-                named: call.service.clone(),
+                named: registration.service.clone(),
             });
         }
-        if let Some(former) = self.registered_at.replace(now) {
-            let gap = now.saturating_since(former);
+        if let Some(previous) = self.registered_at.replace(now) {
+            let gap = now.saturating_since(previous);
             self.latencies.registration_gap.record(gap);
         }
-        let changed = self.registration.handle_registration(now, call);
+        let changed = self.registration.handle_registration(now, registration);
         if changed {
-            let kind = match call.draining {
+            let kind = match registration.draining {
                 true => EventKind::BackendLeaving,
                 false => EventKind::BackendRegistered,
             };
-            let capacity = call.slots;
-            let subject = format!("{} call={} slots={capacity}", call.id, call.sequence);
+            let slots = registration.slots;
+            let subject = format!(
+                "{} call={} slots={slots}",
+                registration.id, registration.sequence
+            );
             self.emit_event(kind, subject);
         }
-        self.note_call(now, call);
+        self.note_registration(now, registration);
         self.report_if_changed(now);
         Ok(())
     }
 
-    /// Takes the goodbye of the back end.
+    /// Handles a deregistration of the back end.
     pub fn handle_deregistration(&mut self, now: Timestamp, id: &str) {
         if self.registration.handle_deregistration(id) {
             self.emit_event(EventKind::BackendLeaving, format!("{id} withdrawn"));
@@ -350,121 +352,125 @@
         self.report_if_changed(now);
     }
 
-    /// Takes a message of a balancer or replica.
+    /// Handles a message of a balancer, a replica or another agent.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
-            PassThroughBody::ForwardedPacket(carry) => self.handle_carry(now, from, carry),
-            PassThroughBody::FlowQuery(seek) => {
-                self.handle_seek(now, from, &seek);
-                self.tell_gathered(now);
+            PassThroughBody::ForwardedPacket(forwarded) => {
+                self.handle_forwarded_packet(now, from, forwarded)
             }
-            PassThroughBody::FlowsOwned(holds) => {
-                self.gathered.handle_flows_owned(now, from, &holds);
-                self.tell_gathered(now);
+            PassThroughBody::FlowQuery(query) => {
+                self.handle_flow_query(now, from, &query);
+                self.send_aggregated_replies(now);
             }
-            PassThroughBody::FlowsNotOwned(lacks) => {
-                self.gathered.handle_flows_not_owned(now, from, &lacks);
-                self.tell_gathered(now);
+            PassThroughBody::FlowsOwned(owned) => {
+                self.relayed_queries.handle_flows_owned(now, from, &owned);
+                self.send_aggregated_replies(now);
             }
-            PassThroughBody::GroupStatus(group) => self.handle_group(now, from, &group),
-            PassThroughBody::FlowRecordAck(kept) => self.handle_record_kept(now, from, &kept),
-            PassThroughBody::FlowRecordResponse(former) => {
-                self.handle_former_flows(now, from, former)
+            PassThroughBody::FlowsNotOwned(not_owned) => {
+                self.relayed_queries
+                    .handle_flows_not_owned(now, from, &not_owned);
+                self.send_aggregated_replies(now);
+            }
+            PassThroughBody::GroupStatus(group) => self.handle_group_status(now, from, &group),
+            PassThroughBody::FlowRecordAck(ack) => self.handle_flow_record_ack(now, from, &ack),
+            PassThroughBody::FlowRecordResponse(response) => {
+                self.handle_flow_record_response(now, from, response)
             }
             _ => {}
         }
-        self.serve_waiting(now);
+        self.serve_queue(now);
     }
 
-    /// Takes what a replica tells. Replicas that were not known before are
-    /// reported to at once: otherwise balancers that ask them would learn of this
-    /// agent only with its next report without news, seconds later.
-    fn handle_group(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
+    /// Handles the status of a replica. A report is sent at once if it names new replicas:
+    /// otherwise, balancers that poll these would learn of this agent only with its next
+    /// regular report, seconds later.
+    fn handle_group_status(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.handle_zones(from, group.zones.as_ref());
-        let known = self.contacts.all();
-        self.contacts.handle_group_status(group);
-        let has_more = !self.contacts.all().is_subset(&known);
-        self.registration.recall(&group.draining_backends);
+        let known = self.known_replicas.all();
+        self.known_replicas.handle_group_status(group);
+        let has_new_replicas = !self.known_replicas.all().is_subset(&known);
+        self.registration.restore_draining(&group.draining_backends);
         if group.has_report {
-            *self.had_former_life.get_or_insert(false) |= group.knows_previous_incarnation;
+            *self.has_previous_incarnation.get_or_insert(false) |= group.knows_previous_incarnation;
             self.note_report_interval(group.report_interval_millis);
-            self.unheard = false;
-            self.note_last_word_heard(group.acknowledged_report);
+            self.report_unacknowledged = false;
+            self.note_report_acknowledged(group.acknowledged_report);
         }
         if group.agent_is_saved {
-            self.remembered_by.insert(from);
+            self.saved_by.insert(from);
         }
-        match has_more || self.owes_report(now, group) {
+        match has_new_replicas || self.owes_report(now, group) {
             true => self.report(now),
             false => self.report_if_changed(now),
         }
         self.continue_stop(now);
     }
 
-    /// Takes orders about zones, if they are newer, and says that they are known.
-    fn handle_zones(&mut self, from: SocketAddrV4, told: Option<&ZoneStatuses>) {
-        let Some(told) = told else { return };
+    /// Applies zone statuses if they are newer, and acknowledges them.
+    fn handle_zones(&mut self, from: SocketAddrV4, zones: Option<&ZoneStatuses>) {
+        let Some(zones) = zones else { return };
         let was_evacuated = self.is_evacuated();
-        if self.evacuations.take_newer(told) {
+        if self.evacuations.take_newer(zones) {
             if was_evacuated && !self.is_evacuated() {
-                // It may have been started again meanwhile.
-                self.registration.note_doubt();
+                // The back end may have restarted during the evacuation.
+                self.registration.note_possible_restart();
             }
             let subject = self.evacuations.to_string();
             self.emit_event(EventKind::ZonesApplied, subject);
         }
-        let known = EvacuationsAck {
+        let ack = EvacuationsAck {
             address: pack_address(self.settings.address),
             index: self.evacuations.index(),
         };
-        self.send(from, PassThroughBody::EvacuationsAck(known));
+        self.send(from, PassThroughBody::EvacuationsAck(ack));
     }
 
-    /// Whether the agent's zone is out of service.
+    /// Whether the agent's zone is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.evacuations.contains(&self.settings.zone)
     }
 
-    /// Does what has become due.
+    /// Runs the timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
             self.flows.expire(now, self.settings.flow_lifetime);
-            self.tried.expire(now, self.settings.flow_lifetime);
-            self.former.expire(now, self.settings.flow_lifetime);
-            self.asking.expire(now);
+            self.speculative_deliveries
+                .expire(now, self.settings.flow_lifetime);
+            self.previous.expire(now, self.settings.flow_lifetime);
+            self.competing_balancers.expire(now);
             self.balancers
-                .retain(|_, heard| now.saturating_since(*heard) < BALANCER_MEMORY);
+                .retain(|_, last_seen_at| now.saturating_since(*last_seen_at) < BALANCER_TTL);
             self.report_if_changed(now);
             self.record_flows(now);
         }
-        self.continue_recall(now);
+        self.continue_recovery(now);
         if now >= self.report_at {
             self.report(now);
         }
-        self.continue_proofs(now);
-        self.tell_gathered(now);
-        self.serve_waiting(now);
-        self.waiting_check_at = now + WAITING_CHECK_INTERVAL;
+        self.continue_restart_probes(now);
+        self.send_aggregated_replies(now);
+        self.serve_queue(now);
+        self.queue_check_at = now + QUEUE_CHECK_INTERVAL;
         self.continue_stop(now);
     }
 
-    /// When [`PassThroughAgent::handle_timeout`] is wanted.
+    /// When [`PassThroughAgent::handle_timeout`] is due next.
     pub fn poll_timeout(&self) -> Timestamp {
-        let waiting = (!self.waiting.is_empty()).then_some(self.waiting_check_at);
+        let queue_check = (!self.admission_queue.is_empty()).then_some(self.queue_check_at);
         let first = self.sweep_at.min(self.report_at);
-        let first = waiting.map_or(first, |at| at.min(first));
-        let recall = self.recall.as_ref().map(FlowRecordRecovery::poll_timeout);
+        let first = queue_check.map_or(first, |at| at.min(first));
+        let recovery = self.recovery.as_ref().map(FlowRecordRecovery::poll_timeout);
         let others = [
-            recall,
-            self.last_word_until(),
-            self.gathered.poll_timeout(),
-            self.former.poll_timeout(),
+            recovery,
+            self.final_report_until(),
+            self.relayed_queries.poll_timeout(),
+            self.previous.poll_timeout(),
         ];
         others.into_iter().flatten().fold(first, Timestamp::min)
     }
 
-    /// The next thing to do.
+    /// Removes the next output for the event loop.
     pub fn poll_output(&mut self) -> Option<PassThroughOutput> {
         self.outputs.pop_front()
     }
--- a/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/fair_queue.rs
@@ -1,12 +1,12 @@
-//! Queues of many flows that take turns: deficit round robin.
+//! A fair queue of many flows: deficit round robin.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Bytes that a flow may send in each of its turns: one datagram of full size.
+/// Bytes that a flow may send in each of its rounds: one full-size datagram.
 const QUANTUM_BYTES: usize = 1_400;
 
-/// Something that takes so many bytes of the link.
+/// An item and the number of bytes that it takes on the link.
 #[derive(Debug)]
 pub(crate) struct Queued<T> {
     pub(crate) item: T,
@@ -17,15 +17,16 @@
 struct FlowQueue<T> {
     items: VecDeque<Queued<T>>,
     bytes: usize,
-    /// What it may still send in this turn.
+    /// Bytes that the flow may still send in this round.
     deficit: usize,
 }
 
-/// The queues. `K` names a flow.
+/// Deficit round robin over the queues of flows, which are identified by `K`.
 #[derive(Debug)]
 pub(crate) struct FairQueue<K, T> {
     flows: HashMap<K, FlowQueue<T>>,
-    turns: VecDeque<K>,
+    /// Flows with queued items, in round-robin order.
+    active: VecDeque<K>,
     bytes: usize,
 }
 
@@ -33,26 +34,26 @@
     pub(crate) fn new() -> Self {
         FairQueue {
             flows: HashMap::new(),
-            turns: VecDeque::new(),
+            active: VecDeque::new(),
             bytes: 0,
         }
     }
 
-    /// Bytes of all that waits.
+    /// Total bytes of the queued items.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.active.is_empty()
     }
 
-    /// Whether something of a flow waits.
-    pub(crate) fn holds(&self, key: K) -> bool {
+    /// Whether items of a flow are queued.
+    pub(crate) fn has_flow(&self, key: K) -> bool {
         self.flows.contains_key(&key)
     }
 
-    /// Whether the same waits already.
+    /// Whether an equal item of the flow is queued.
     pub(crate) fn contains(&self, key: K, item: &T) -> bool {
         let flow = self.flows.get(&key);
         flow.is_some_and(|flow| flow.items.iter().any(|it| it.item == *item))
@@ -60,9 +61,9 @@
 
     pub(crate) fn push(&mut self, key: K, sized: Queued<T>) {
         self.bytes += sized.bytes;
-        let turns = &mut self.turns;
+        let active = &mut self.active;
         let flow = self.flows.entry(key).or_insert_with(|| {
-            turns.push_back(key);
+            active.push_back(key);
             FlowQueue {
                 items: VecDeque::new(),
                 bytes: 0,
@@ -73,23 +74,23 @@
         flow.items.push_back(sized);
     }
 
-    /// The next one in turn.
+    /// Removes the next item in round-robin order.
     pub(crate) fn pop(&mut self) -> Option<Queued<T>> {
         loop {
-            let key = *self.turns.front()?;
+            let key = *self.active.front()?;
             let Some(flow) = self.flows.get_mut(&key) else {
-                self.turns.pop_front();
+                self.active.pop_front();
                 continue;
             };
             let next_bytes = flow.items.front().map(|next| next.bytes);
             if next_bytes.is_some_and(|bytes| bytes > flow.deficit) {
                 flow.deficit += QUANTUM_BYTES;
-                self.turns.rotate_left(1);
+                self.active.rotate_left(1);
                 continue;
             }
             let Some(next) = flow.items.pop_front() else {
                 self.flows.remove(&key);
-                self.turns.pop_front();
+                self.active.pop_front();
                 continue;
             };
             flow.deficit -= next.bytes;
@@ -97,13 +98,13 @@
             self.bytes -= next.bytes;
             if flow.items.is_empty() {
                 self.flows.remove(&key);
-                self.turns.pop_front();
+                self.active.pop_front();
             }
             return Some(next);
         }
     }
 
-    /// Drops the latest item of the flow that has most to send.
+    /// Removes the newest item of the flow with the most queued bytes.
     pub(crate) fn drop_from_longest(&mut self) -> Option<Queued<T>> {
         let (key, longest) = self.flows.iter_mut().max_by_key(|(_, flow)| flow.bytes)?;
         let key = *key;
@@ -112,7 +113,7 @@
         self.bytes -= dropped.bytes;
         if longest.items.is_empty() {
             self.flows.remove(&key);
-            self.turns.retain(|other| *other != key);
+            self.active.retain(|other| *other != key);
         }
         Some(dropped)
     }
--- a/crates/petrellatch-core/src/pass_through/link/link_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_queue.rs
@@ -1,4 +1,4 @@
-//! What waits for the balancer's link.
+//! The send queue of a balancer's link.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use super::fair_queue::{FairQueue, Queued};
 use super::link_pacer::LinkPacer;
 
-/// What waits takes the link so long at most: callers give up opening a flow after that.
-const MAX_WAIT: Duration = SYN_TIMEOUT;
-/// A datagram of at most so many bytes is short: it opens or acknowledges, or is a request of
-/// its own. One of full size, 1.3 KB, shows that more of its flow follows.
+/// Maximum transmission time of the queued packets: callers give up a SYN after that.
+const MAX_BACKLOG: Duration = SYN_TIMEOUT;
+/// Maximum size of a short datagram: a SYN, an acknowledgement, or a request in a single
+/// packet. A full-size datagram of 1.3 KB shows that more packets of its flow follow.
 const SHORT_BYTES: usize = 1_100;
-/// Short datagrams go before the others, but after so many bytes of them another one goes:
-/// a fifth of the link is left to long flows whatever else comes.
+/// Short datagrams go before the others, but after this many bytes of them a long one is sent.
+/// This leaves a fifth of the link to long flows under any load.
 const SHORT_RUN_BYTES: usize = 4 * 1_300;
-/// A link counts as full when what waits takes it so long: half of what a caller waits for an
-/// acknowledgement before it sends a packet again.
-const FULL_WAIT: Duration = Duration::from_millis(100);
-/// A link that was full is so no more when nothing has waited for so long.
-const CLEAR_AFTER: Duration = Duration::from_secs(1);
+/// Backlog from which a link counts as congested: half of the time after which a caller sends
+/// an unacknowledged packet again.
+const CONGESTED_BACKLOG: Duration = Duration::from_millis(100);
+/// A congested link counts as cleared once its queue was empty for this long.
+const CLEARED_AFTER: Duration = Duration::from_secs(1);
 
-/// Which turn something takes on the link.
+/// Scheduling class of an output on the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkClass {
-    /// Before all others: questions for open flows, and what keeps the balancer current. All
-    /// of it has budgets that are small beside the link.
+    /// Sent before all others: flow queries, and messages that keep the balancer up to date.
+    /// Their own budgets are small compared to the link.
     Control,
-    /// Packets of a flow, in their order, in turn with other flows; those of flows that have
-    /// little to send before those that have much.
+    /// Packets of a flow, sent in order and in turn with other flows. Flows with little to send
+    /// go before those with much.
     Flow(FlowId),
 }
 
@@ -43,48 +43,48 @@
     pub sent_bytes: u64,
     /// Datagrams that had to wait for the link.
     pub waited: u64,
-    /// Packets that were sent again while their first copies waited, and not sent twice.
+    /// Retransmissions that were dropped because the first copy was still queued.
     pub duplicates: u64,
-    /// Packets dropped, as too much waited.
+    /// Packets dropped because the backlog was too long.
     pub dropped: u64,
 }
 
-/// Whether the link is full.
+/// A change of the link's congestion state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkChange {
-    /// It has become full.
+    /// The link has become congested.
     Congested,
-    /// It is full no more, after this time.
+    /// The link is no longer congested. It was for this time.
     Cleared(Duration),
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedOutput {
     output: PassThroughOutput,
-    since: Timestamp,
+    queued_at: Timestamp,
 }
 
-/// Two are the same if they would do the same, whenever they came.
-impl PartialEq for Waiting {
-    fn eq(&self, other: &Waiting) -> bool {
+/// Equality ignores when an output was queued.
+impl PartialEq for QueuedOutput {
+    fn eq(&self, other: &QueuedOutput) -> bool {
         self.output == other.output
     }
 }
 
-/// The queue of a link whose speed is known.
+/// The send queue of a link whose speed is known.
 #[derive(Debug)]
 pub(crate) struct LinkQueue {
     pacer: LinkPacer,
-    control: VecDeque<Queued<Waiting>>,
-    short: FairQueue<FlowId, Waiting>,
-    /// Bytes of short datagrams since a long one.
+    control: VecDeque<Queued<QueuedOutput>>,
+    short: FairQueue<FlowId, QueuedOutput>,
+    /// Bytes of short datagrams sent since the last long one.
     short_run: usize,
-    long: FairQueue<FlowId, Waiting>,
-    full_since: Option<Timestamp>,
-    /// When something waited last.
-    waited_at: Timestamp,
+    long: FairQueue<FlowId, QueuedOutput>,
+    congested_since: Option<Timestamp>,
+    /// When the queue was last known not to be empty.
+    last_queued_at: Timestamp,
     counters: LinkCounters,
-    waits: LatencyHistogram,
+    wait_times: LatencyHistogram,
 }
 
 impl LinkQueue {
@@ -95,10 +95,10 @@
             short: FairQueue::new(),
             short_run: 0,
             long: FairQueue::new(),
-            full_since: None,
-            waited_at: now,
+            congested_since: None,
+            last_queued_at: now,
             counters: LinkCounters::default(),
-            waits: LatencyHistogram::default(),
+            wait_times: LatencyHistogram::default(),
         }
     }
 
@@ -106,18 +106,19 @@
         self.counters
     }
 
-    /// How long datagrams waited that had to.
+    /// Queueing times of the datagrams that had to wait.
     pub(crate) fn wait_times(&self) -> &LatencyHistogram {
-        &self.waits
+        &self.wait_times
     }
 
-    /// How long the link takes for all that waits.
+    /// Transmission time of all queued packets of flows.
     pub(crate) fn backlog(&self) -> Duration {
-        self.pacer.time_for(self.short.bytes() + self.long.bytes())
+        self.pacer
+            .transmission_time(self.short.bytes() + self.long.bytes())
     }
 
-    /// Takes something to send, of so many bytes with all heads. A copy of what still waits
-    /// is left out.
+    /// Queues an output of `bytes` bytes, all headers included. A packet that equals one that
+    /// is still queued is dropped.
     pub(crate) fn push(
         &mut self,
         now: Timestamp,
@@ -125,7 +126,10 @@
         bytes: usize,
         output: PassThroughOutput,
     ) {
-        let item = Waiting { output, since: now };
+        let item = QueuedOutput {
+            output,
+            queued_at: now,
+        };
         let flow = match class {
             LinkClass::Control => {
                 self.control.push_back(Queued { item, bytes });
@@ -134,7 +138,7 @@
             LinkClass::Flow(flow) => flow,
         };
         // Packets of one flow keep their order.
-        let is_short = bytes <= SHORT_BYTES && !self.long.holds(flow);
+        let is_short = bytes <= SHORT_BYTES && !self.long.has_flow(flow);
         let queue = match is_short {
             true => &mut self.short,
             false => &mut self.long,
@@ -144,7 +148,7 @@
             return;
         }
         queue.push(flow, Queued { item, bytes });
-        while self.backlog() > MAX_WAIT {
+        while self.backlog() > MAX_BACKLOG {
             let longest = self.long.drop_from_longest();
             if longest.or_else(|| self.short.drop_from_longest()).is_none() {
                 return;
@@ -153,29 +157,29 @@
         }
     }
 
-    /// The next thing to send, if the link is free.
+    /// Removes the next output, if the pacer lets it go now.
     pub(crate) fn pop(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
-        if self.is_empty() || !self.pacer.is_free(now) {
+        if self.is_empty() || !self.pacer.may_send(now) {
             return None;
         }
         self.pop_immediate(now)
     }
 
-    /// The next thing to send, whether the link is free or not.
+    /// Removes the next output regardless of the pacer.
     pub(crate) fn pop_immediate(&mut self, now: Timestamp) -> Option<PassThroughOutput> {
         let next = self.control.pop_front().or_else(|| self.pop_flow());
         let Queued { item, bytes } = next?;
         self.pacer.note_sent(bytes);
         self.counters.sent_bytes += bytes as u64;
-        let waited = now.saturating_since(item.since);
+        let waited = now.saturating_since(item.queued_at);
         if !waited.is_zero() {
             self.counters.waited += 1;
-            self.waits.record(waited);
+            self.wait_times.record(waited);
         }
         Some(item.output)
     }
 
-    fn pop_flow(&mut self) -> Option<Queued<Waiting>> {
+    fn pop_flow(&mut self) -> Option<Queued<QueuedOutput>> {
         let is_turn_of_long = self.short_run >= SHORT_RUN_BYTES && !self.long.is_empty();
         if !is_turn_of_long && let Some(short) = self.short.pop() {
             self.short_run += short.bytes;
@@ -185,24 +189,26 @@
         self.long.pop()
     }
 
-    /// When [`LinkQueue::pop`] has something.
+    /// When [`LinkQueue::pop`] returns the next output; `None` if nothing is queued.
     pub(crate) fn poll_timeout(&self) -> Option<Timestamp> {
-        (!self.is_empty()).then(|| self.pacer.free_at())
+        (!self.is_empty()).then(|| self.pacer.next_send_at())
     }
 
-    /// Whether the link has become full, or clear.
+    /// Returns a change of the congestion state since the last call, if there is one.
     pub(crate) fn take_change(&mut self, now: Timestamp) -> Option<LinkChange> {
         if !self.is_empty() {
-            self.waited_at = now;
+            self.last_queued_at = now;
         }
-        match self.full_since {
-            None if self.backlog() >= FULL_WAIT => {
-                self.full_since = Some(now);
+        match self.congested_since {
+            None if self.backlog() >= CONGESTED_BACKLOG => {
+                self.congested_since = Some(now);
                 Some(LinkChange::Congested)
             }
-            Some(since) if now.saturating_since(self.waited_at) >= CLEAR_AFTER => {
-                self.full_since = None;
-                Some(LinkChange::Cleared(self.waited_at.saturating_since(since)))
+            Some(since) if now.saturating_since(self.last_queued_at) >= CLEARED_AFTER => {
+                self.congested_since = None;
+                Some(LinkChange::Cleared(
+                    self.last_queued_at.saturating_since(since),
+                ))
             }
             _ => None,
         }
