--- a/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
@@ -8,7 +8,7 @@
     /// Takes what a former life wrote to the file of records, in that order. Returns whether
     /// all of it could be read.
     pub fn load_flow_records(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
-        self.flow_records.recall(now, saved)
+        self.flow_records.load(now, saved)
     }
 
     /// Notes how a write to the file of records ended. One that failed costs nothing but
@@ -24,27 +24,27 @@
 
     /// The records of open flows that this replica keeps.
     pub fn flow_record_stats(&self, now: Timestamp) -> FlowRecordStoreStats {
-        self.flow_records.figures(now)
+        self.flow_records.stats(now)
     }
 
-    pub(super) fn handle_record_change(
+    pub(super) fn handle_flow_record_change(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
         change: FlowRecordChange,
     ) {
-        if let Some(kept) = self.flow_records.handle_change(now, change) {
-            self.send(from, PassThroughBody::FlowRecordAck(kept));
+        if let Some(ack) = self.flow_records.handle_change(now, change) {
+            self.send(from, PassThroughBody::FlowRecordAck(ack));
         }
     }
 
-    pub(super) fn handle_recall(
+    pub(super) fn handle_flow_record_request(
         &mut self,
         now: Timestamp,
         from: SocketAddrV4,
-        question: FlowRecordRequest,
+        request: FlowRecordRequest,
     ) {
-        for part in self.flow_records.handle_recall(now, question) {
+        for part in self.flow_records.handle_request(now, request) {
             self.send(from, PassThroughBody::FlowRecordResponse(part));
         }
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -1,18 +1,18 @@
 //! A replica of the group that holds the configuration.
 
-mod balancer_news;
-mod calls;
+mod daemon_messages;
 mod directory_fetch;
 mod flow_record_keeping;
-mod memory_exchange;
-mod own_zone;
+mod pending_commands;
 mod policy_changes;
 mod replica_outputs;
 mod requests;
+mod requests_and_responses;
+mod saved_agents_exchange;
 mod settings;
-mod waiting_orders;
-mod zone_news;
-mod zone_orders;
+mod update_notifier;
+mod zone_announcement;
+mod zone_commands;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -34,27 +34,27 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-use super::group::daemon_memory::{DaemonMemory, remembered};
+use super::group::daemon_registry::DaemonRegistry;
 use super::group::evacuations::Evacuations;
-use super::group::flow_record_store::{FlowRecordStoreStats, FlowRecords};
-use super::group::followers::Followers;
-use super::group::group_keeper::GroupKeeper;
+use super::group::flow_record_store::{FlowRecordStore, FlowRecordStoreStats};
 use super::group::known_replicas::KnownReplicas;
-use super::group::told_changes::ToldChanges;
+use super::group::membership_manager::MembershipManager;
+use super::group::recent_changes::RecentChanges;
+use super::group::saved_daemons::{DaemonStore, to_saved_daemons};
 use super::latency::LatencyHistogram;
 use super::routes::configuration::Configuration;
 use super::routes::configuration_state::ConfigurationState;
 use super::routes::pending_replacements::PendingReplacements;
 
-pub use calls::{
+pub use requests_and_responses::{
     ConfigurationOutput, ConfigurationRequest, ConfigurationResponse, ZoneCommandRefusal,
 };
 pub use settings::ConfigurationNodeSettings;
 
 use directory_fetch::DirectoryFetch;
-use memory_exchange::MemoryExchange;
-use waiting_orders::WaitingOrders;
-use zone_news::ZoneNews;
+use pending_commands::PendingCommands;
+use saved_agents_exchange::SavedAgentsExchange;
+use update_notifier::UpdateNotifier;
 
 /// Between two sweeps over soft state.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
@@ -62,7 +62,7 @@
 const DIRECTORY_DELAY: Duration = Duration::from_millis(20);
 
 /// An agent is told the group's members with every so many reports.
-const REPORTS_PER_GROUP: u64 = 4;
+const REPORTS_PER_GROUP_STATUS: u64 = 4;
 
 /// Times that a replica measures.
 #[derive(Clone, Debug, Default)]
@@ -82,7 +82,7 @@
     },
     Balancer {
         address: SocketAddrV4,
-        confirm: u64,
+        confirmation_id: u64,
     },
 }
 
@@ -102,43 +102,43 @@
     state: ConfigurationState,
     replacements: PendingReplacements,
     /// Orders about zones that are in the log.
-    zone_orders: WaitingOrders,
+    pending_zone_commands: PendingCommands,
     /// Changes of the placement policies that are in the log.
-    policy_changes: WaitingOrders,
-    zone_news: ZoneNews,
+    pending_policy_changes: PendingCommands,
+    update_notifier: UpdateNotifier,
     reads: BTreeMap<u64, PendingRead>,
-    next_read: u64,
-    followers: Followers,
-    told_changes: ToldChanges,
+    next_read_id: u64,
+    daemons: DaemonRegistry,
+    recent_changes: RecentChanges,
     /// Revision of the directory that balancers were told last.
-    pushed_revision: u64,
-    contacts: KnownReplicas,
+    sent_directory_revision: u64,
+    known_replicas: KnownReplicas,
     /// The version before the first change that balancers were not told.
-    news_since: Option<u64>,
-    keeper: GroupKeeper,
-    daemon_memory: DaemonMemory,
-    flow_records: FlowRecords,
+    unsent_since: Option<u64>,
+    membership_manager: MembershipManager,
+    daemon_store: DaemonStore,
+    flow_records: FlowRecordStore,
     /// When the other replicas are told this one's zone next, and how often they were.
-    zone_told_at: Timestamp,
-    zone_tellings: u32,
-    directory_at: Option<Timestamp>,
+    next_zone_announcement_at: Timestamp,
+    zone_announcements: u32,
+    send_directory_at: Option<Timestamp>,
     directory_fetch: DirectoryFetch,
-    memory_exchange: MemoryExchange,
+    saved_agents_exchange: SavedAgentsExchange,
     /// The replica whose directory was taken over, until it has said whether
     /// that is whole.
-    took_over_from: Option<SocketAddrV4>,
+    fetched_directory_from: Option<SocketAddrV4>,
     /// Whether balancers were told that the directory is whole.
-    told_whole: bool,
+    announced_complete: bool,
     /// When to look whether it is.
-    whole_check_at: Option<Timestamp>,
+    completeness_check_at: Option<Timestamp>,
     /// Whether this replica heard a leader at the latest input.
-    served: bool,
+    had_leader: bool,
     latencies: ConfigurationNodeLatencies,
     elections_lost: BTreeMap<ElectionLoss, u64>,
     sweep_at: Timestamp,
-    write_since: Option<Timestamp>,
-    stop_at: Option<Timestamp>,
-    stopped: bool,
+    write_started_at: Option<Timestamp>,
+    stop_deadline: Option<Timestamp>,
+    is_stopped: bool,
     outputs: VecDeque<ConfigurationOutput>,
 }
 
@@ -155,13 +155,13 @@
 impl ConfigurationNode {
     /// Starts a life of a replica. Nodes in `start` are made by [`node_id_of_address`].
     pub fn new(now: Timestamp, settings: ConfigurationNodeSettings, start: ReplicaStart) -> Self {
-        let flow_records = FlowRecords::new(
+        let flow_records = FlowRecordStore::new(
             now,
             settings.max_flow_record_bytes,
             settings.flow_record_ttl,
         );
         let mut random = ChaCha8Rng::seed_from_u64(start.seed.wrapping_add(1));
-        let followers = Followers::new(now, random.random());
+        let daemons = DaemonRegistry::new(now, random.random());
         let founders = start.bootstrap.as_ref().map(Membership::members);
         let founders = founders.unwrap_or_default().iter();
         let seeds = founders.map(|founder| address_of_node_id(founder.replica.node));
@@ -169,41 +169,41 @@
         ConfigurationNode {
             replica: Replica::new(now, settings.replica.clone(), start),
             random,
-            keeper: GroupKeeper::new(
+            membership_manager: MembershipManager::new(
                 settings.max_lost_replicas,
                 settings.max_lost_zones,
                 settings.member_silence_timeout,
             ),
-            zone_told_at: now,
-            zone_tellings: 0,
+            next_zone_announcement_at: now,
+            zone_announcements: 0,
             settings,
             state: ConfigurationState::default(),
             replacements: PendingReplacements::default(),
-            zone_orders: WaitingOrders::default(),
-            policy_changes: WaitingOrders::default(),
-            zone_news: ZoneNews::default(),
+            pending_zone_commands: PendingCommands::default(),
+            pending_policy_changes: PendingCommands::default(),
+            update_notifier: UpdateNotifier::default(),
             reads: BTreeMap::new(),
-            next_read: 0,
-            pushed_revision: followers.revision(),
-            followers,
-            told_changes: ToldChanges::default(),
-            contacts: KnownReplicas::new(seeds),
-            news_since: None,
-            daemon_memory: DaemonMemory::new(now),
+            next_read_id: 0,
+            sent_directory_revision: daemons.revision(),
+            daemons,
+            recent_changes: RecentChanges::default(),
+            known_replicas: KnownReplicas::new(seeds),
+            unsent_since: None,
+            daemon_store: DaemonStore::new(now),
             flow_records,
-            directory_at: None,
+            send_directory_at: None,
             directory_fetch: DirectoryFetch::new(now),
-            memory_exchange: MemoryExchange::new(now),
-            took_over_from: None,
-            told_whole: false,
-            whole_check_at: Some(now),
-            served: false,
+            saved_agents_exchange: SavedAgentsExchange::new(now),
+            fetched_directory_from: None,
+            announced_complete: false,
+            completeness_check_at: Some(now),
+            had_leader: false,
             latencies: ConfigurationNodeLatencies::default(),
             elections_lost: BTreeMap::new(),
             sweep_at: now + SWEEP_INTERVAL,
-            write_since: None,
-            stop_at: None,
-            stopped: false,
+            write_started_at: None,
+            stop_deadline: None,
+            is_stopped: false,
             outputs: VecDeque::new(),
         }
     }
@@ -211,9 +211,9 @@
     /// Takes what a former life asked to be remembered. Returns whether it could
     /// be read.
     pub fn load_daemons(&mut self, saved: &[u8]) -> bool {
-        let is_readable = self.daemon_memory.recall(saved);
-        let agents = self.daemon_memory.saved_agents();
-        self.followers.expected_mut().recall(agents);
+        let is_readable = self.daemon_store.load(saved);
+        let agents = self.daemon_store.saved_agents();
+        self.daemons.expected_mut().load_saved(agents);
         is_readable
     }
 
@@ -240,7 +240,7 @@
     /// Agents that have not said that they know the latest order about their
     /// zone. Only the leader hears all of them.
     pub fn agents_behind(&self) -> usize {
-        self.followers.agents_behind(self.evacuations()).count()
+        self.daemons.agents_behind(self.evacuations()).count()
     }
 
     /// Times since the start.
@@ -256,17 +256,17 @@
 
     /// Whether a planned stop is complete.
     pub fn is_stopped(&self) -> bool {
-        self.stopped
+        self.is_stopped
     }
 
     /// Begins a planned stop: hands leadership over first.
     pub fn begin_stop(&mut self, now: Timestamp) {
-        if self.stop_at.is_some() {
+        if self.stop_deadline.is_some() {
             return;
         }
-        self.stop_at = Some(now + self.settings.stop_timeout);
+        self.stop_deadline = Some(now + self.settings.stop_timeout);
         if self.replica.transfer_leadership(now).is_err() {
-            self.stopped = true;
+            self.is_stopped = true;
         }
     }
 
@@ -274,31 +274,32 @@
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
             PassThroughBody::Consensus(bytes) => self.handle_consensus(now, from, &bytes),
-            PassThroughBody::GroupStatus(group) => {
-                self.note_whole_takeover(from, &group);
-                self.note_remembered(from, &group);
-                self.contacts.handle_group_status(&group);
-                self.apply_contacts();
+            PassThroughBody::GroupStatus(status) => {
+                self.note_fetched_directory(from, &status);
+                self.note_saved_agents(from, &status);
+                self.known_replicas.handle_group_status(&status);
+                self.apply_known_replicas();
             }
             PassThroughBody::Report(report) => self.handle_report(now, from, report),
-            PassThroughBody::Subscribe(follow) => self.handle_follow(now, from, &follow),
+            PassThroughBody::Subscribe(subscribe) => self.handle_subscribe(now, from, &subscribe),
             PassThroughBody::DirectoryPart(directory) => {
                 self.handle_directory(now, from, directory);
             }
-            PassThroughBody::ReplicaZone(told) => {
-                self.keeper.note_zone(node_id_of_address(from), told.zone)
-            }
-            PassThroughBody::EvacuationsAck(known) => {
-                self.followers
-                    .note_evacuations_known(known.address, known.index);
+            PassThroughBody::ReplicaZone(announcement) => self
+                .membership_manager
+                .note_zone(node_id_of_address(from), announcement.zone),
+            PassThroughBody::EvacuationsAck(ack) => {
+                self.daemons.note_evacuations_ack(ack.address, ack.index);
             }
             PassThroughBody::FlowRecordChange(change) => {
-                self.handle_record_change(now, from, *change);
+                self.handle_flow_record_change(now, from, *change);
+            }
+            PassThroughBody::FlowRecordRequest(request) => {
+                self.handle_flow_record_request(now, from, request)
             }
-            PassThroughBody::FlowRecordRequest(question) => self.handle_recall(now, from, question),
             _ => {}
         }
-        self.drain(now);
+        self.process_replica_outputs(now);
     }
 
     /// Takes a request of an operator.
@@ -341,27 +342,27 @@
                 zone,
                 evacuated,
                 allow_last,
-                ordered_at_millis,
+                issued_at_millis,
             } => {
-                let order = ZoneCommand {
+                let command = ZoneCommand {
                     command_id: self.random.random(),
                     zone,
                     evacuated,
-                    issued_at_millis: ordered_at_millis,
+                    issued_at_millis,
                 };
-                self.handle_zone_order(now, token, order, allow_last);
+                self.handle_zone_command(now, token, command, allow_last);
             }
         }
-        self.drain(now);
+        self.process_replica_outputs(now);
     }
 
     /// Notes that a write is synced.
     pub fn handle_persisted(&mut self, now: Timestamp, ticket: PersistTicket) {
-        if let Some(since) = self.write_since.take() {
+        if let Some(since) = self.write_started_at.take() {
             self.latencies.log_sync.record(now.saturating_since(since));
         }
         self.replica.handle_persisted(now, ticket);
-        self.drain(now);
+        self.process_replica_outputs(now);
     }
 
     /// Does what has become due.
@@ -369,44 +370,45 @@
         if self.replica.poll_timeout().is_some_and(|due| due <= now) {
             self.replica.handle_timeout(now);
         }
-        self.keeper.handle_timeout(now, &mut self.replica);
-        self.leave_stalled_disk(now);
+        self.membership_manager
+            .handle_timeout(now, &mut self.replica);
+        self.resign_if_disk_stalled(now);
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
-            self.followers.expire(now);
+            self.daemons.expire(now);
             self.flow_records.expire(now);
         }
-        if self.directory_at.is_some_and(|at| at <= now) {
-            self.directory_at = None;
-            self.push_directory(now);
+        if self.send_directory_at.is_some_and(|at| at <= now) {
+            self.send_directory_at = None;
+            self.send_directory(now);
         }
-        self.tell_agents_of_zones(now);
-        self.tell_own_zone(now);
+        self.notify_agents_of_zones(now);
+        self.announce_zone(now);
         self.save_daemons(now);
         self.save_flow_records(now);
         self.fetch_directory(now);
-        self.ask_for_memories(now);
-        self.tell_former_agents(now);
+        self.request_saved_agents(now);
+        self.notify_saved_agents(now);
         self.expire_requests(now);
         self.continue_stop(now);
-        self.drain(now);
+        self.process_replica_outputs(now);
     }
 
     /// When [`ConfigurationNode::handle_timeout`] is wanted.
     pub fn poll_timeout(&self) -> Timestamp {
         let timers = [
             self.replica.poll_timeout(),
-            Some(self.keeper.poll_timeout()),
+            Some(self.membership_manager.poll_timeout()),
             Some(self.sweep_at),
-            Some(self.daemon_memory.poll_timeout()),
+            Some(self.daemon_store.poll_timeout()),
             Some(self.flow_records.poll_timeout()),
-            self.directory_at,
-            self.zone_news.poll_timeout(),
-            Some(self.zone_told_at),
+            self.send_directory_at,
+            self.update_notifier.poll_timeout(),
+            Some(self.next_zone_announcement_at),
             self.directory_fetch.poll_timeout(),
-            self.memory_exchange.poll_timeout(),
-            self.whole_check_at,
-            self.stop_at,
+            self.saved_agents_exchange.poll_timeout(),
+            self.completeness_check_at,
+            self.stop_deadline,
         ];
         let first = timers.into_iter().flatten().min();
         first.unwrap_or(self.sweep_at)
@@ -421,41 +423,47 @@
         let Ok(message) = ConsensusMessage::decode(bytes) else {
             return;
         };
-        let joins = matches!(message.body, Some(ConsensusBody::JoinRequest(_)));
+        let is_join_request = matches!(message.body, Some(ConsensusBody::JoinRequest(_)));
         self.replica
             .handle_message(now, node_id_of_address(from), message);
-        if joins && self.replica.role() != Role::Leader {
+        if is_join_request && self.replica.role() != Role::Leader {
             // The newcomer may know no replica but this one.
-            let group = self.group(now);
-            self.send(from, PassThroughBody::GroupStatus(group));
+            let status = self.group_status(now);
+            self.send(from, PassThroughBody::GroupStatus(status));
         }
     }
 
-    fn apply_contacts(&mut self) {
-        let nodes = self.contacts.all().into_iter().map(node_id_of_address);
+    fn apply_known_replicas(&mut self) {
+        let nodes = self
+            .known_replicas
+            .all()
+            .into_iter()
+            .map(node_id_of_address);
         self.replica.set_contacts(nodes);
     }
 
-    fn disk_is_stalled(&self, now: Timestamp) -> bool {
-        let limit = self.settings.write_timeout;
-        let is_late = |since| now.saturating_since(since) >= limit;
-        self.write_since.is_some_and(is_late)
+    fn is_disk_stalled(&self, now: Timestamp) -> bool {
+        let timeout = self.settings.write_timeout;
+        let is_late = |since| now.saturating_since(since) >= timeout;
+        self.write_started_at.is_some_and(is_late)
     }
 
-    fn leave_stalled_disk(&mut self, now: Timestamp) {
-        if self.disk_is_stalled(now) && self.replica.membership().voters().count() > 1 {
+    fn resign_if_disk_stalled(&mut self, now: Timestamp) {
+        if self.is_disk_stalled(now) && self.replica.membership().voters().count() > 1 {
             self.replica.resign(now);
         }
     }
 
     fn continue_stop(&mut self, now: Timestamp) {
-        let Some(stop_at) = self.stop_at else { return };
-        let leads = self.replica.role() == Role::Leader;
-        if leads && now < stop_at && !self.replica.is_transferring() {
+        let Some(stop_deadline) = self.stop_deadline else {
+            return;
+        };
+        let is_leader = self.replica.role() == Role::Leader;
+        if is_leader && now < stop_deadline && !self.replica.is_transferring() {
             let _ = self.replica.transfer_leadership(now);
         }
-        if !leads || now >= stop_at {
-            self.stopped = true;
+        if !is_leader || now >= stop_deadline {
+            self.is_stopped = true;
         }
     }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -23,7 +23,7 @@
         change: PolicyChange,
     ) {
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
         if policy_size(&change) > MAX_POLICY_BYTES {
@@ -31,7 +31,7 @@
             return;
         }
         if let Some(policy) = &change.put
-            && let Err(refusal) = policy_check::check(policy, &self.followers.backends(now))
+            && let Err(refusal) = policy_check::check(policy, &self.daemons.backends(now))
         {
             self.refuse_policy(token, refusal);
             return;
@@ -40,9 +40,10 @@
         match self.replica.propose(now, command) {
             Ok(_) => {
                 let deadline = now + self.settings.request_timeout;
-                self.policy_changes.add(change.change_id, token, deadline);
+                self.pending_policy_changes
+                    .add(change.change_id, token, deadline);
             }
-            Err(_) => self.respond_elsewhere(token),
+            Err(_) => self.respond_not_leader(token),
         }
     }
 
@@ -53,7 +54,7 @@
         token: u64,
         policy: &PlacementPolicy,
     ) {
-        match policy_check::check(policy, &self.followers.backends(now)) {
+        match policy_check::check(policy, &self.daemons.backends(now)) {
             Ok(()) => self.respond(token, ConfigurationResponse::PolicyValid),
             Err(refusal) => self.respond(token, ConfigurationResponse::PolicyRefused(refusal)),
         }
@@ -68,7 +69,7 @@
         service: String,
     ) {
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
         let policy = self.policies().for_service(&service).cloned();
@@ -79,7 +80,7 @@
             backends: Vec::new(),
         };
         if let Some(policy) = policy {
-            let backends = self.followers.backends(now);
+            let backends = self.daemons.backends(now);
             match policy_check::explain(now, &explained.service, &policy, &backends) {
                 Ok(backends) => explained.backends = backends,
                 Err(error) => {
@@ -111,9 +112,9 @@
                 None => format!("removed={} index={index}", change.removed),
             };
             self.emit_event(EventKind::PolicyChanged, subject);
-            self.zone_news.note_balancers();
+            self.update_notifier.note_balancers_due();
         }
-        let Some(token) = self.policy_changes.take(change.change_id) else {
+        let Some(token) = self.pending_policy_changes.take(change.change_id) else {
             return;
         };
         match outcome {
--- a/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
@@ -5,24 +5,24 @@
 
 impl ConfigurationNode {
     /// Carries out the replica's outputs.
-    pub(super) fn drain(&mut self, now: Timestamp) {
+    pub(super) fn process_replica_outputs(&mut self, now: Timestamp) {
         while let Some(output) = self.replica.poll_output() {
-            self.carry_out(now, output);
+            self.process_replica_output(now, output);
         }
-        self.push_news();
-        self.tell_balancers_of_orders(now);
-        self.tell_return(now);
-        self.tell_whole(now);
+        self.push_updates();
+        self.notify_balancers(now);
+        self.announce_leader_contact(now);
+        self.announce_complete_directory(now);
     }
 
-    fn carry_out(&mut self, now: Timestamp, output: ReplicaOutput) {
+    fn process_replica_output(&mut self, now: Timestamp, output: ReplicaOutput) {
         match output {
             ReplicaOutput::Send { to, message } => {
                 let body = PassThroughBody::Consensus(message.encode_to_vec());
                 self.send(address_of_node_id(to), body);
             }
             ReplicaOutput::Persist(request) => {
-                self.write_since = Some(now);
+                self.write_started_at = Some(now);
                 self.outputs
                     .push_back(ConfigurationOutput::Persist(request));
             }
@@ -32,15 +32,15 @@
                 let bytes = self.state.encode_snapshot();
                 self.replica.install_application_snapshot(now, index, bytes);
             }
-            ReplicaOutput::ReadReady { token, .. } => self.answer_read(token),
+            ReplicaOutput::ReadReady { token, .. } => self.complete_read(token),
             ReplicaOutput::ReadLost { token } => {
                 if let Some(PendingRead::Operator { token, .. }) = self.reads.remove(&token) {
                     self.respond(token, ConfigurationResponse::Unavailable);
                 }
             }
             ReplicaOutput::ProposalLost { .. } => {
-                self.give_up_replacements();
-                self.give_up_orders();
+                self.fail_replacements();
+                self.fail_pending_commands();
             }
             ReplicaOutput::RoleChanged { role, term } => self.note_role(now, role, term),
             ReplicaOutput::ElectionLost { term, reason } => {
@@ -54,7 +54,7 @@
                 let joining = |member: &&crate::consensus::Member| member.role != MemberRole::Voter;
                 let joining = membership.members().iter().filter(joining).count();
                 let subject = format!("voters={voters} joining={joining} members={members}");
-                self.keeper.note_membership(now, &membership);
+                self.membership_manager.note_membership(now, &membership);
                 self.emit_event(EventKind::ReplicasChanged, subject);
             }
         }
@@ -64,7 +64,7 @@
         match self.state.apply(index, command) {
             Some(Applied::Change(applied)) => self.note_change(now, &applied),
             Some(Applied::ZoneCommand { command, changed }) => {
-                self.note_zone_order(now, &command, changed);
+                self.note_zone_command(now, &command, changed);
             }
             Some(Applied::PolicyChange { change, outcome }) => {
                 self.note_policy_change(&change, outcome);
@@ -75,18 +75,18 @@
 
     fn note_change(&mut self, now: Timestamp, applied: &AppliedChange) {
         if let Some(change) = &applied.change {
-            self.told_changes.note(change);
+            self.recent_changes.note(change);
             let version = change.version;
             let (put, removed) = (change.put.len(), change.removed.len());
             let subject = format!("version={version} put={put} removed={removed}");
             self.emit_event(EventKind::ConfigurationReplaced, subject);
-            self.news_since.get_or_insert(change.base_version);
+            self.unsent_since.get_or_insert(change.base_version);
         }
         self.replacements.note_finished(applied.id);
         let version = self.configuration().version;
         for (token, deadline) in self.replacements.take_reached(version) {
-            let left = deadline.saturating_since(now);
-            let time = self.settings.request_timeout.saturating_sub(left);
+            let remaining = deadline.saturating_since(now);
+            let time = self.settings.request_timeout.saturating_sub(remaining);
             self.latencies.acceptance.record(time);
             self.respond(token, ConfigurationResponse::Accepted { version });
         }
@@ -98,8 +98,8 @@
     fn restore(&mut self, now: Timestamp, bytes: &[u8]) {
         if let Some(state) = ConfigurationState::decode_snapshot(bytes) {
             self.state = state;
-            self.told_changes.forget();
-            self.zone_news.note_order(now);
+            self.recent_changes.clear();
+            self.update_notifier.note_zone_command(now);
         }
     }
 
@@ -109,12 +109,14 @@
             Role::Follower => EventKind::LeaderSteppedDown,
             Role::PreCandidate | Role::Candidate => return,
         };
-        self.keeper.restart();
+        self.membership_manager.reset();
         match role {
-            Role::Leader if self.evacuations().index() > 0 => self.zone_news.note_order(now),
+            Role::Leader if self.evacuations().index() > 0 => {
+                self.update_notifier.note_zone_command(now)
+            }
             Role::Follower => {
-                self.give_up_replacements();
-                self.give_up_orders();
+                self.fail_replacements();
+                self.fail_pending_commands();
             }
             _ => {}
         }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -9,13 +9,13 @@
         token: u64,
         configuration: Configuration,
     ) {
-        let held = self.configuration().version;
-        if configuration.version <= held {
-            self.respond(token, ConfigurationResponse::Accepted { version: held });
+        let current = self.configuration().version;
+        if configuration.version <= current {
+            self.respond(token, ConfigurationResponse::Accepted { version: current });
             return;
         }
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
         let deadline = now + self.settings.request_timeout;
@@ -32,7 +32,7 @@
         let commands = ConfigurationState::commands(id, &change);
         for command in commands {
             if self.replica.propose(now, command).is_err() {
-                self.give_up_replacements();
+                self.fail_replacements();
                 return;
             }
         }
@@ -40,22 +40,22 @@
     }
 
     /// Nothing is known of the outcome of what waits.
-    pub(super) fn give_up_replacements(&mut self) {
+    pub(super) fn fail_replacements(&mut self) {
         for (token, _) in self.replacements.take_all() {
             self.respond(token, ConfigurationResponse::Unavailable);
         }
     }
 
     pub(super) fn request_read(&mut self, now: Timestamp, read: PendingRead) {
-        self.next_read += 1;
-        let number = self.next_read;
-        match self.replica.request_read(now, number) {
+        self.next_read_id += 1;
+        let read_id = self.next_read_id;
+        match self.replica.request_read(now, read_id) {
             Ok(()) => {
-                self.reads.insert(number, read);
+                self.reads.insert(read_id, read);
             }
             Err(_) => {
                 if let PendingRead::Operator { token, .. } = read {
-                    self.respond_elsewhere(token);
+                    self.respond_not_leader(token);
                 }
             }
         }
@@ -76,9 +76,9 @@
     }
 
     /// Nothing is known of the outcome of orders that wait.
-    pub(super) fn give_up_orders(&mut self) {
-        let zones = self.zone_orders.take_all();
-        let policies = self.policy_changes.take_all();
+    pub(super) fn fail_pending_commands(&mut self) {
+        let zones = self.pending_zone_commands.take_all();
+        let policies = self.pending_policy_changes.take_all();
         for token in zones.into_iter().chain(policies) {
             self.respond(token, ConfigurationResponse::Unavailable);
         }
@@ -86,8 +86,8 @@
 
     pub(super) fn expire_requests(&mut self, now: Timestamp) {
         let replacements = self.replacements.take_expired(now);
-        let zones = self.zone_orders.take_expired(now);
-        let policies = self.policy_changes.take_expired(now);
+        let zones = self.pending_zone_commands.take_expired(now);
+        let policies = self.pending_policy_changes.take_expired(now);
         for token in replacements.into_iter().chain(zones).chain(policies) {
             self.respond(token, ConfigurationResponse::Unavailable);
         }
@@ -104,8 +104,8 @@
         }
     }
 
-    pub(super) fn answer_read(&mut self, number: u64) {
-        match self.reads.remove(&number) {
+    pub(super) fn complete_read(&mut self, read_id: u64) {
+        match self.reads.remove(&read_id) {
             Some(PendingRead::Operator { token, subject, .. }) => {
                 let response = match subject {
                     ReadSubject::Configuration => {
@@ -117,10 +117,13 @@
                 };
                 self.respond(token, response);
             }
-            Some(PendingRead::Balancer { address, confirm }) => {
+            Some(PendingRead::Balancer {
+                address,
+                confirmation_id,
+            }) => {
                 let version = self.configuration().version;
                 let confirmed = VersionConfirmed {
-                    confirmation_id: confirm,
+                    confirmation_id,
                     version,
                     zones: self.evacuations().updates_since(0),
                     policies: self.policies().updates_since(0),
@@ -131,7 +134,7 @@
         }
     }
 
-    pub(super) fn respond_elsewhere(&mut self, token: u64) {
+    pub(super) fn respond_not_leader(&mut self, token: u64) {
         let leader = self.replica.leader();
         let other = leader.filter(|leader| *leader != self.replica.id().node);
         let response = match other {
--- a/crates/petrellatch-core/src/pass_through/configuration_node/calls.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
@@ -29,7 +29,7 @@
         allow_last: bool,
         /// The time of the order, in milliseconds of Unix time; only operators
         /// read it.
-        ordered_at_millis: u64,
+        issued_at_millis: u64,
     },
     /// Put a placement policy in place of one of the same name.
     PutPolicy {
--- a/crates/petrellatch-core/src/pass_through/configuration_node/own_zone.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_announcement.rs
@@ -6,32 +6,32 @@
 /// gone for good is replaced after two seconds at the earliest.
 const ZONE_INTERVAL: Duration = Duration::from_secs(2);
 /// The same after the start, when the group may be founded.
-const FIRST_ZONE_INTERVAL: Duration = Duration::from_millis(100);
-const FIRST_ZONE_TELLINGS: u32 = 10;
+const INITIAL_ZONE_INTERVAL: Duration = Duration::from_millis(100);
+const INITIAL_ZONE_ANNOUNCEMENTS: u32 = 10;
 
 impl ConfigurationNode {
     /// Tells the other replicas where this one runs: at first often, since the group
     /// may be founded just now.
-    pub(super) fn tell_own_zone(&mut self, now: Timestamp) {
-        if now < self.zone_told_at {
+    pub(super) fn announce_zone(&mut self, now: Timestamp) {
+        if now < self.next_zone_announcement_at {
             return;
         }
-        self.zone_tellings += 1;
-        let interval = match self.zone_tellings <= FIRST_ZONE_TELLINGS {
-            true => FIRST_ZONE_INTERVAL,
+        self.zone_announcements += 1;
+        let interval = match self.zone_announcements <= INITIAL_ZONE_ANNOUNCEMENTS {
+            true => INITIAL_ZONE_INTERVAL,
             false => ZONE_INTERVAL,
         };
-        self.zone_told_at = now + interval;
+        self.next_zone_announcement_at = now + interval;
         let own = self.replica.id().node;
         let zone = self.settings.zone.clone();
-        self.keeper.note_zone(own, zone.clone());
+        self.membership_manager.note_zone(own, zone.clone());
         let members = self.replica.membership().members().iter();
         let members = members.map(|member| address_of_node_id(member.replica.node));
-        let others: BTreeSet<SocketAddrV4> = members.chain(self.contacts.all()).collect();
+        let others: BTreeSet<SocketAddrV4> = members.chain(self.known_replicas.all()).collect();
         for other in others {
             if node_id_of_address(other) != own {
-                let told = ReplicaZone { zone: zone.clone() };
-                self.send(other, PassThroughBody::ReplicaZone(told));
+                let announcement = ReplicaZone { zone: zone.clone() };
+                self.send(other, PassThroughBody::ReplicaZone(announcement));
             }
         }
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_orders.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_commands.rs
@@ -5,73 +5,79 @@
 impl ConfigurationNode {
     /// Puts an order into the log. Repeated orders go there as well: only what the
     /// log says is known to hold for good.
-    pub(super) fn handle_zone_order(
+    pub(super) fn handle_zone_command(
         &mut self,
         now: Timestamp,
         token: u64,
-        order: ZoneCommand,
+        command: ZoneCommand,
         allow_last: bool,
     ) {
         let zones = &self.settings.zones;
-        let is_known = zones.is_empty() || zones.contains(&order.zone);
-        if !is_known && !self.evacuations().contains(&order.zone) {
-            let zone = order.zone;
-            self.refuse_zone_order(token, ZoneCommandRefusal::UnknownZone { zone });
+        let is_known = zones.is_empty() || zones.contains(&command.zone);
+        if !is_known && !self.evacuations().contains(&command.zone) {
+            let zone = command.zone;
+            self.refuse_zone_command(token, ZoneCommandRefusal::UnknownZone { zone });
             return;
         }
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
-        if order.evacuated
+        if command.evacuated
             && !allow_last
-            && let Some(service) = self.service_left_without_zone(now, &order.zone)
+            && let Some(service) = self.service_left_without_zone(now, &command.zone)
         {
-            let zone = order.zone;
-            self.refuse_zone_order(token, ZoneCommandRefusal::LastZone { zone, service });
+            let zone = command.zone;
+            self.refuse_zone_command(token, ZoneCommandRefusal::LastZone { zone, service });
             return;
         }
-        let command = ConfigurationState::zone_command(&order);
-        match self.replica.propose(now, command) {
+        let entry = ConfigurationState::zone_command(&command);
+        match self.replica.propose(now, entry) {
             Ok(_) => {
                 let deadline = now + self.settings.request_timeout;
-                self.zone_orders.add(order.command_id, token, deadline);
+                self.pending_zone_commands
+                    .add(command.command_id, token, deadline);
             }
-            Err(_) => self.respond_elsewhere(token),
+            Err(_) => self.respond_not_leader(token),
         }
     }
 
     /// A service that would have back ends in zones out of service only. Nothing is
     /// said of that before all agents are known.
     fn service_left_without_zone(&self, now: Timestamp, zone: &str) -> Option<String> {
-        if !self.followers.is_whole(now) {
+        if !self.daemons.is_complete(now) {
             return None;
         }
-        let stays = |other: &str| other != zone && !self.evacuations().contains(other);
-        self.followers.service_without_zone(stays)
+        let stays_in_service = |other: &str| other != zone && !self.evacuations().contains(other);
+        self.daemons.service_without_zone(stays_in_service)
     }
 
-    fn refuse_zone_order(&mut self, token: u64, refusal: ZoneCommandRefusal) {
+    fn refuse_zone_command(&mut self, token: u64, refusal: ZoneCommandRefusal) {
         self.emit_event(EventKind::ZoneOrderRefused, refusal.to_string());
         self.respond(token, ConfigurationResponse::ZoneCommandRefused(refusal));
     }
 
     /// An order was applied: whoever waits for it is answered, and daemons are told.
-    pub(super) fn note_zone_order(&mut self, now: Timestamp, order: &ZoneCommand, changed: bool) {
+    pub(super) fn note_zone_command(
+        &mut self,
+        now: Timestamp,
+        command: &ZoneCommand,
+        changed: bool,
+    ) {
         if changed {
-            let kind = match order.evacuated {
+            let kind = match command.evacuated {
                 true => EventKind::ZoneEvacuated,
                 false => EventKind::ZoneRestored,
             };
             let index = self.evacuations().index();
             let subject = format!(
                 "zone={} order={:016x} index={index}",
-                order.zone, order.command_id
+                command.zone, command.command_id
             );
             self.emit_event(kind, subject);
-            self.zone_news.note_order(now);
+            self.update_notifier.note_zone_command(now);
         }
-        if let Some(token) = self.zone_orders.take(order.command_id) {
+        if let Some(token) = self.pending_zone_commands.take(command.command_id) {
             self.respond(token, ConfigurationResponse::ZoneCommandApplied);
         }
     }
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -21,51 +21,51 @@
 
     /// Whether a zone is out of service.
     pub fn contains(&self, zone: &str) -> bool {
-        self.zones.get(zone).is_some_and(|record| record.evacuated)
+        self.zones.get(zone).is_some_and(|status| status.evacuated)
     }
 
     /// The zones out of service, by name.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneStatus> {
-        self.zones.values().filter(|record| record.evacuated)
+        self.zones.values().filter(|status| status.evacuated)
     }
 
     /// Index of the latest order about a zone; zero if there was none.
     pub(crate) fn index_of(&self, zone: &str) -> u64 {
-        self.zones.get(zone).map_or(0, |record| record.index)
+        self.zones.get(zone).map_or(0, |status| status.index)
     }
 
     /// Applies an order. A repeated one keeps what the first one noted. Returns
     /// whether it changed something.
-    pub(crate) fn apply(&mut self, index: u64, order: &ZoneCommand) -> bool {
-        if self.contains(&order.zone) == order.evacuated {
+    pub(crate) fn apply(&mut self, index: u64, command: &ZoneCommand) -> bool {
+        if self.contains(&command.zone) == command.evacuated {
             return false;
         }
         self.index = index;
-        let record = ZoneStatus {
-            zone: order.zone.clone(),
-            evacuated: order.evacuated,
-            command_id: order.command_id,
+        let status = ZoneStatus {
+            zone: command.zone.clone(),
+            evacuated: command.evacuated,
+            command_id: command.command_id,
             index,
-            issued_at_millis: order.issued_at_millis,
+            issued_at_millis: command.issued_at_millis,
         };
-        self.zones.insert(order.zone.clone(), record);
+        self.zones.insert(command.zone.clone(), status);
         true
     }
 
     /// Takes what another process told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &ZoneStatuses) -> bool {
-        let is_newer = told.index > self.index;
+    pub(crate) fn take_newer(&mut self, statuses: &ZoneStatuses) -> bool {
+        let is_newer = statuses.index > self.index;
         if is_newer {
-            *self = Evacuations::from_message(told);
+            *self = Evacuations::from_message(statuses);
         }
         is_newer
     }
 
-    pub(crate) fn from_message(told: &ZoneStatuses) -> Evacuations {
-        let zones = told.zones.iter();
-        let zones = zones.map(|record| (record.zone.clone(), record.clone()));
+    pub(crate) fn from_message(statuses: &ZoneStatuses) -> Evacuations {
+        let zones = statuses.zones.iter();
+        let zones = zones.map(|status| (status.zone.clone(), status.clone()));
         Evacuations {
-            index: told.index,
+            index: statuses.index,
             zones: zones.collect(),
         }
     }
@@ -78,8 +78,8 @@
     }
 
     /// What somebody who knows the orders up to `known` has to be told, if anything.
-    pub(crate) fn updates_since(&self, known: u64) -> Option<ZoneStatuses> {
-        (self.index > known).then(|| self.to_message())
+    pub(crate) fn updates_since(&self, known_index: u64) -> Option<ZoneStatuses> {
+        (self.index > known_index).then(|| self.to_message())
     }
 }
 
--- a/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
+++ b/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
@@ -12,16 +12,16 @@
 use crate::time::Timestamp;
 
 /// A young agent has reported by then, although two of its reports are lost.
-const YOUNG_LIMIT: Duration = Duration::from_millis(200);
+const NEW_AGENT_TIMEOUT: Duration = Duration::from_millis(200);
 /// An agent that stays away is remembered for so long.
-const AWAITED_MEMORY: Duration = Duration::from_secs(60);
+const AWAITED_TTL: Duration = Duration::from_secs(60);
 
 /// The agents that this replica and others remember of their former lives.
 #[derive(Debug, Default)]
 pub(crate) struct ExpectedAgents {
     started_at: Timestamp,
     /// Whether this replica remembers agents.
-    has_memory: bool,
+    has_saved_list: bool,
     /// How many agents were remembered.
     count: usize,
     /// Members of the group; zero as long as that is not known.
@@ -29,16 +29,16 @@
     /// Those that were not heard in this life.
     awaited: BTreeSet<u64>,
     /// Those that were heard in this life.
-    heard: BTreeSet<u64>,
+    seen: BTreeSet<u64>,
     /// What other replicas have told in part.
-    told: BTreeMap<SocketAddrV4, ToldAgents>,
+    partial_lists: BTreeMap<SocketAddrV4, PartialList>,
     /// Other replicas that have told all that they remember.
-    complete: BTreeSet<SocketAddrV4>,
+    complete_lists: BTreeSet<SocketAddrV4>,
 }
 
 /// What another replica has told in part.
 #[derive(Debug, Default)]
-struct ToldAgents {
+struct PartialList {
     /// Revision of its directory: parts of different ones don't fit together.
     revision: u64,
     agents: BTreeSet<u64>,
@@ -53,9 +53,9 @@
     }
 
     /// Takes what this replica remembers.
-    pub(crate) fn recall(&mut self, agents: &[u64]) {
-        self.has_memory = !agents.is_empty();
-        self.expect(agents.iter().copied());
+    pub(crate) fn load_saved(&mut self, agents: &[u64]) {
+        self.has_saved_list = !agents.is_empty();
+        self.add_expected(agents.iter().copied());
     }
 
     pub(crate) fn set_members(&mut self, members: usize) {
@@ -63,71 +63,71 @@
     }
 
     /// Takes some of the `count` agents that another replica remembers.
-    pub(crate) fn handle_told(
+    pub(crate) fn handle_saved_agents(
         &mut self,
         from: SocketAddrV4,
         revision: u64,
         agents: &[u64],
         count: u32,
     ) {
-        if self.complete.contains(&from) {
+        if self.complete_lists.contains(&from) {
             return;
         }
-        let told = self.told.entry(from).or_default();
-        if told.revision != revision {
-            told.revision = revision;
-            told.agents.clear();
+        let partial_list = self.partial_lists.entry(from).or_default();
+        if partial_list.revision != revision {
+            partial_list.revision = revision;
+            partial_list.agents.clear();
         }
-        told.agents.extend(agents);
-        if told.agents.len() < count as usize {
+        partial_list.agents.extend(agents);
+        if partial_list.agents.len() < count as usize {
             return;
         }
-        let agents = std::mem::take(&mut told.agents);
-        self.told.remove(&from);
-        self.complete.insert(from);
-        self.expect(agents.into_iter());
+        let agents = std::mem::take(&mut partial_list.agents);
+        self.partial_lists.remove(&from);
+        self.complete_lists.insert(from);
+        self.add_expected(agents.into_iter());
     }
 
-    fn expect(&mut self, agents: impl Iterator<Item = u64>) {
+    fn add_expected(&mut self, agents: impl Iterator<Item = u64>) {
         for agent in agents {
-            if !self.heard.contains(&agent) {
+            if !self.seen.contains(&agent) {
                 self.awaited.insert(agent);
             }
         }
-        self.count = self.count.max(self.awaited.len() + self.heard.len());
+        self.count = self.count.max(self.awaited.len() + self.seen.len());
     }
 
     /// Notes that an agent is in the directory.
-    pub(crate) fn note_heard(&mut self, agent: u64) {
+    pub(crate) fn note_seen(&mut self, agent: u64) {
         self.awaited.remove(&agent);
-        self.heard.insert(agent);
+        self.seen.insert(agent);
     }
 
     /// Whether other replicas are still to be asked what they remember.
-    pub(crate) fn lacks_memories(&self) -> bool {
-        self.has_memory && !self.has_majority()
+    pub(crate) fn awaits_saved_lists(&self) -> bool {
+        self.has_saved_list && !self.has_majority()
     }
 
-    pub(crate) fn has_told_all(&self, replica: SocketAddrV4) -> bool {
-        self.complete.contains(&replica)
+    pub(crate) fn has_complete_list(&self, replica: SocketAddrV4) -> bool {
+        self.complete_lists.contains(&replica)
     }
 
     /// Whether all agents that run are in the directory. `young_interval` is the time
     /// between two reports of a young agent.
-    pub(crate) fn are_heard(&self, now: Timestamp, young_interval: Duration) -> bool {
-        self.has_memory
+    pub(crate) fn are_all_seen(&self, now: Timestamp, new_agent_interval: Duration) -> bool {
+        self.has_saved_list
             && self.has_majority()
             && self.awaited.is_empty()
-            && now >= self.settled_at(young_interval)
+            && now >= self.complete_at(new_agent_interval)
     }
 
     /// When young agents have reported.
-    pub(crate) fn settled_at(&self, young_interval: Duration) -> Timestamp {
-        self.started_at + YOUNG_LIMIT.max(young_interval * 10 / 3)
+    pub(crate) fn complete_at(&self, new_agent_interval: Duration) -> Timestamp {
+        self.started_at + NEW_AGENT_TIMEOUT.max(new_agent_interval * 10 / 3)
     }
 
-    pub(crate) fn has_memory(&self) -> bool {
-        self.has_memory
+    pub(crate) fn has_saved_list(&self) -> bool {
+        self.has_saved_list
     }
 
     /// How many agents were remembered.
@@ -146,16 +146,16 @@
 
     /// Forgets those that stay away.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        if now.saturating_since(self.started_at) >= AWAITED_MEMORY {
+        if now.saturating_since(self.started_at) >= AWAITED_TTL {
             self.awaited.clear();
-            self.heard.clear();
+            self.seen.clear();
             // Time has shown by now which agents there are.
-            self.has_memory = false;
+            self.has_saved_list = false;
         }
     }
 
     fn has_majority(&self) -> bool {
-        let remembering = self.complete.len() + 1;
-        self.members > 0 && remembering * 2 > self.members
+        let lists = self.complete_lists.len() + 1;
+        self.members > 0 && lists * 2 > self.members
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -20,7 +20,7 @@
 const RECORD_BYTES: usize = 512;
 /// A record is kept at least so long without word of its agent, which asks for it every
 /// 20 s: two questions may get lost.
-const LEAST_LIFETIME: Duration = Duration::from_secs(60);
+const MIN_TTL: Duration = Duration::from_secs(60);
 /// Between two writes to the file: what is younger is lost with the power.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 /// After a write that failed, the next one comes so much later.
@@ -60,28 +60,28 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct StoredFlowRecord {
     incarnation: u64,
-    backend: u64,
-    number: u64,
+    backend_incarnation: u64,
+    revision: u64,
     /// First sequence number of the back end, and what the caller has acknowledged.
     flows: BTreeMap<FlowId, (u32, u32)>,
-    witnesses: Vec<Vec<u8>>,
+    probe_packets: Vec<Vec<u8>>,
 }
 
-impl Kept {
+impl StoredFlowRecord {
     fn bytes(&self) -> usize {
-        let witnesses: usize = self.witnesses.iter().map(Vec::len).sum();
-        RECORD_BYTES + self.flows.len() * FLOW_BYTES + witnesses
+        let probe_packets: usize = self.probe_packets.iter().map(Vec::len).sum();
+        RECORD_BYTES + self.flows.len() * FLOW_BYTES + probe_packets
     }
 
     fn apply(&mut self, change: &FlowRecordChange) {
         if change.base_revision == 0 {
-            *self = Kept::default();
+            *self = StoredFlowRecord::default();
         }
         self.incarnation = change.incarnation;
-        self.backend = change.backend_incarnation;
-        self.number = change.revision;
+        self.backend_incarnation = change.backend_incarnation;
+        self.revision = change.revision;
         for id in closed_flows(&change.removed) {
             self.flows.remove(&id);
         }
@@ -90,11 +90,11 @@
                 .insert(flow.id, (flow.sequence, flow.acknowledged));
         }
         if !change.probe_packets.is_empty() {
-            self.witnesses.clone_from(&change.probe_packets);
+            self.probe_packets.clone_from(&change.probe_packets);
         }
     }
 
-    fn recorded(&self) -> Vec<RecordedFlow> {
+    fn to_recorded_flows(&self) -> Vec<RecordedFlow> {
         let flows = self.flows.iter();
         let recorded = flows.map(|(id, (sequence, acknowledged))| RecordedFlow {
             id: *id,
@@ -105,57 +105,57 @@
     }
 
     /// The record as a change of nothing.
-    fn whole(&self, agent: u64) -> FlowRecordChange {
+    fn to_full_change(&self, agent: u64) -> FlowRecordChange {
         FlowRecordChange {
             agent,
             incarnation: self.incarnation,
-            backend_incarnation: self.backend,
+            backend_incarnation: self.backend_incarnation,
             base_revision: 0,
-            revision: self.number,
+            revision: self.revision,
             part: 0,
             parts: 1,
-            put: to_columns(self.recorded()),
+            put: to_columns(self.to_recorded_flows()),
             removed: FlowColumns::default(),
-            probe_packets: self.witnesses.clone(),
+            probe_packets: self.probe_packets.clone(),
         }
     }
 }
 
 /// Parts of a change that is not complete.
 #[derive(Debug)]
-struct Incomplete {
+struct IncompleteChange {
     incarnation: u64,
-    base: u64,
-    number: u64,
+    base_revision: u64,
+    revision: u64,
     parts: BTreeMap<u32, FlowRecordChange>,
     bytes: usize,
 }
 
 #[derive(Debug)]
 struct AgentRecord {
-    heard_at: Timestamp,
-    kept: Option<Kept>,
-    incomplete: Option<Incomplete>,
+    last_seen_at: Timestamp,
+    record: Option<StoredFlowRecord>,
+    incomplete: Option<IncompleteChange>,
 }
 
 impl AgentRecord {
-    fn hear(&mut self, now: Timestamp) -> &mut Self {
-        self.heard_at = now;
+    fn note_seen(&mut self, now: Timestamp) -> &mut Self {
+        self.last_seen_at = now;
         self
     }
 
     fn bytes(&self) -> usize {
-        let kept = self.kept.as_ref().map_or(0, Kept::bytes);
+        let record = self.record.as_ref().map_or(0, StoredFlowRecord::bytes);
         let incomplete = self.incomplete.as_ref();
-        kept + incomplete.map_or(0, |incomplete| incomplete.bytes)
+        record + incomplete.map_or(0, |incomplete| incomplete.bytes)
     }
 }
 
 /// The records, and what of them is to be written.
 #[derive(Debug)]
-pub(crate) struct FlowRecords {
-    limit_bytes: usize,
-    lifetime: Duration,
+pub(crate) struct FlowRecordStore {
+    max_bytes: usize,
+    ttl: Duration,
     agents: BTreeMap<u64, AgentRecord>,
     bytes: usize,
     refused: u64,
@@ -165,18 +165,18 @@
     file_bytes: usize,
     must_replace: bool,
     is_writing: bool,
-    has_failed: bool,
+    last_write_failed: bool,
     save_at: Timestamp,
     saved_at: Timestamp,
 }
 
-impl FlowRecords {
+impl FlowRecordStore {
     /// Records that take at most `limit_bytes` in memory, each as long as its agent is
     /// heard of within `lifetime`.
-    pub(crate) fn new(now: Timestamp, limit_bytes: usize, lifetime: Duration) -> Self {
-        FlowRecords {
-            limit_bytes,
-            lifetime: lifetime.max(LEAST_LIFETIME),
+    pub(crate) fn new(now: Timestamp, max_bytes: usize, ttl: Duration) -> Self {
+        FlowRecordStore {
+            max_bytes,
+            ttl: ttl.max(MIN_TTL),
             agents: BTreeMap::new(),
             bytes: 0,
             refused: 0,
@@ -185,17 +185,20 @@
             file_bytes: 0,
             must_replace: false,
             is_writing: false,
-            has_failed: false,
+            last_write_failed: false,
             save_at: now + SAVE_INTERVAL,
             saved_at: now,
         }
     }
 
-    pub(crate) fn figures(&self, now: Timestamp) -> FlowRecordStoreStats {
-        let kept = self.agents.values().filter_map(|agent| agent.kept.as_ref());
+    pub(crate) fn stats(&self, now: Timestamp) -> FlowRecordStoreStats {
+        let record = self
+            .agents
+            .values()
+            .filter_map(|agent| agent.record.as_ref());
         FlowRecordStoreStats {
-            records: kept.clone().count(),
-            flows: kept.map(|kept| kept.flows.len()).sum(),
+            records: record.clone().count(),
+            flows: record.map(|record| record.flows.len()).sum(),
             bytes: self.bytes,
             refused: self.refused,
             write_age: now.saturating_since(self.saved_at),
@@ -204,12 +207,12 @@
 
     /// Takes what a former life wrote, in that order. Returns whether all of it could be
     /// read. The agents count as heard now.
-    pub(crate) fn recall(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
+    pub(crate) fn load(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
         let mut is_readable = true;
         for bytes in saved {
             self.file_bytes += bytes.len();
             match FlowRecordChange::decode(bytes.as_slice()) {
-                Ok(change) => self.take_whole(now, change),
+                Ok(change) => self.load_change(now, change),
                 Err(_) => is_readable = false,
             }
         }
@@ -217,15 +220,15 @@
         is_readable
     }
 
-    fn take_whole(&mut self, now: Timestamp, change: FlowRecordChange) {
+    fn load_change(&mut self, now: Timestamp, change: FlowRecordChange) {
         let agent = change.agent;
         if change.revision == 0 {
-            self.forget(agent);
+            self.remove_from_memory(agent);
             return;
         }
-        let known = self.agents.get(&agent).and_then(|it| it.kept.as_ref());
-        let number = known.map_or(0, |kept| kept.number);
-        if change.base_revision == 0 || (known.is_some() && change.base_revision <= number) {
+        let known = self.agents.get(&agent).and_then(|it| it.record.as_ref());
+        let revision = known.map_or(0, |record| record.revision);
+        if change.base_revision == 0 || (known.is_some() && change.base_revision <= revision) {
             self.apply(now, &change);
         }
     }
@@ -237,37 +240,37 @@
         change: FlowRecordChange,
     ) -> Option<FlowRecordAck> {
         let agent = change.agent;
-        let (incarnation, base) = (change.incarnation, change.base_revision);
+        let (incarnation, base_revision) = (change.incarnation, change.base_revision);
         let known = self.agents.get_mut(&agent);
-        let known = known.map(|known| known.hear(now));
-        let kept = known.and_then(|known| known.kept.as_ref());
-        if let Some(kept) = kept
-            && kept.number >= change.revision
+        let known = known.map(|known| known.note_seen(now));
+        let record = known.and_then(|known| known.record.as_ref());
+        if let Some(record) = record
+            && record.revision >= change.revision
         {
             // A copy, or a life that does not know of this one.
-            return Some(answer(kept.incarnation, kept.number));
+            return Some(ack(record.incarnation, record.revision));
         }
-        let is_own = kept.is_some_and(|kept| kept.incarnation == incarnation);
-        let number = kept.map_or(0, |kept| kept.number);
-        if base > 0 && (!is_own || base > number) {
-            return Some(answer(incarnation, if is_own { number } else { 0 }));
+        let is_own = record.is_some_and(|record| record.incarnation == incarnation);
+        let revision = record.map_or(0, |record| record.revision);
+        if base_revision > 0 && (!is_own || base_revision > revision) {
+            return Some(ack(incarnation, if is_own { revision } else { 0 }));
         }
-        let added = change_bytes(&change);
-        if self.bytes + added > self.limit_bytes {
+        let added = max_change_bytes(&change);
+        if self.bytes + added > self.max_bytes {
             return Some(self.refuse(agent, incarnation));
         }
-        let change = self.complete(now, change)?;
-        let number = change.revision;
+        let change = self.add_part(now, change)?;
+        let revision = change.revision;
         self.apply(now, &change);
-        if self.bytes > self.limit_bytes {
+        if self.bytes > self.max_bytes {
             return Some(self.refuse(agent, incarnation));
         }
         self.note_unsaved(change.encode_to_vec());
-        Some(answer(incarnation, number))
+        Some(ack(incarnation, revision))
     }
 
     /// Puts a part to those of the same change. Returns all in one once none is missing.
-    fn complete(&mut self, now: Timestamp, part: FlowRecordChange) -> Option<FlowRecordChange> {
+    fn add_part(&mut self, now: Timestamp, part: FlowRecordChange) -> Option<FlowRecordChange> {
         if part.parts <= 1 {
             return Some(part);
         }
@@ -276,48 +279,48 @@
         }
         let agent = part.agent;
         let parts = part.parts as usize;
-        self.change_agent(now, agent, |known| {
-            let is_same = |it: &Incomplete| {
-                (it.incarnation, it.base, it.number)
+        self.update_agent(now, agent, |known| {
+            let is_same = |it: &IncompleteChange| {
+                (it.incarnation, it.base_revision, it.revision)
                     == (part.incarnation, part.base_revision, part.revision)
             };
             if !known.incomplete.as_ref().is_some_and(is_same) {
-                known.incomplete = Some(Incomplete {
+                known.incomplete = Some(IncompleteChange {
                     incarnation: part.incarnation,
-                    base: part.base_revision,
-                    number: part.revision,
+                    base_revision: part.base_revision,
+                    revision: part.revision,
                     parts: BTreeMap::new(),
                     bytes: 0,
                 });
             }
             let incomplete = known.incomplete.as_mut()?;
-            let bytes = change_bytes(&part);
+            let bytes = max_change_bytes(&part);
             if incomplete.parts.insert(part.part, part).is_none() {
                 incomplete.bytes += bytes;
             }
             if incomplete.parts.len() < parts {
                 return None;
             }
-            known.incomplete.take().and_then(merge)
+            known.incomplete.take().and_then(merge_parts)
         })
     }
 
     fn apply(&mut self, now: Timestamp, change: &FlowRecordChange) {
-        self.change_agent(now, change.agent, |known| {
+        self.update_agent(now, change.agent, |known| {
             known.incomplete = None;
-            known.kept.get_or_insert_default().apply(change);
+            known.record.get_or_insert_default().apply(change);
         });
     }
 
-    fn change_agent<T>(
+    fn update_agent<T>(
         &mut self,
         now: Timestamp,
         agent: u64,
         change: impl FnOnce(&mut AgentRecord) -> T,
     ) -> T {
         let known = self.agents.entry(agent).or_insert(AgentRecord {
-            heard_at: now,
-            kept: None,
+            last_seen_at: now,
+            record: None,
             incomplete: None,
         });
         let before = known.bytes();
@@ -329,62 +332,62 @@
     /// There is no room: half a record would count as one, so that none is kept.
     fn refuse(&mut self, agent: u64, incarnation: u64) -> FlowRecordAck {
         self.refused += 1;
-        self.drop_record(agent);
+        self.remove_record(agent);
         FlowRecordAck {
             is_full: true,
-            ..answer(incarnation, 0)
+            ..ack(incarnation, 0)
         }
     }
 
     /// Forgets an agent. Returns whether it had a record.
-    fn forget(&mut self, agent: u64) -> bool {
+    fn remove_from_memory(&mut self, agent: u64) -> bool {
         let Some(known) = self.agents.remove(&agent) else {
             return false;
         };
         self.bytes -= known.bytes();
-        known.kept.is_some()
+        known.record.is_some()
     }
 
     /// Forgets an agent, in the file as well.
-    fn drop_record(&mut self, agent: u64) {
-        if self.forget(agent) {
-            let dropped = FlowRecordChange {
+    fn remove_record(&mut self, agent: u64) {
+        if self.remove_from_memory(agent) {
+            let removal = FlowRecordChange {
                 agent,
                 ..FlowRecordChange::default()
             };
-            self.note_unsaved(dropped.encode_to_vec());
+            self.note_unsaved(removal.encode_to_vec());
         }
     }
 
     /// The record of a former life, in parts.
-    pub(crate) fn handle_recall(
+    pub(crate) fn handle_request(
         &mut self,
         now: Timestamp,
-        question: FlowRecordRequest,
+        request: FlowRecordRequest,
     ) -> Vec<FlowRecordResponse> {
-        let known = self.agents.get_mut(&question.agent);
-        let known = known.map(|known| known.hear(now));
-        let kept = known.and_then(|known| known.kept.as_ref());
-        let former = kept.filter(|kept| kept.incarnation != question.incarnation);
-        let Some(kept) = former else {
+        let known = self.agents.get_mut(&request.agent);
+        let known = known.map(|known| known.note_seen(now));
+        let record = known.and_then(|known| known.record.as_ref());
+        let previous = record.filter(|record| record.incarnation != request.incarnation);
+        let Some(record) = previous else {
             return vec![FlowRecordResponse {
-                incarnation: question.incarnation,
+                incarnation: request.incarnation,
                 ..FlowRecordResponse::default()
             }];
         };
-        let flows = kept.recorded();
+        let flows = record.to_recorded_flows();
         let parts = flows.len().div_ceil(FLOWS_PER_PART).max(1);
         let part = |part: usize| {
             let flows = flows.chunks(FLOWS_PER_PART).nth(part).unwrap_or_default();
             FlowRecordResponse {
-                incarnation: question.incarnation,
-                backend_incarnation: kept.backend,
-                revision: kept.number,
+                incarnation: request.incarnation,
+                backend_incarnation: record.backend_incarnation,
+                revision: record.revision,
                 part: part as u32,
                 parts: parts as u32,
                 flows: to_columns(flows.iter().copied()),
                 probe_packets: match part {
-                    0 => kept.witnesses.clone(),
+                    0 => record.probe_packets.clone(),
                     _ => Vec::new(),
                 },
             }
@@ -394,21 +397,21 @@
 
     /// Forgets agents that have not been heard of for the lifetime of a flow.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        let lifetime = self.lifetime;
-        let is_gone = |known: &AgentRecord| now.saturating_since(known.heard_at) >= lifetime;
+        let ttl = self.ttl;
+        let is_expired = |known: &AgentRecord| now.saturating_since(known.last_seen_at) >= ttl;
         let agents = self.agents.iter();
-        let gone = agents.filter(|(_, known)| is_gone(known));
-        let gone: Vec<u64> = gone.map(|(agent, _)| *agent).collect();
-        for agent in gone {
-            self.drop_record(agent);
+        let expired = agents.filter(|(_, known)| is_expired(known));
+        let expired: Vec<u64> = expired.map(|(agent, _)| *agent).collect();
+        for agent in expired {
+            self.remove_record(agent);
         }
     }
 
     fn note_unsaved(&mut self, bytes: Vec<u8>) {
         self.unsaved_bytes += bytes.len();
         self.unsaved.push(bytes);
-        let whole = self.file_bytes_of_whole().max(SMALL_FILE_BYTES);
-        if self.must_replace || self.unsaved_bytes > whole {
+        let full = self.compacted_file_bytes().max(SMALL_FILE_BYTES);
+        if self.must_replace || self.unsaved_bytes > full {
             // All records together take less.
             self.must_replace = true;
             self.unsaved.clear();
@@ -434,21 +437,22 @@
         let unsaved = std::mem::take(&mut self.unsaved);
         self.file_bytes += std::mem::take(&mut self.unsaved_bytes);
         let has_grown = self.file_bytes > SMALL_FILE_BYTES
-            && self.file_bytes > COMPACTION_FACTOR * self.file_bytes_of_whole();
+            && self.file_bytes > COMPACTION_FACTOR * self.compacted_file_bytes();
         if !self.must_replace && !has_grown {
             return Some(FlowRecordWrite::Append(unsaved));
         }
         self.must_replace = false;
-        let whole = self.agents.iter();
-        let whole = whole.filter_map(|(agent, known)| Some(known.kept.as_ref()?.whole(*agent)));
-        let whole: Vec<Vec<u8>> = whole.map(|whole| whole.encode_to_vec()).collect();
-        self.file_bytes = whole.iter().map(Vec::len).sum();
-        Some(FlowRecordWrite::Replace(whole))
+        let full = self.agents.iter();
+        let full =
+            full.filter_map(|(agent, known)| Some(known.record.as_ref()?.to_full_change(*agent)));
+        let full: Vec<Vec<u8>> = full.map(|full| full.encode_to_vec()).collect();
+        self.file_bytes = full.iter().map(Vec::len).sum();
+        Some(FlowRecordWrite::Replace(full))
     }
 
     /// About what the file would have if it was made anew: a flow takes a quarter there of
     /// what it takes in memory.
-    fn file_bytes_of_whole(&self) -> usize {
+    fn compacted_file_bytes(&self) -> usize {
         self.bytes / 4
     }
 
@@ -457,44 +461,44 @@
         self.is_writing = false;
         if succeeded {
             self.saved_at = now;
-            self.has_failed = false;
+            self.last_write_failed = false;
             return false;
         }
         // A part of it may be in the file.
         self.must_replace = true;
         self.save_at = now + RETRY_INTERVAL;
-        !std::mem::replace(&mut self.has_failed, true)
+        !std::mem::replace(&mut self.last_write_failed, true)
     }
 }
 
-fn answer(incarnation: u64, number: u64) -> FlowRecordAck {
+fn ack(incarnation: u64, revision: u64) -> FlowRecordAck {
     FlowRecordAck {
         incarnation,
-        revision: number,
+        revision,
         is_full: false,
     }
 }
 
 /// What a change takes in memory at most.
-fn change_bytes(change: &FlowRecordChange) -> usize {
-    let witnesses: usize = change.probe_packets.iter().map(Vec::len).sum();
+fn max_change_bytes(change: &FlowRecordChange) -> usize {
+    let probe_packets: usize = change.probe_packets.iter().map(Vec::len).sum();
     let flows = change.put.callers.len() + change.removed.callers.len();
-    flows * FLOW_BYTES + witnesses
+    flows * FLOW_BYTES + probe_packets
 }
 
 /// All parts in one.
-fn merge(incomplete: Incomplete) -> Option<FlowRecordChange> {
+fn merge_parts(incomplete: IncompleteChange) -> Option<FlowRecordChange> {
     let mut parts = incomplete.parts.into_values();
-    let mut whole = parts.next()?;
-    let mut put = from_columns(&whole.put);
-    let mut removed = closed_flows(&whole.removed);
+    let mut full = parts.next()?;
+    let mut put = from_columns(&full.put);
+    let mut removed = closed_flows(&full.removed);
     for part in parts {
         put.extend(from_columns(&part.put));
         removed.extend(closed_flows(&part.removed));
-        whole.probe_packets.extend(part.probe_packets);
+        full.probe_packets.extend(part.probe_packets);
     }
-    (whole.part, whole.parts) = (0, 1);
-    whole.put = to_columns(put);
-    whole.removed = to_closed_columns(&removed);
-    Some(whole)
+    (full.part, full.parts) = (0, 1);
+    full.put = to_columns(put);
+    full.removed = to_closed_columns(&removed);
+    Some(full)
 }
--- a/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
@@ -10,7 +10,7 @@
 pub struct KnownReplicas {
     seeds: Vec<SocketAddrV4>,
     group: Vec<SocketAddrV4>,
-    group_index: u64,
+    membership_index: u64,
     leader: Option<SocketAddrV4>,
 }
 
@@ -35,10 +35,10 @@
         } else {
             self.leader = None;
         }
-        if group.membership_index < self.group_index || group.replicas.is_empty() {
+        if group.membership_index < self.membership_index || group.replicas.is_empty() {
             return;
         }
-        self.group_index = group.membership_index;
+        self.membership_index = group.membership_index;
         self.group = group.replicas.iter().copied().map(unpack_address).collect();
     }
 
--- a/crates/petrellatch-core/src/pass_through/group/group_keeper.rs
+++ b/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
@@ -9,80 +9,84 @@
 use crate::time::Timestamp;
 
 /// Between two looks at the group.
-const INTERVAL: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// A silent member is removed after this if a new node came in its stead.
-const SUCCEEDED_SILENCE: Duration = Duration::from_millis(2_000);
+const REPLACED_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Replicas whose zones are remembered: all that a group can have, with those that
 /// wait and those that are gone.
-const MAX_ZONES_KNOWN: usize = 64;
+const MAX_KNOWN_ZONES: usize = 64;
 
 /// Decisions of a leader about the members of its group, one at a time.
 #[derive(Debug)]
-pub(crate) struct GroupKeeper {
+pub(crate) struct MembershipManager {
     /// How many machines may be lost at once.
-    losses: usize,
+    max_lost_replicas: usize,
     /// How many zones may be lost at once; zero or one.
-    zone_losses: usize,
+    max_lost_zones: usize,
     /// A member that is silent for longer is removed, if enough others stay.
-    silence_limit: Duration,
+    silence_timeout: Duration,
     /// Where replicas run, as far as they have said.
     zones: BTreeMap<NodeId, String>,
-    due_at: Timestamp,
+    next_check_at: Timestamp,
     /// When each other member was last heard, or first seen by this leader.
-    heard: BTreeMap<ReplicaId, Timestamp>,
+    last_seen: BTreeMap<ReplicaId, Timestamp>,
     /// Nodes of the membership, and when each came in.
-    nodes: BTreeMap<NodeId, Timestamp>,
+    joined_at: BTreeMap<NodeId, Timestamp>,
 }
 
-impl GroupKeeper {
-    pub(crate) fn new(losses: usize, zone_losses: usize, silence_limit: Duration) -> Self {
-        GroupKeeper {
-            losses,
-            zone_losses,
-            silence_limit,
+impl MembershipManager {
+    pub(crate) fn new(
+        max_lost_replicas: usize,
+        max_lost_zones: usize,
+        silence_timeout: Duration,
+    ) -> Self {
+        MembershipManager {
+            max_lost_replicas,
+            max_lost_zones,
+            silence_timeout,
             zones: BTreeMap::new(),
-            due_at: Timestamp::ZERO,
-            heard: BTreeMap::new(),
-            nodes: BTreeMap::new(),
+            next_check_at: Timestamp::ZERO,
+            last_seen: BTreeMap::new(),
+            joined_at: BTreeMap::new(),
         }
     }
 
     /// Notes which nodes belong to the group.
     pub(crate) fn note_membership(&mut self, now: Timestamp, membership: &Membership) {
         let members = membership.members().iter().map(|it| it.replica.node);
-        let known = |node| (node, *self.nodes.get(&node).unwrap_or(&now));
-        self.nodes = members.map(known).collect();
+        let known = |node| (node, *self.joined_at.get(&node).unwrap_or(&now));
+        self.joined_at = members.map(known).collect();
     }
 
     /// Notes where a replica runs.
     pub(crate) fn note_zone(&mut self, node: NodeId, zone: String) {
-        if self.zones.len() >= MAX_ZONES_KNOWN {
-            let members = &self.nodes;
+        if self.zones.len() >= MAX_KNOWN_ZONES {
+            let members = &self.joined_at;
             self.zones.retain(|known, _| members.contains_key(known));
         }
         self.zones.insert(node, zone);
     }
 
     /// Forgets what an earlier leadership heard.
-    pub(crate) fn restart(&mut self) {
-        self.heard.clear();
+    pub(crate) fn reset(&mut self) {
+        self.last_seen.clear();
     }
 
     pub(crate) fn poll_timeout(&self) -> Timestamp {
-        self.due_at
+        self.next_check_at
     }
 
     /// Proposes the next change, if one is due.
     pub(crate) fn handle_timeout(&mut self, now: Timestamp, replica: &mut Replica) {
-        if now < self.due_at {
+        if now < self.next_check_at {
             return;
         }
-        self.due_at = now + INTERVAL;
+        self.next_check_at = now + CHECK_INTERVAL;
         if !replica.is_leader_with_quorum(now) {
             return;
         }
-        self.note_contacts(now, replica);
+        self.update_last_seen(now, replica);
         let change = self.next_change(now, replica);
         if let Some(change) = change {
             // A change in progress goes first; this one is tried again.
@@ -90,49 +94,49 @@
         }
     }
 
-    fn note_contacts(&mut self, now: Timestamp, replica: &Replica) {
+    fn update_last_seen(&mut self, now: Timestamp, replica: &Replica) {
         let progress = replica.peer_progress();
-        self.heard
+        self.last_seen
             .retain(|known, _| progress.iter().any(|peer| peer.replica == *known));
         for peer in progress {
-            let heard = self.heard.entry(peer.replica).or_insert(now);
-            *heard = (*heard).max(peer.last_contact.unwrap_or_default());
+            let last_seen = self.last_seen.entry(peer.replica).or_insert(now);
+            *last_seen = (*last_seen).max(peer.last_contact.unwrap_or_default());
         }
     }
 
     fn next_change(&self, now: Timestamp, replica: &Replica) -> Option<MembershipChange> {
         let removal = self.member_to_remove(now, replica);
         removal.map(MembershipChange::Remove).or_else(|| {
-            let newcomer = self.newcomer(replica);
-            newcomer.map(MembershipChange::AddVoter)
+            let addition = self.replica_to_add(replica);
+            addition.map(MembershipChange::AddVoter)
         })
     }
 
     /// The newcomer whose zone has the fewest voters, so that no zone has most of them
     /// while the group grows. Those whose zone is not known come last.
-    fn newcomer(&self, replica: &Replica) -> Option<ReplicaId> {
+    fn replica_to_add(&self, replica: &Replica) -> Option<ReplicaId> {
         let voters: Vec<NodeId> = replica.membership().voters().map(|it| it.node).collect();
-        let voters_beside = |newcomer: &ReplicaId| match self.zones.get(&newcomer.node) {
-            Some(zone) => self.count_in(&voters, zone),
+        let voters_in_same_zone = |replica: &ReplicaId| match self.zones.get(&replica.node) {
+            Some(zone) => self.voters_in_zone(&voters, zone),
             None => usize::MAX,
         };
         let waiting = replica.waiting_replicas().into_iter();
-        waiting.min_by_key(voters_beside)
+        waiting.min_by_key(voters_in_same_zone)
     }
 
-    fn count_in(&self, voters: &[NodeId], zone: &str) -> usize {
+    fn voters_in_zone(&self, voters: &[NodeId], zone: &str) -> usize {
         let zones = voters.iter().filter_map(|voter| self.zones.get(voter));
         zones.filter(|other| *other == zone).count()
     }
 
     /// Whether the loss of any zone leaves a majority of these voters.
-    fn bears_zone_loss(&self, voters: &[NodeId]) -> bool {
+    fn tolerates_zone_loss(&self, voters: &[NodeId]) -> bool {
         let zones: BTreeSet<&String> = self.zones.values().collect();
         let leaves_majority = |zone: &&String| {
-            let left = voters.len() - self.count_in(voters, zone);
-            left * 2 > voters.len()
+            let remaining = voters.len() - self.voters_in_zone(voters, zone);
+            remaining * 2 > voters.len()
         };
-        self.zone_losses == 0 || zones.iter().all(leaves_majority)
+        self.max_lost_zones == 0 || zones.iter().all(leaves_majority)
     }
 
     /// A member without a vote that went silent, or a silent voter if those
@@ -140,28 +144,28 @@
     fn member_to_remove(&self, now: Timestamp, replica: &Replica) -> Option<NodeId> {
         let membership = replica.membership();
         let voters = membership.voters().count();
-        let needed = 2 * self.losses + 1;
-        let bears_loss_without = |node: NodeId| {
-            let staying = membership.voters().map(|it| it.node);
-            let staying: Vec<NodeId> = staying.filter(|it| *it != node).collect();
-            self.bears_zone_loss(&staying)
+        let min_voters = 2 * self.max_lost_replicas + 1;
+        let tolerates_loss_without = |node: NodeId| {
+            let remaining = membership.voters().map(|it| it.node);
+            let remaining: Vec<NodeId> = remaining.filter(|it| *it != node).collect();
+            self.tolerates_zone_loss(&remaining)
         };
         let members = membership.members().iter();
         let removable = members.filter(|member| {
-            let dispensable = member.role != MemberRole::Voter
-                || (voters > needed && bears_loss_without(member.replica.node));
-            dispensable && self.is_silent(now, member.replica)
+            let is_dispensable = member.role != MemberRole::Voter
+                || (voters > min_voters && tolerates_loss_without(member.replica.node));
+            is_dispensable && self.is_silent(now, member.replica)
         });
         removable.map(|member| member.replica.node).next()
     }
 
     /// Whether a member is silent for long, or for a while with a successor.
     fn is_silent(&self, now: Timestamp, member: ReplicaId) -> bool {
-        let Some(heard) = self.heard.get(&member) else {
+        let Some(last_seen) = self.last_seen.get(&member) else {
             return false;
         };
-        let silence = now.saturating_since(*heard);
-        let has_successor = self.nodes.values().any(|came| came > heard);
-        silence >= self.silence_limit || (has_successor && silence >= SUCCEEDED_SILENCE)
+        let silence = now.saturating_since(*last_seen);
+        let has_replacement = self.joined_at.values().any(|joined| joined > last_seen);
+        silence >= self.silence_timeout || (has_replacement && silence >= REPLACED_SILENCE_TIMEOUT)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
@@ -11,18 +11,18 @@
 use crate::pass_through::digest::address_digest;
 
 /// A replica that did not answer by then is avoided for a while.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a replica is avoided at first; it doubles with each miss.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_DOUBLINGS: u32 = 3;
 
 /// What is known of one replica.
 #[derive(Debug, Default)]
-struct Attachment {
+struct ReplicaState {
     /// When it was asked what it has not answered.
-    asked_at: Option<Timestamp>,
-    avoided_until: Timestamp,
-    misses: u32,
+    pending_since: Option<Timestamp>,
+    backoff_until: Timestamp,
+    failures: u32,
 }
 
 /// Chooses a few replicas, so that the work for daemons is spread over the
@@ -32,7 +32,7 @@
 pub(crate) struct PreferredReplicas {
     /// Stands for the daemon in its order of replicas.
     salt: u64,
-    replicas: BTreeMap<SocketAddrV4, Attachment>,
+    replicas: BTreeMap<SocketAddrV4, ReplicaState>,
     chosen: Vec<SocketAddrV4>,
 }
 
@@ -54,16 +54,16 @@
         count: usize,
     ) -> &[SocketAddrV4] {
         self.replicas.retain(|replica, _| known.contains(replica));
-        self.avoid_overdue(now);
+        self.back_off_overdue(now);
         let mut ranked: Vec<SocketAddrV4> = known.iter().copied().collect();
         ranked.sort_by_cached_key(|replica| {
             let order = address_digest(pack_address(*replica), self.salt);
-            (self.is_avoided(now, *replica), order)
+            (self.is_in_backoff(now, *replica), order)
         });
         ranked.truncate(count);
         for replica in &ranked {
-            let attachment = self.replicas.entry(*replica).or_default();
-            attachment.asked_at.get_or_insert(now);
+            let state = self.replicas.entry(*replica).or_default();
+            state.pending_since.get_or_insert(now);
         }
         self.chosen = ranked;
         &self.chosen
@@ -75,43 +75,43 @@
     }
 
     /// Notes an answer. A replica that does not serve is avoided.
-    pub(crate) fn note_reply(&mut self, now: Timestamp, replica: SocketAddrV4, serves: bool) {
-        let attachment = self.replicas.entry(replica).or_default();
-        attachment.asked_at = None;
-        if serves {
-            attachment.misses = 0;
-            attachment.avoided_until = Timestamp::ZERO;
+    pub(crate) fn note_reply(&mut self, now: Timestamp, replica: SocketAddrV4, has_leader: bool) {
+        let state = self.replicas.entry(replica).or_default();
+        state.pending_since = None;
+        if has_leader {
+            state.failures = 0;
+            state.backoff_until = Timestamp::ZERO;
         } else {
-            attachment.avoid(now);
+            state.back_off(now);
         }
     }
 
     /// When the first answer is overdue.
     pub(crate) fn overdue_at(&self) -> Option<Timestamp> {
-        let asked = self.replicas.values().filter_map(|it| it.asked_at);
-        asked.min().map(|asked| asked + ANSWER_LIMIT)
+        let pending = self.replicas.values().filter_map(|it| it.pending_since);
+        pending.min().map(|pending| pending + REPLY_TIMEOUT)
     }
 
-    fn is_avoided(&self, now: Timestamp, replica: SocketAddrV4) -> bool {
+    fn is_in_backoff(&self, now: Timestamp, replica: SocketAddrV4) -> bool {
         let known = self.replicas.get(&replica);
-        known.is_some_and(|attachment| now < attachment.avoided_until)
+        known.is_some_and(|state| now < state.backoff_until)
     }
 
-    fn avoid_overdue(&mut self, now: Timestamp) {
-        for attachment in self.replicas.values_mut() {
-            let is_overdue = |asked| now.saturating_since(asked) >= ANSWER_LIMIT;
-            if attachment.asked_at.is_some_and(is_overdue) {
-                attachment.asked_at = None;
-                attachment.avoid(now);
+    fn back_off_overdue(&mut self, now: Timestamp) {
+        for state in self.replicas.values_mut() {
+            let is_overdue = |pending| now.saturating_since(pending) >= REPLY_TIMEOUT;
+            if state.pending_since.is_some_and(is_overdue) {
+                state.pending_since = None;
+                state.back_off(now);
             }
         }
     }
 }
 
-impl Attachment {
-    fn avoid(&mut self, now: Timestamp) {
-        let factor = 1 << self.misses.min(MAX_DOUBLINGS);
-        self.misses += 1;
-        self.avoided_until = now + FIRST_AVOIDANCE * factor;
+impl ReplicaState {
+    fn back_off(&mut self, now: Timestamp) {
+        let factor = 1 << self.failures.min(MAX_DOUBLINGS);
+        self.failures += 1;
+        self.backoff_until = now + INITIAL_BACKOFF * factor;
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/told_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/group/recent_changes.rs
@@ -13,31 +13,31 @@
 /// Changes that are kept for balancers that are a little behind.
 const KEPT_CHANGES: usize = 64;
 /// A balancer that misses more gets the whole configuration.
-const MAX_CHANGES_TOLD: usize = 8;
+const MAX_CHANGES_SENT: usize = 8;
 
 /// The latest changes.
 #[derive(Debug, Default)]
-pub(crate) struct ToldChanges {
+pub(crate) struct RecentChanges {
     changes: VecDeque<ConfigurationChange>,
 }
 
-impl ToldChanges {
+impl RecentChanges {
     /// Keeps a change for balancers that are a little behind.
     pub(crate) fn note(&mut self, change: &ConfigurationChange) {
         let mut change = change.clone();
-        strip(&mut change);
+        strip_operator_fields(&mut change);
         self.changes.push_back(change);
         if self.changes.len() > KEPT_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.changes.clear();
     }
 
     /// What a balancer with `version` needs to have the newest one.
-    pub(crate) fn news(&self, version: u64, newest: &Configuration) -> Vec<PassThroughBody> {
+    pub(crate) fn updates(&self, version: u64, newest: &Configuration) -> Vec<PassThroughBody> {
         if version >= newest.version {
             return Vec::new();
         }
@@ -45,19 +45,19 @@
             .changes
             .iter()
             .position(|change| change.base_version == version && version > 0);
-        let first = first.filter(|first| self.changes.len() - first <= MAX_CHANGES_TOLD);
+        let first = first.filter(|first| self.changes.len() - first <= MAX_CHANGES_SENT);
         let Some(first) = first else {
-            let mut whole = Configuration::default().change_to(newest);
-            strip(&mut whole);
-            return parts(&whole);
+            let mut full = Configuration::default().change_to(newest);
+            strip_operator_fields(&mut full);
+            return split_into_parts(&full);
         };
         let missing = self.changes.iter().skip(first);
-        missing.flat_map(parts).collect()
+        missing.flat_map(split_into_parts).collect()
     }
 }
 
 /// Removes what only operators read.
-fn strip(change: &mut ConfigurationChange) {
+fn strip_operator_fields(change: &mut ConfigurationChange) {
     change.annotation = None;
     for route in &mut change.put {
         route.annotation = Vec::new();
@@ -65,7 +65,7 @@
     }
 }
 
-fn parts(change: &ConfigurationChange) -> Vec<PassThroughBody> {
+fn split_into_parts(change: &ConfigurationChange) -> Vec<PassThroughBody> {
     let bytes = compress(&change.encode_to_vec());
     let parts = split(&bytes, MAX_PART_BYTES);
     let count = parts.len() as u32;
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -257,7 +257,7 @@
             zone: zone.to_owned(),
             evacuated,
             allow_last: false,
-            ordered_at_millis: 1_700_000_000_000,
+            issued_at_millis: 1_700_000_000_000,
         };
         self.request(index, request)
     }
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -154,7 +154,7 @@
                         zone,
                         evacuated,
                         allow_last,
-                        ordered_at_millis: unix_millis(),
+                        issued_at_millis: unix_millis(),
                     },
                     ApiRequest::Policies(request) => request,
                     ApiRequest::Readiness => return Some(readiness(&node.borrow())),
