--- a/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
+++ b/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
@@ -1,4 +1,4 @@
-//! Balancers that follow a replica, and the agents that report to it.
+//! Subscribed balancers and reporting agents of a replica.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -18,102 +18,104 @@
 use crate::pass_through::policies::policy_check::ReportedBackend;
 use crate::pass_through::routes::reassembly::{Reassembly, compress, split};
 
-/// A balancer that did not ask for so long is forgotten.
+/// How long a balancer stays subscribed after its last poll.
 const SUBSCRIBER_TTL: Duration = Duration::from_secs(10);
-/// An agent that did not report for so long, or for so many intervals, is
-/// forgotten.
+/// An agent is removed from the directory after this time without a report, or after
+/// [`AGENT_TTL_INTERVALS`] report intervals if that is longer.
 const AGENT_TTL: Duration = Duration::from_secs(5);
 const AGENT_TTL_INTERVALS: u32 = 4;
-/// Reports a second that a replica bears from agents without news. Balancers
-/// notice a dead agent by its silence, so these may be rare.
+/// Regular reports per second that a replica takes from all agents together. Balancers notice
+/// a dead agent by its silence, so these reports may be rare.
 const REPORTS_PER_SECOND: u32 = 50;
-/// Agents report at most so often without news.
+/// Minimum interval between regular reports of an agent.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a report may take.
+/// Longest time that a report takes to arrive.
 const REPORT_DELAY: Duration = Duration::from_millis(100);
-/// Agents report at least so often.
+/// Maximum interval between regular reports of an agent.
 const MAX_REPORT_INTERVAL: Duration = Duration::from_secs(300);
-/// A back end that leaves is remembered for so long after its agent told of it
-/// last.
+/// How long a draining back end is kept after its agent's last report of it.
 const DRAINING_TTL: Duration = Duration::from_secs(60);
-/// An agent that is not heard any more is remembered for so long.
+/// How long a silent agent is kept after its removal from the directory.
 const SILENT_AGENT_TTL: Duration = Duration::from_secs(60);
-/// Most back ends that are remembered for one agent.
+/// Maximum number of draining back ends kept per agent.
 const MAX_DRAINING_KEPT: usize = 8;
-/// Revisions of the directory that are kept for balancers that are a little
-/// behind.
+/// Number of directory revisions kept, so that balancers can be sent only the changes since
+/// theirs.
 const KEPT_REVISIONS: usize = 256;
 
-/// An agent is told of an order about its zone so often without an answer; then it
-/// is told when it reports.
+/// Maximum number of notifications of zone commands that an agent leaves without an
+/// acknowledgement. After that it is notified only when it reports.
 const MAX_NOTIFICATIONS: u32 = 24;
 
 #[derive(Debug)]
 struct ReportedAgent {
     report: Report,
     last_seen_at: Timestamp,
-    /// Another life at its address was known before.
+    /// Whether an earlier incarnation at its address was known.
     knows_previous_incarnation: bool,
-    /// Index of the latest order about zones that it has said to know.
+    /// Log index of the latest zone command that it has acknowledged.
     evacuations_index: u64,
-    /// When it was told of such an order last, and how often since it said so.
+    /// Time of the last notification of zone commands, and their number since the last
+    /// acknowledgement.
     notified_at: Timestamp,
     notifications: u32,
 }
 
-/// Agents that are told of orders about zones.
+/// Agents to notify of zone commands.
 #[derive(Debug, Default)]
 pub(crate) struct AgentsToNotify {
-    /// Those that are told now.
+    /// Agents to notify now.
     pub(crate) notified: Vec<SocketAddrV4>,
-    /// Others are due as well.
+    /// Whether further agents are due, beyond the limit.
     pub(crate) has_more_due: bool,
-    /// Others were told a moment ago and have not answered.
+    /// Whether other agents were notified recently and have not acknowledged yet.
     pub(crate) awaits_ack: bool,
 }
 
-/// Digests of back ends that said to one agent that they leave.
+/// Digests of the draining back ends of one agent.
 #[derive(Debug)]
 struct DrainingBackends {
     digests: Vec<u64>,
     reported_at: Timestamp,
 }
 
-/// An agent that is not heard any more.
+/// An agent that was removed from the directory because it was silent.
 #[derive(Debug)]
 struct SilentAgent {
     since: Timestamp,
-    /// It has said its last word: only another life, which is young then, may come back.
+    /// Whether it sent its final report: then only another incarnation, which is a new agent,
+    /// may come back.
     sent_final_report: bool,
 }
 
-/// Soft state of a replica: who follows it, and which agents there are.
+/// Soft state of a replica: subscribed balancers and reporting agents.
 #[derive(Debug, Default)]
 pub(crate) struct DaemonRegistry {
     subscribers: BTreeMap<SocketAddrV4, Timestamp>,
     agents: BTreeMap<u64, ReportedAgent>,
-    /// Back ends that leave, by the address of their agent, for its next lives.
+    /// Draining back ends by the address of their agent, for its next incarnations.
     draining_backends: BTreeMap<u64, DrainingBackends>,
-    /// Agents that are not heard any more, by their addresses.
+    /// Silent agents by address.
     silent_agents: BTreeMap<u64, SilentAgent>,
-    /// Those that were there before this life.
+    /// Agents that replicas saved before the start.
     expected: ExpectedAgents,
     started_at: Timestamp,
-    /// The longest time between two reports that an agent told.
+    /// The longest report interval that an agent has announced.
     announced_interval: Duration,
-    /// A directory was taken over that was whole, or all that were there before are known.
+    /// Whether a complete directory was fetched, or all expected agents have been seen.
     is_known_complete: bool,
-    /// What another replica tells after the start.
+    /// Reassembly of the directory that another replica sends after the start.
     fetched_directory: Reassembly,
-    /// Revision of the directory: changes of this life in the lower half.
+    /// Revision of the directory: the changes of this incarnation are counted in the lower 32
+    /// bits.
     revision: u64,
-    /// Agents that changed, each with the revision before.
+    /// Changed agents, each with the revision before its change.
     changes: VecDeque<(u64, u64)>,
 }
 
 impl DaemonRegistry {
-    /// Starts without followers and agents. `life` tells the revisions of this
-    /// life from those of others.
+    /// Starts without subscribers and agents. `salt` distinguishes the revisions of this
+    /// incarnation from those of others.
     pub(crate) fn new(now: Timestamp, salt: u32) -> Self {
         DaemonRegistry {
             started_at: now,
@@ -127,20 +129,20 @@
         self.revision
     }
 
-    /// Whether every agent that runs is in the directory: all that were there before
-    /// are known, or each has had the time to report since the start, or another replica
-    /// told of all.
+    /// Whether every running agent is in the directory: all expected agents have been seen,
+    /// or every agent has had the time to report since the start, or a complete directory was
+    /// fetched from another replica.
     pub(crate) fn is_complete(&self, now: Timestamp) -> bool {
         self.is_known_complete || now >= self.all_reported_at()
     }
 
-    /// Notes it if all that were there before are known by now.
+    /// Marks the directory as complete once all expected agents have been seen.
     pub(crate) fn update_completeness(&mut self, now: Timestamp) {
         let new_agent_interval = self.longest_report_interval() / NEW_AGENT_REPORTS;
         self.is_known_complete |= self.expected.are_all_seen(now, new_agent_interval);
     }
 
-    /// When to look whether the directory is whole, if nothing is heard.
+    /// When to check next whether the directory is complete, if no message arrives.
     pub(crate) fn complete_at(&self, now: Timestamp) -> Timestamp {
         let new_agent_interval = self.longest_report_interval() / NEW_AGENT_REPORTS;
         let complete_at = self.expected.complete_at(new_agent_interval);
@@ -151,20 +153,20 @@
         }
     }
 
-    /// When all agents have reported, whether this replica expects them or not.
+    /// When all running agents have reported, whether they are expected or not.
     fn all_reported_at(&self) -> Timestamp {
         let interval = self.longest_report_interval().max(MIN_REPORT_INTERVAL);
         self.started_at + interval + REPORT_DELAY
     }
 
-    /// The longest time that agents take between two reports: by their own word, and as
-    /// replicas told them when all that are remembered were there.
+    /// The longest report interval of agents: the longest one that they have announced, or the
+    /// one that replicas set for the number of saved agents.
     fn longest_report_interval(&self) -> Duration {
         let saved_interval = report_interval_for(self.expected.count());
         self.announced_interval.max(saved_interval)
     }
 
-    /// The agents that were there before this life.
+    /// Agents that replicas saved before the start.
     pub(crate) fn expected_mut(&mut self) -> &mut ExpectedAgents {
         &mut self.expected
     }
@@ -173,9 +175,9 @@
         &self.expected
     }
 
-    /// Agents to expect after the next start: those that are listed, unless they left no
-    /// flows for certain, and those that fell silent without a last word, as they may be cut
-    /// off.
+    /// Agents to expect after the next start: those in the directory, except those that
+    /// stopped without open flows; silent ones without a final report, as they may be cut
+    /// off; and expected ones that have not been seen yet.
     pub(crate) fn agents_to_save(&self) -> BTreeSet<u64> {
         let agents = self.agents.iter();
         let agents = agents.filter(|(_, agent)| !agent.stopped_without_flows());
@@ -191,7 +193,7 @@
             .collect()
     }
 
-    /// Notes that the directory that was taken over is whole.
+    /// Notes that the fetched directory is complete.
     pub(crate) fn note_complete(&mut self) {
         self.is_known_complete = true;
     }
@@ -208,7 +210,8 @@
         self.subscribers.keys().copied().collect()
     }
 
-    /// Takes a report. Returns whether balancers should know at once.
+    /// Takes a report. Returns whether it changes the directory, so that balancers need it at
+    /// once.
     pub(crate) fn handle_report(&mut self, now: Timestamp, mut report: Report) -> bool {
         let draining = std::mem::take(&mut report.draining_backends);
         let interval = Duration::from_millis(u64::from(report.next_report_millis));
@@ -255,8 +258,8 @@
         has_changed
     }
 
-    /// Takes a part of what another replica knows of agents. Returns whether
-    /// that is complete. What this replica heard itself goes before it.
+    /// Takes a part of another replica's directory. Returns whether all parts have arrived.
+    /// An agent that has reported to this replica keeps that report.
     pub(crate) fn handle_directory(&mut self, now: Timestamp, directory: DirectoryPart) -> bool {
         if directory.base_revision != 0 {
             return false;
@@ -286,13 +289,13 @@
         true
     }
 
-    /// Whether another life of the agent at `address` was known before this one.
+    /// Whether an earlier incarnation of the agent at `address` was known.
     pub(crate) fn knows_previous_incarnation(&self, address: u64) -> bool {
         let agent = self.agents.get(&address);
         agent.is_some_and(|agent| agent.knows_previous_incarnation)
     }
 
-    /// Notes that an agent knows the orders about zones up to an index.
+    /// Notes that an agent has acknowledged the zone commands up to a log index.
     pub(crate) fn note_evacuations_ack(&mut self, address: u64, index: u64) {
         if let Some(agent) = self.agents.get_mut(&address) {
             agent.evacuations_index = agent.evacuations_index.max(index);
@@ -300,16 +303,16 @@
         }
     }
 
-    /// Addresses of agents that have not said that they know the latest order
-    /// about their zone.
+    /// Addresses of agents that have not acknowledged the latest command for their zone.
     pub(crate) fn agents_behind(&self, evacuations: &Evacuations) -> impl Iterator<Item = u64> {
         let behind = self.agents.iter();
         let behind = behind.filter(|(_, agent)| agent.is_behind(evacuations));
         behind.map(|(address, _)| *address)
     }
 
-    /// At most `limit` of those agents that were not told within `interval`. They
-    /// count as told now. One that never answers is told again when it reports.
+    /// At most `limit` of those agents that were not notified within `interval`. They count
+    /// as notified now. After [`MAX_NOTIFICATIONS`] without an acknowledgement an agent is
+    /// notified only when it reports.
     pub(crate) fn agents_to_notify(
         &mut self,
         now: Timestamp,
@@ -337,7 +340,7 @@
         result
     }
 
-    /// A service none of whose agents is in a zone that `stays` in service.
+    /// A service without an agent in a zone that `stays` in service, if there is one.
     pub(crate) fn service_without_zone(
         &self,
         stays_in_service: impl Fn(&str) -> bool,
@@ -351,7 +354,7 @@
         without.map(|(service, _)| service.to_owned())
     }
 
-    /// The back ends that agents report of, as policies see them.
+    /// The back ends that agents report, as input for placement policies.
     pub(crate) fn backends(&self, now: Timestamp) -> Vec<ReportedBackend> {
         let serves = |agent: &&ReportedAgent| agent.report.state() != AgentState::Unavailable;
         let agents = self.agents.values().filter(serves);
@@ -360,7 +363,8 @@
         agents.map(backend).collect()
     }
 
-    /// What lives of the agent at `address` told of back ends that leave.
+    /// Digests of draining back ends that incarnations of the agent at `address` have
+    /// reported.
     pub(crate) fn draining_backends(&self, address: u64) -> Vec<u64> {
         let draining = self.draining_backends.get(&address);
         draining.map_or_else(Vec::new, |draining| draining.digests.clone())
@@ -413,12 +417,12 @@
         }
     }
 
-    /// The time between two reports of an agent that this replica bears.
+    /// The interval at which this replica wants each agent to report.
     pub(crate) fn report_interval(&self) -> Duration {
         report_interval_for(self.agents.len())
     }
 
-    /// Makes the next revision, in which an agent differs.
+    /// Starts the next revision of the directory, in which an agent has changed.
     fn note_change(&mut self, address: u64) {
         self.changes.push_back((self.revision, address));
         self.revision += 1;
@@ -427,8 +431,8 @@
         }
     }
 
-    /// How the directory differs from `base`, as messages for balancers; none
-    /// if it does not.
+    /// Messages that bring a balancer from revision `base` to the current directory; none if
+    /// it has not changed. For an unknown `base` they contain the full directory.
     pub(crate) fn directory_parts(&self, now: Timestamp, base: u64) -> Vec<PassThroughBody> {
         if base == self.revision {
             return Vec::new();
@@ -492,12 +496,12 @@
         }
     }
 
-    /// Whether it has said its last word.
+    /// Whether it has sent its final report.
     fn sent_final_report(&self) -> bool {
         self.report.next_report_millis == 0
     }
 
-    /// Whether it has stopped and leaves no flows.
+    /// Whether it has stopped without open flows.
     fn stopped_without_flows(&self) -> bool {
         self.sent_final_report() && self.report.state() == AgentState::Unavailable
     }
@@ -514,13 +518,14 @@
     }
 }
 
-/// The time between two reports of one of so many agents that a replica bears.
+/// The report interval for this number of agents, so that all together send
+/// [`REPORTS_PER_SECOND`].
 fn report_interval_for(agents: usize) -> Duration {
     let interval = Duration::from_secs(1) * agents as u32 / REPORTS_PER_SECOND;
     interval.min(MAX_REPORT_INTERVAL)
 }
 
-/// Whether two reports tell the same of the back end, but for its age.
+/// Whether two reports describe the back end alike, except for its age.
 fn describes_same_backend(one: &Report, other: &Report) -> bool {
     let (one, other) = (one.backend.as_ref(), other.backend.as_ref());
     match one.zip(other) {
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -1,12 +1,12 @@
-//! Zones that operators took out of service.
+//! Zones that operators have evacuated, that is, taken out of service.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use petrellatch_proto::pass_through::{ZoneCommand, ZoneStatus, ZoneStatuses};
 
-/// The latest order about each zone, as of an index of the log. There are as many
-/// records as zones that were ever ordered about.
+/// Latest zone command for each zone, as of an index of the replicated log. There is one
+/// status per zone that ever had a command.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     index: u64,
@@ -14,28 +14,28 @@
 }
 
 impl Evacuations {
-    /// Index of the latest order that changed something; zero if there was none.
+    /// Log index of the latest zone command that had an effect; zero if there was none.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether a zone is out of service.
+    /// Whether a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|status| status.evacuated)
     }
 
-    /// The zones out of service, by name.
+    /// The evacuated zones, sorted by name.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneStatus> {
         self.zones.values().filter(|status| status.evacuated)
     }
 
-    /// Index of the latest order about a zone; zero if there was none.
+    /// Log index of the latest command for a zone; zero if there was none.
     pub(crate) fn index_of(&self, zone: &str) -> u64 {
         self.zones.get(zone).map_or(0, |status| status.index)
     }
 
-    /// Applies an order. A repeated one keeps what the first one noted. Returns
-    /// whether it changed something.
+    /// Applies a zone command. A repeated command has no effect, so the status keeps the
+    /// values of the first one. Returns whether something has changed.
     pub(crate) fn apply(&mut self, index: u64, command: &ZoneCommand) -> bool {
         if self.contains(&command.zone) == command.evacuated {
             return false;
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Takes what another process told, if that is newer. Returns whether it is.
+    /// Takes over the state of another process if that is newer. Returns whether it is.
     pub(crate) fn take_newer(&mut self, statuses: &ZoneStatuses) -> bool {
         let is_newer = statuses.index > self.index;
         if is_newer {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// What somebody who knows the orders up to `known` has to be told, if anything.
+    /// The message for a receiver that knows the zone commands up to log index `known`; none
+    /// if it is up to date.
     pub(crate) fn updates_since(&self, known_index: u64) -> Option<ZoneStatuses> {
         (self.index > known_index).then(|| self.to_message())
     }
--- a/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
+++ b/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
@@ -1,9 +1,9 @@
-//! Which agents a replica that has started expects to hear.
+//! Agents that a replica expects to report after its start.
 //!
-//! Each agent that runs either is remembered by most replicas, or it is young and reports
-//! often. So a directory has every agent that runs once it has all that most
-//! replicas remember, and a short time for young ones is over. Without a memory, or if a
-//! remembered agent stays away, the time between two reports of all agents has to pass.
+//! Each running agent either is saved by most replicas, or is new and reports often. So a
+//! directory has every running agent once it has all agents that a majority of the replicas
+//! have saved, and a short time for new agents has passed. Without a saved list, or if a
+//! saved agent stays away, the longest report interval of all agents has to pass.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -11,35 +11,35 @@
 
 use crate::time::Timestamp;
 
-/// A young agent has reported by then, although two of its reports are lost.
+/// A new agent has reported by then, even if two of its reports are lost.
 const NEW_AGENT_TIMEOUT: Duration = Duration::from_millis(200);
-/// An agent that stays away is remembered for so long.
+/// How long an agent that stays away is expected.
 const AWAITED_TTL: Duration = Duration::from_secs(60);
 
-/// The agents that this replica and others remember of their former lives.
+/// Agents that this replica and others saved in their previous incarnations.
 #[derive(Debug, Default)]
 pub(crate) struct ExpectedAgents {
     started_at: Timestamp,
-    /// Whether this replica remembers agents.
+    /// Whether this replica has loaded a list of saved agents.
     has_saved_list: bool,
-    /// How many agents were remembered.
+    /// Highest number of agents, saved or seen, when a list was added.
     count: usize,
-    /// Members of the group; zero as long as that is not known.
+    /// Members of the replica group; zero while unknown.
     members: usize,
-    /// Those that were not heard in this life.
+    /// Saved agents that have not been seen since the start.
     awaited: BTreeSet<u64>,
-    /// Those that were heard in this life.
+    /// Agents that have been seen since the start.
     seen: BTreeSet<u64>,
-    /// What other replicas have told in part.
+    /// Lists of other replicas that have arrived in part.
     partial_lists: BTreeMap<SocketAddrV4, PartialList>,
-    /// Other replicas that have told all that they remember.
+    /// Other replicas whose list has arrived completely.
     complete_lists: BTreeSet<SocketAddrV4>,
 }
 
-/// What another replica has told in part.
+/// Part of another replica's list of saved agents.
 #[derive(Debug, Default)]
 struct PartialList {
-    /// Revision of its directory: parts of different ones don't fit together.
+    /// Directory revision of the sender: parts of different revisions don't belong together.
     revision: u64,
     agents: BTreeSet<u64>,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes what this replica remembers.
+    /// Adds this replica's own saved agents.
     pub(crate) fn load_saved(&mut self, agents: &[u64]) {
         self.has_saved_list = !agents.is_empty();
         self.add_expected(agents.iter().copied());
@@ -62,7 +62,7 @@
         self.members = members;
     }
 
-    /// Takes some of the `count` agents that another replica remembers.
+    /// Takes a part of the list of `count` agents that another replica has saved.
     pub(crate) fn handle_saved_agents(
         &mut self,
         from: SocketAddrV4,
@@ -103,7 +103,7 @@
         self.seen.insert(agent);
     }
 
-    /// Whether other replicas are still to be asked what they remember.
+    /// Whether lists of further replicas are needed for a majority.
     pub(crate) fn awaits_saved_lists(&self) -> bool {
         self.has_saved_list && !self.has_majority()
     }
@@ -112,8 +112,8 @@
         self.complete_lists.contains(&replica)
     }
 
-    /// Whether all agents that run are in the directory. `young_interval` is the time
-    /// between two reports of a young agent.
+    /// Whether all running agents are in the directory. `new_agent_interval` is the report
+    /// interval of a new agent.
     pub(crate) fn are_all_seen(&self, now: Timestamp, new_agent_interval: Duration) -> bool {
         self.has_saved_list
             && self.has_majority()
@@ -121,7 +121,7 @@
             && now >= self.complete_at(new_agent_interval)
     }
 
-    /// When young agents have reported.
+    /// When all new agents have reported.
     pub(crate) fn complete_at(&self, new_agent_interval: Duration) -> Timestamp {
         self.started_at + NEW_AGENT_TIMEOUT.max(new_agent_interval * 10 / 3)
     }
@@ -130,12 +130,12 @@
         self.has_saved_list
     }
 
-    /// How many agents were remembered.
+    /// Highest number of agents, saved or seen, when a list was added.
     pub(crate) fn count(&self) -> usize {
         self.count
     }
 
-    /// Those that were not heard in this life.
+    /// Saved agents that have not been seen since the start.
     pub(crate) fn awaited(&self) -> impl Iterator<Item = u64> + '_ {
         self.awaited.iter().copied()
     }
@@ -144,12 +144,12 @@
         self.awaited.contains(&agent)
     }
 
-    /// Forgets those that stay away.
+    /// No longer expects agents that stay away.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         if now.saturating_since(self.started_at) >= AWAITED_TTL {
             self.awaited.clear();
             self.seen.clear();
-            // Time has shown by now which agents there are.
+            // All running agents have reported by now.
             self.has_saved_list = false;
         }
     }
--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -1,5 +1,5 @@
-//! The records of open flows that a replica keeps for agents. They are soft state beside
-//! the log: bounded in bytes, and written to a file of their own.
+//! Flow records that a replica keeps for agents. They are soft state beside the replicated
+//! log: bounded in bytes, and written to a file of their own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,48 +14,48 @@
 use crate::pass_through::packet::FlowId;
 use crate::time::Timestamp;
 
-/// What a flow takes in memory, in bytes, with its place in a tree that is part full.
+/// Memory of a flow in bytes, with its entry in a partly filled B-tree.
 const FLOW_BYTES: usize = 64;
-/// The same of a record without flows.
+/// Memory of a record without flows, in bytes.
 const RECORD_BYTES: usize = 512;
-/// A record is kept at least so long without word of its agent, which asks for it every
-/// 20 s: two questions may get lost.
+/// Minimum time that a record is kept without a message of its agent, which requests it every
+/// 20 s: two requests may get lost.
 const MIN_TTL: Duration = Duration::from_secs(60);
-/// Between two writes to the file: what is younger is lost with the power.
+/// Interval between writes to the file. A power loss loses the changes of that time.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// After a write that failed, the next one comes so much later.
+/// Delay of the next write after a failed one.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// The file is made anew once it has grown to so many times what it would then have.
+/// The file is rewritten once it exceeds its compacted size by this factor.
 const COMPACTION_FACTOR: usize = 4;
-/// A smaller file is left as it is, in bytes.
+/// Files up to this size, in bytes, are not compacted.
 const SMALL_FILE_BYTES: usize = 64 * 1024;
-/// Flows in one part of an answer, so that it stays below
+/// Flows in one part of a response, so that it stays below
 /// [`petrellatch_proto::pass_through::MAX_PART_BYTES`].
 const FLOWS_PER_PART: usize = 250;
-/// The most parts of a change: what is larger is no change that an agent made.
+/// Maximum number of parts of a change. No agent sends more.
 const MAX_PARTS: u32 = 1_024;
 
-/// Something for the file of records.
+/// A write to the file of flow records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FlowRecordWrite {
-    /// Append these to the file, and sync it.
+    /// Append these encoded changes to the file, and sync it.
     Append(Vec<Vec<u8>>),
-    /// Make the file anew with these.
+    /// Replace the contents of the file with these encoded changes.
     Replace(Vec<Vec<u8>>),
 }
 
-/// What a replica keeps, as numbers.
+/// Statistics of the flow records that a replica keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FlowRecordStoreStats {
-    /// Agents that have a record here.
+    /// Number of agents that have a record.
     pub records: usize,
-    /// Their flows.
+    /// Number of flows in all records.
     pub flows: usize,
-    /// Bytes in memory, as they count for the limit.
+    /// Estimated memory in bytes, which counts towards the limit.
     pub bytes: usize,
-    /// Changes that were refused for lack of room, since the start.
+    /// Number of changes refused since the start because of the memory limit.
     pub refused: u64,
-    /// Since the last write that was synced, or since the start.
+    /// Time since the last synced write, or since the start if there was none.
     pub write_age: Duration,
 }
 
@@ -64,7 +64,7 @@
     incarnation: u64,
     backend_incarnation: u64,
     revision: u64,
-    /// First sequence number of the back end, and what the caller has acknowledged.
+    /// First sequence number of the back end, and last acknowledgement number of the caller.
     flows: BTreeMap<FlowId, (u32, u32)>,
     probe_packets: Vec<Vec<u8>>,
 }
@@ -104,7 +104,7 @@
         recorded.collect()
     }
 
-    /// The record as a change of nothing.
+    /// The record as a change to an empty one.
     fn to_full_change(&self, agent: u64) -> FlowRecordChange {
         FlowRecordChange {
             agent,
@@ -121,7 +121,7 @@
     }
 }
 
-/// Parts of a change that is not complete.
+/// Received parts of a change that is not complete yet.
 #[derive(Debug)]
 struct IncompleteChange {
     incarnation: u64,
@@ -151,7 +151,7 @@
     }
 }
 
-/// The records, and what of them is to be written.
+/// The records of all agents, and their changes that are not in the file yet.
 #[derive(Debug)]
 pub(crate) struct FlowRecordStore {
     max_bytes: usize,
@@ -159,7 +159,7 @@
     agents: BTreeMap<u64, AgentRecord>,
     bytes: usize,
     refused: u64,
-    /// Changes that are not in the file.
+    /// Encoded changes that are not in the file yet.
     unsaved: Vec<Vec<u8>>,
     unsaved_bytes: usize,
     file_bytes: usize,
@@ -171,8 +171,8 @@
 }
 
 impl FlowRecordStore {
-    /// Records that take at most `limit_bytes` in memory, each as long as its agent is
-    /// heard of within `lifetime`.
+    /// Creates a store that takes at most `max_bytes` in memory. A record expires after `ttl`
+    /// without a message of its agent, but not before [`MIN_TTL`].
     pub(crate) fn new(now: Timestamp, max_bytes: usize, ttl: Duration) -> Self {
         FlowRecordStore {
             max_bytes,
@@ -205,8 +205,8 @@
         }
     }
 
-    /// Takes what a former life wrote, in that order. Returns whether all of it could be
-    /// read. The agents count as heard now.
+    /// Loads the changes that the previous incarnation wrote, in their order. Returns whether
+    /// all are readable. The agents count as seen now.
     pub(crate) fn load(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
         let mut is_readable = true;
         for bytes in saved {
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Takes a part of a change. Returns what to answer, if the agent must know.
+    /// Takes a part of a change. Returns the acknowledgement to send, if there is one.
     pub(crate) fn handle_change(
         &mut self,
         now: Timestamp,
@@ -247,7 +247,7 @@
         if let Some(record) = record
             && record.revision >= change.revision
         {
-            // A copy, or a life that does not know of this one.
+            // A duplicate, or a change of an incarnation that does not know this record.
             return Some(ack(record.incarnation, record.revision));
         }
         let is_own = record.is_some_and(|record| record.incarnation == incarnation);
@@ -269,7 +269,8 @@
         Some(ack(incarnation, revision))
     }
 
-    /// Puts a part to those of the same change. Returns all in one once none is missing.
+    /// Adds a part to the others of its change. Returns the merged change once it is
+    /// complete.
     fn add_part(&mut self, now: Timestamp, part: FlowRecordChange) -> Option<FlowRecordChange> {
         if part.parts <= 1 {
             return Some(part);
@@ -329,7 +330,8 @@
         result
     }
 
-    /// There is no room: half a record would count as one, so that none is kept.
+    /// Refuses a change over the memory limit. The record is removed, since a partial one
+    /// would be taken for a complete one.
     fn refuse(&mut self, agent: u64, incarnation: u64) -> FlowRecordAck {
         self.refused += 1;
         self.remove_record(agent);
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Forgets an agent. Returns whether it had a record.
+    /// Removes an agent from memory. Returns whether it had a record.
     fn remove_from_memory(&mut self, agent: u64) -> bool {
         let Some(known) = self.agents.remove(&agent) else {
             return false;
@@ -348,7 +350,7 @@
         known.record.is_some()
     }
 
-    /// Forgets an agent, in the file as well.
+    /// Removes an agent from memory and from the file.
     fn remove_record(&mut self, agent: u64) {
         if self.remove_from_memory(agent) {
             let removal = FlowRecordChange {
@@ -359,7 +361,8 @@
         }
     }
 
-    /// The record of a former life, in parts.
+    /// The record of the agent's previous incarnation, in parts; one empty part if there is
+    /// none.
     pub(crate) fn handle_request(
         &mut self,
         now: Timestamp,
@@ -395,7 +398,7 @@
         (0..parts).map(part).collect()
     }
 
-    /// Forgets agents that have not been heard of for the lifetime of a flow.
+    /// Removes agents that have sent no message for the lifetime of a record.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         let ttl = self.ttl;
         let is_expired = |known: &AgentRecord| now.saturating_since(known.last_seen_at) >= ttl;
@@ -410,9 +413,9 @@
     fn note_unsaved(&mut self, bytes: Vec<u8>) {
         self.unsaved_bytes += bytes.len();
         self.unsaved.push(bytes);
-        let full = self.compacted_file_bytes().max(SMALL_FILE_BYTES);
-        if self.must_replace || self.unsaved_bytes > full {
-            // All records together take less.
+        let limit = self.compacted_file_bytes().max(SMALL_FILE_BYTES);
+        if self.must_replace || self.unsaved_bytes > limit {
+            // All records together take fewer bytes than the unsaved changes.
             self.must_replace = true;
             self.unsaved.clear();
             self.unsaved_bytes = 0;
@@ -423,7 +426,7 @@
         self.save_at
     }
 
-    /// What is to be written, if that is due, no write is under way and something changed.
+    /// The next write, if it is due, none is in progress and something has changed.
     pub(crate) fn poll_write(&mut self, now: Timestamp) -> Option<FlowRecordWrite> {
         if now < self.save_at {
             return None;
@@ -450,13 +453,14 @@
         Some(FlowRecordWrite::Replace(full))
     }
 
-    /// About what the file would have if it was made anew: a flow takes a quarter there of
+    /// Estimated size of the file after compaction, in bytes: a flow takes a quarter there of
     /// what it takes in memory.
     fn compacted_file_bytes(&self) -> usize {
         self.bytes / 4
     }
 
-    /// Notes how a write ended. Returns whether it is the first one that failed.
+    /// Notes the result of a write. Returns whether it is the first failure since the last
+    /// success.
     pub(crate) fn note_written(&mut self, now: Timestamp, succeeded: bool) -> bool {
         self.is_writing = false;
         if succeeded {
@@ -464,7 +468,7 @@
             self.last_write_failed = false;
             return false;
         }
-        // A part of it may be in the file.
+        // The file may contain a part of the failed write.
         self.must_replace = true;
         self.save_at = now + RETRY_INTERVAL;
         !std::mem::replace(&mut self.last_write_failed, true)
@@ -479,14 +483,14 @@
     }
 }
 
-/// What a change takes in memory at most.
+/// Upper bound of the memory that a change takes, in bytes.
 fn max_change_bytes(change: &FlowRecordChange) -> usize {
     let probe_packets: usize = change.probe_packets.iter().map(Vec::len).sum();
     let flows = change.put.callers.len() + change.removed.callers.len();
     flows * FLOW_BYTES + probe_packets
 }
 
-/// All parts in one.
+/// Merges all parts of a change into one.
 fn merge_parts(incomplete: IncompleteChange) -> Option<FlowRecordChange> {
     let mut parts = incomplete.parts.into_values();
     let mut full = parts.next()?;
--- a/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
@@ -1,11 +1,11 @@
-//! Where a daemon finds the replicas of the control group.
+//! Addresses of the replicas, as a daemon or another replica knows them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::pass_through::{GroupStatus, unpack_address};
 
-/// The addresses that the settings name, and those that the group told.
+/// Replica addresses from the settings (seeds), and from the latest known membership.
 #[derive(Clone, Debug, Default)]
 pub struct KnownReplicas {
     seeds: Vec<SocketAddrV4>,
@@ -15,7 +15,7 @@
 }
 
 impl KnownReplicas {
-    /// Starts from the addresses in the settings.
+    /// Starts with the seeds from the settings.
     pub fn new(seeds: Vec<SocketAddrV4>) -> Self {
         KnownReplicas {
             seeds,
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Replaces the addresses of the settings.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
     }
 
-    /// Takes what a replica told, unless something newer is known.
+    /// Takes over the leader, and the members unless a newer membership is known.
     pub fn handle_group_status(&mut self, group: &GroupStatus) {
         if group.has_leader {
             self.leader = (group.leader != 0).then(|| unpack_address(group.leader));
@@ -42,12 +42,12 @@
         self.group = group.replicas.iter().copied().map(unpack_address).collect();
     }
 
-    /// The leader, as a replica that heard it told last.
+    /// The leader according to the last group status; none if its sender had no leader.
     pub fn leader(&self) -> Option<SocketAddrV4> {
         self.leader
     }
 
-    /// All known replicas, each once.
+    /// All known replicas, without duplicates.
     pub fn all(&self) -> BTreeSet<SocketAddrV4> {
         self.seeds.iter().chain(&self.group).copied().collect()
     }
--- a/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
+++ b/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
@@ -1,5 +1,5 @@
-//! Keeps the group of replicas whole: takes in machines that announce
-//! themselves, and removes members that have been silent for long.
+//! Membership of the replica group: adds replicas that ask to join, and removes members that
+//! have been silent for long.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use crate::identity::NodeId;
 use crate::time::Timestamp;
 
-/// Between two looks at the group.
+/// Interval between checks of the membership.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// A silent member is removed after this if a new node came in its stead.
+/// Silence after which a member is removed if another node has joined since.
 const REPLACED_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Replicas whose zones are remembered: all that a group can have, with those that
-/// wait and those that are gone.
+/// Maximum number of replicas whose zones are kept: all that a group can have, with those
+/// that wait to join and those that have left.
 const MAX_KNOWN_ZONES: usize = 64;
 
-/// Decisions of a leader about the members of its group, one at a time.
+/// Membership decisions of a leader, one change at a time.
 #[derive(Debug)]
 pub(crate) struct MembershipManager {
-    /// How many machines may be lost at once.
+    /// Number of replicas that may be lost at once.
     max_lost_replicas: usize,
-    /// How many zones may be lost at once; zero or one.
+    /// Number of zones that may be lost at once; zero or one.
     max_lost_zones: usize,
-    /// A member that is silent for longer is removed, if enough others stay.
+    /// A member that is silent for longer is removed, if enough others remain.
     silence_timeout: Duration,
-    /// Where replicas run, as far as they have said.
+    /// Zones that replicas have announced.
     zones: BTreeMap<NodeId, String>,
     next_check_at: Timestamp,
-    /// When each other member was last heard, or first seen by this leader.
+    /// When each other member was last seen, or when this leader first checked it.
     last_seen: BTreeMap<ReplicaId, Timestamp>,
-    /// Nodes of the membership, and when each came in.
+    /// Nodes of the membership, and when each joined.
     joined_at: BTreeMap<NodeId, Timestamp>,
 }
 
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Notes which nodes belong to the group.
+    /// Notes the nodes of the current membership.
     pub(crate) fn note_membership(&mut self, now: Timestamp, membership: &Membership) {
         let members = membership.members().iter().map(|it| it.replica.node);
         let known = |node| (node, *self.joined_at.get(&node).unwrap_or(&now));
         self.joined_at = members.map(known).collect();
     }
 
-    /// Notes where a replica runs.
+    /// Notes the zone of a replica.
     pub(crate) fn note_zone(&mut self, node: NodeId, zone: String) {
         if self.zones.len() >= MAX_KNOWN_ZONES {
             let members = &self.joined_at;
@@ -68,7 +68,7 @@
         self.zones.insert(node, zone);
     }
 
-    /// Forgets what an earlier leadership heard.
+    /// Discards the last-seen times of an earlier leadership.
     pub(crate) fn reset(&mut self) {
         self.last_seen.clear();
     }
@@ -77,7 +77,7 @@
         self.next_check_at
     }
 
-    /// Proposes the next change, if one is due.
+    /// Proposes the next membership change, if a check is due and finds one.
     pub(crate) fn handle_timeout(&mut self, now: Timestamp, replica: &mut Replica) {
         if now < self.next_check_at {
             return;
@@ -89,7 +89,7 @@
         self.update_last_seen(now, replica);
         let change = self.next_change(now, replica);
         if let Some(change) = change {
-            // A change in progress goes first; this one is tried again.
+            // This fails while another change is in progress; the next check tries again.
             let _ = replica.propose_membership(now, change);
         }
     }
@@ -112,8 +112,8 @@
         })
     }
 
-    /// The newcomer whose zone has the fewest voters, so that no zone has most of them
-    /// while the group grows. Those whose zone is not known come last.
+    /// The waiting replica whose zone has the fewest voters, so that no zone has a majority
+    /// while the group grows. Replicas whose zone is unknown come last.
     fn replica_to_add(&self, replica: &Replica) -> Option<ReplicaId> {
         let voters: Vec<NodeId> = replica.membership().voters().map(|it| it.node).collect();
         let voters_in_same_zone = |replica: &ReplicaId| match self.zones.get(&replica.node) {
@@ -139,8 +139,8 @@
         self.max_lost_zones == 0 || zones.iter().all(leaves_majority)
     }
 
-    /// A member without a vote that went silent, or a silent voter if those
-    /// that stay can still bear the losses, of machines and of a zone.
+    /// A silent member without a vote, or a silent voter if the remaining ones still tolerate
+    /// the loss of replicas and of a zone.
     fn member_to_remove(&self, now: Timestamp, replica: &Replica) -> Option<NodeId> {
         let membership = replica.membership();
         let voters = membership.voters().count();
@@ -159,7 +159,8 @@
         removable.map(|member| member.replica.node).next()
     }
 
-    /// Whether a member is silent for long, or for a while with a successor.
+    /// Whether a member has been silent for the timeout, or for the shorter one if another
+    /// node has joined since.
     fn is_silent(&self, now: Timestamp, member: ReplicaId) -> bool {
         let Some(last_seen) = self.last_seen.get(&member) else {
             return false;
--- a/crates/petrellatch-core/src/pass_through/group/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/group/mod.rs
@@ -1,5 +1,5 @@
-//! The group of replicas and the daemons around it: who is a member, who asks whom
-//! for news, and which zones are out of service.
+//! Members of the replica group, and its state about the balancers and agents (daemons) that
+//! it serves: subscriptions, saved addresses, flow records and evacuated zones.
 
 pub(crate) mod daemon_registry;
 pub(crate) mod evacuations;
--- a/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
@@ -1,4 +1,4 @@
-//! Which replicas a daemon asks regularly.
+//! Choice of the few replicas that a daemon polls regularly.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -10,27 +10,28 @@
 
 use crate::pass_through::digest::address_digest;
 
-/// A replica that did not answer by then is avoided for a while.
+/// A replica that has not replied within this time is put into backoff.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a replica is avoided at first; it doubles with each miss.
+/// First backoff of a replica; it doubles with each consecutive failure, at most
+/// [`MAX_DOUBLINGS`] times.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 const MAX_DOUBLINGS: u32 = 3;
 
-/// What is known of one replica.
+/// Reply state of one replica.
 #[derive(Debug, Default)]
 struct ReplicaState {
-    /// When it was asked what it has not answered.
+    /// Time of the oldest poll without a reply.
     pending_since: Option<Timestamp>,
     backoff_until: Timestamp,
     failures: u32,
 }
 
-/// Chooses a few replicas, so that the work for daemons is spread over the
-/// group: each daemon has an order of its own, and takes the first ones that
-/// answer and hear a leader.
+/// Chooses a few replicas, so that the load of daemons is spread over the group: each daemon
+/// ranks the replicas by a hash of its own, and uses the first ones that reply and have a
+/// leader.
 #[derive(Debug)]
 pub(crate) struct PreferredReplicas {
-    /// Stands for the daemon in its order of replicas.
+    /// Identifies the daemon in its ranking of replicas.
     salt: u64,
     replicas: BTreeMap<SocketAddrV4, ReplicaState>,
     chosen: Vec<SocketAddrV4>,
@@ -45,8 +46,8 @@
         }
     }
 
-    /// The replicas to ask now, at most `count` of those that are known. They
-    /// are expected to answer.
+    /// Chooses at most `count` of the `known` replicas to poll now; replicas in backoff rank
+    /// last. Starts the reply timeout of the chosen ones.
     pub(crate) fn choose(
         &mut self,
         now: Timestamp,
@@ -69,12 +70,12 @@
         &self.chosen
     }
 
-    /// Whether a replica was chosen last.
+    /// Whether the last call of [`PreferredReplicas::choose`] returned this replica.
     pub(crate) fn contains(&self, replica: SocketAddrV4) -> bool {
         self.chosen.contains(&replica)
     }
 
-    /// Notes an answer. A replica that does not serve is avoided.
+    /// Notes a reply. A replica without a leader is put into backoff.
     pub(crate) fn note_reply(&mut self, now: Timestamp, replica: SocketAddrV4, has_leader: bool) {
         let state = self.replicas.entry(replica).or_default();
         state.pending_since = None;
@@ -86,7 +87,7 @@
         }
     }
 
-    /// When the first answer is overdue.
+    /// When the first reply timeout expires.
     pub(crate) fn overdue_at(&self) -> Option<Timestamp> {
         let pending = self.replicas.values().filter_map(|it| it.pending_since);
         pending.min().map(|pending| pending + REPLY_TIMEOUT)
--- a/crates/petrellatch-core/src/pass_through/group/recent_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/group/recent_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that balancers are told.
+//! Recent configuration changes, kept to update balancers.
 
 use std::collections::VecDeque;
 
@@ -10,19 +10,19 @@
 use crate::pass_through::routes::configuration::Configuration;
 use crate::pass_through::routes::reassembly::{compress, split};
 
-/// Changes that are kept for balancers that are a little behind.
+/// Number of changes that are kept.
 const KEPT_CHANGES: usize = 64;
-/// A balancer that misses more gets the whole configuration.
+/// A balancer that misses more changes is sent the full configuration.
 const MAX_CHANGES_SENT: usize = 8;
 
-/// The latest changes.
+/// The latest configuration changes, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentChanges {
     changes: VecDeque<ConfigurationChange>,
 }
 
 impl RecentChanges {
-    /// Keeps a change for balancers that are a little behind.
+    /// Keeps a change, without the fields that only operators read.
     pub(crate) fn note(&mut self, change: &ConfigurationChange) {
         let mut change = change.clone();
         strip_operator_fields(&mut change);
@@ -36,7 +36,7 @@
         self.changes.clear();
     }
 
-    /// What a balancer with `version` needs to have the newest one.
+    /// Messages that bring a balancer from `version` to the newest configuration.
     pub(crate) fn updates(&self, version: u64, newest: &Configuration) -> Vec<PassThroughBody> {
         if version >= newest.version {
             return Vec::new();
@@ -56,7 +56,7 @@
     }
 }
 
-/// Removes what only operators read.
+/// Removes fields that only operators read.
 fn strip_operator_fields(change: &mut ConfigurationChange) {
     change.annotation = None;
     for route in &mut change.put {
--- a/crates/petrellatch-core/src/pass_through/group/replica_assignment.rs
+++ b/crates/petrellatch-core/src/pass_through/group/replica_assignment.rs
@@ -1,9 +1,10 @@
-//! Which replicas serve an agent, where not all do.
+//! Assignment of replicas to agents by rendezvous hashing, for tasks that only some replicas
+//! perform.
 
 use crate::pass_through::digest::address_digest;
 
-/// Whether a replica is among the first `count` of `replicas` for an agent: each agent has
-/// an order of its own, so that the work is spread evenly.
+/// Whether replica `own` ranks among the first `count` of `replicas` for an agent. Each agent
+/// ranks the replicas by a hash of its own, which spreads the work evenly.
 pub(crate) fn is_assigned(agent: u64, own: u64, replicas: &[u64], count: usize) -> bool {
     let order = |replica: u64| address_digest(replica, agent);
     let own_order = order(own);
--- a/crates/petrellatch-core/src/pass_through/group/saved_daemons.rs
+++ b/crates/petrellatch-core/src/pass_through/group/saved_daemons.rs
@@ -1,10 +1,9 @@
-//! What a replica remembers of daemons from one life to the next.
+//! Addresses of balancers and agents that a replica keeps on disk over a restart.
 //!
-//! After a loss of power balancers and agents know only the replicas that their
-//! settings name, and these may start later than the others. So a replica that
-//! hears a leader again tells the daemons of its former life where the group is.
-//! Its directory is whole once the agents of its former life have reported, so new ones
-//! are saved soon.
+//! After a power loss, balancers and agents know only the replicas in their settings, which
+//! may start later than the others. So a replica that has contact with a leader again
+//! notifies the saved daemons where the group is. Its directory is complete once the saved
+//! agents have reported, so new agents are saved soon.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,28 +15,31 @@
 
 use super::replica_assignment::is_assigned;
 
-/// Between two looks at whether agents changed, and two writes at least: a write takes
-/// the disk from the log for some 15 ms.
+/// Interval between checks for changed agents, and minimum interval between writes: a write
+/// keeps the disk from the log for some 15 ms.
 const SAVE_INTERVAL: Duration = Duration::from_millis(250);
-/// That time is longer by itself for each so many agents: the file grows with them.
+/// [`SAVE_INTERVAL`] is added once more for each of this number of agents, since the file
+/// grows with them.
 const AGENTS_PER_SAVE_INTERVAL: usize = 2_000;
-/// The same for balancers: what is remembered of them is only a hint.
+/// Minimum interval between writes if only balancers have changed: their saved addresses are
+/// only a hint.
 const BALANCER_SAVE_INTERVAL: Duration = Duration::from_secs(5);
-/// What was asked to be saved so long ago is on the disk.
+/// Time after which a requested save is assumed to be on disk.
 const ASSUMED_WRITE_TIME: Duration = Duration::from_millis(100);
-/// An agent reports to all replicas; so many of them tell it where the group is,
-/// so that it is told although two of them are lost.
+/// Number of replicas that notify each saved agent where the group is, so that two of them
+/// may be lost. The agent then reports to all replicas.
 const NOTIFYING_REPLICAS: usize = 3;
 
-/// The daemons of the former life, and what is on disk.
+/// Daemons that the previous incarnation saved, and what is on disk now.
 #[derive(Debug)]
 pub(crate) struct DaemonStore {
-    /// Daemons that have not been told in this life.
+    /// Saved daemons that this incarnation has not notified yet.
     unnotified: SavedDaemons,
-    /// What was asked to be saved last, and when.
+    /// Daemons of the last requested save, and the time of that request. The agents are
+    /// sorted.
     saved: SavedDaemons,
     saved_at: Timestamp,
-    /// The agents that were saved before that.
+    /// Agents of the save before that one, sorted.
     saved_previously: Vec<u64>,
     next_save_at: Timestamp,
     next_balancer_save_at: Timestamp,
@@ -55,12 +57,12 @@
         }
     }
 
-    /// The agents that are saved.
+    /// Agents of the last requested save.
     pub(crate) fn saved_agents(&self) -> &[u64] {
         &self.saved.agents
     }
 
-    /// Takes what a former life saved. Returns whether it could be read.
+    /// Loads what the previous incarnation saved. Returns whether it is readable.
     pub(crate) fn load(&mut self, bytes: &[u8]) -> bool {
         let Ok(saved) = SavedDaemons::decode(bytes) else {
             return false;
@@ -72,14 +74,14 @@
         true
     }
 
-    /// Whether the next life will know of an agent.
+    /// Whether an agent is on disk, so that the next incarnation will know it.
     pub(crate) fn is_saved(&self, now: Timestamp, agent: u64) -> bool {
         let is_written = now.saturating_since(self.saved_at) >= ASSUMED_WRITE_TIME;
         let written = match is_written {
             true => &self.saved.agents,
             false => &self.saved_previously,
         };
-        // What is saved is in order.
+        // Both lists are sorted.
         self.saved.agents.binary_search(&agent).is_ok() && written.binary_search(&agent).is_ok()
     }
 
@@ -87,8 +89,8 @@
         self.next_save_at
     }
 
-    /// What to save, if that is due and `current` differs from what is saved. A
-    /// replica that hears nobody may be cut off; it keeps what it has.
+    /// The encoded daemons to write, if a save is due and `current` differs from the last
+    /// one. An empty list is not saved: the replica may be cut off from its daemons.
     pub(crate) fn save(
         &mut self,
         now: Timestamp,
@@ -112,15 +114,15 @@
         Some(self.saved.encode_to_vec())
     }
 
-    /// The balancers that this replica tells where the group is. Each is told once in a
-    /// life.
+    /// Takes the saved balancers, to notify them where the group is. Each is notified once
+    /// per incarnation.
     pub(crate) fn take_unnotified_balancers(&mut self) -> Vec<SocketAddrV4> {
         let unnotified = std::mem::take(&mut self.unnotified.balancers);
         unnotified.into_iter().map(unpack_address).collect()
     }
 
-    /// At most `limit` agents that this replica, one of `replicas`, tells where the
-    /// group is. Each is told once in a life.
+    /// Takes at most `limit` saved agents that replica `own` of `replicas` notifies where the
+    /// group is. Each is notified once per incarnation.
     pub(crate) fn take_unnotified_agents(
         &mut self,
         own: u64,
@@ -143,7 +145,7 @@
     }
 }
 
-/// Packs the addresses of daemons.
+/// Packs the addresses of daemons into the saved message.
 pub(crate) fn to_saved_daemons(
     balancers: Vec<SocketAddrV4>,
     agents: impl IntoIterator<Item = u64>,
