--- a/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
@@ -1,4 +1,4 @@
-//! What balancers and agents tell and are told.
+//! Messages from and to balancers and agents.
 
 use super::*;
 
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Whether news reach this replica in time: it hears a leader, and its
-    /// disk does not hold it up.
+    /// Whether updates reach this replica in time: it has contact with a leader, and its disk
+    /// is not stalled.
     fn has_leader(&self, now: Timestamp) -> bool {
         let has_leader_contact = match self.replica.role() {
             Role::Leader => self.replica.is_leader_with_quorum(now),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Asks another replica which agents there are, after the start.
+    /// Requests the directory of another replica after the start, if that is due.
     pub(super) fn fetch_directory(&mut self, now: Timestamp) {
         let own = address_of_node_id(self.replica.id().node);
         let mut peers = self.known_replicas.all();
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Takes the word of another replica on the directory that it told before. As
-    /// long as that is not whole, others are asked: they may have started as well.
+    /// Notes whether the directory fetched from this replica is complete. Unless it is,
+    /// further replicas are asked: this one may have started just now as well.
     pub(super) fn note_fetched_directory(&mut self, from: SocketAddrV4, status: &GroupStatus) {
         if self.fetched_directory_from == Some(from) {
             self.fetched_directory_from = None;
@@ -152,9 +152,9 @@
         self.send(peer, PassThroughBody::Subscribe(subscribe));
     }
 
-    /// Tells the followers once this replica hears a leader again: some of
-    /// them may wait for a leader to confirm what is newest. After a start the
-    /// daemons of the former life are told, as they may know no replica that runs.
+    /// Notifies the subscribers when this replica has contact with a leader again: some of
+    /// them may wait for a leader to confirm the newest version. After a start the saved
+    /// daemons are notified as well, as they may know no running replica.
     pub(super) fn announce_leader_contact(&mut self, now: Timestamp) {
         let has_leader = self.has_leader(now);
         if has_leader && !self.had_leader {
@@ -174,7 +174,7 @@
         self.had_leader = has_leader;
     }
 
-    /// Has the addresses of daemons saved for the next life.
+    /// Saves the addresses of daemons for the next incarnation, if that is due.
     pub(super) fn save_daemons(&mut self, now: Timestamp) {
         let daemons = &self.daemons;
         let current = || to_saved_daemons(daemons.subscribers(), daemons.agents_to_save());
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Tells the followers once the directory is whole, and after they were told of all
-    /// agents in it.
+    /// Notifies the subscribers once the directory is complete and all of its agents were
+    /// sent to them.
     pub(super) fn announce_complete_directory(&mut self, now: Timestamp) {
         if self.announced_complete || self.send_directory_at.is_some() {
             self.completeness_check_at = None;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Tells the balancers what was applied since the last time, all at once.
+    /// Sends subscribers the changes applied since the last call, all at once.
     pub(super) fn push_updates(&mut self) {
         let Some(version) = self.unsent_since.take() else {
             return;
--- a/crates/petrellatch-core/src/pass_through/configuration_node/directory_fetch.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/directory_fetch.rs
@@ -1,5 +1,5 @@
-//! A replica that starts takes over from another one which agents there are:
-//! in a large fleet agents report rarely.
+//! A starting replica fetches the directory of agents from another one, because agents of a
+//! large fleet report rarely.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -7,13 +7,13 @@
 
 use crate::time::Timestamp;
 
-/// Between two replicas that are asked.
+/// Interval between requests to different replicas.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Replicas that are asked at most. If none has a whole directory by then, the
-/// whole group starts, and agents report by themselves.
+/// Maximum number of requests after the first one. If no replica has sent a complete
+/// directory by then, the whole group is starting, and agents report by themselves.
 const MAX_ATTEMPTS: usize = 8;
 
-/// Whom to ask next, until somebody has answered.
+/// Selects the replica to ask next, until one has sent a complete directory.
 #[derive(Debug)]
 pub(super) struct DirectoryFetch {
     due_at: Timestamp,
@@ -36,7 +36,7 @@
         (!self.is_done).then_some(self.due_at)
     }
 
-    /// The replica to ask now, if one is due. All in `peers` get their turn.
+    /// The replica to ask now, if a request is due. The requests go to all `peers` in turn.
     pub(super) fn next(
         &mut self,
         now: Timestamp,
@@ -58,7 +58,7 @@
         self.source == Some(from)
     }
 
-    /// Notes that a whole directory has come.
+    /// Notes that a complete directory has arrived.
     pub(super) fn finish(&mut self) {
         self.is_done = true;
         self.source = None;
--- a/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/flow_record_keeping.rs
@@ -1,18 +1,18 @@
-//! The records of open flows, beside the log: no leader is needed.
+//! Flow records, which are kept beside the replicated log: they need no leader.
 
 use petrellatch_proto::pass_through::{FlowRecordChange, FlowRecordRequest};
 
 use super::*;
 
 impl ConfigurationNode {
-    /// Takes what a former life wrote to the file of records, in that order. Returns whether
-    /// all of it could be read.
+    /// Loads the changes that the previous incarnation wrote to the file of flow records, in
+    /// their order. Returns whether all are readable.
     pub fn load_flow_records(&mut self, now: Timestamp, saved: &[Vec<u8>]) -> bool {
         self.flow_records.load(now, saved)
     }
 
-    /// Notes how a write to the file of records ended. One that failed costs nothing but
-    /// its time: the records stay in memory, and are written later.
+    /// Notes the result of a write to the file of flow records. After a failure the records
+    /// stay in memory, and are written later.
     pub fn handle_flow_records_written(&mut self, now: Timestamp, result: Result<(), String>) {
         let is_first = self.flow_records.note_written(now, result.is_ok());
         if let Err(failure) = result
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The records of open flows that this replica keeps.
+    /// Statistics of the flow records that this replica keeps.
     pub fn flow_record_stats(&self, now: Timestamp) -> FlowRecordStoreStats {
         self.flow_records.stats(now)
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -56,20 +56,21 @@
 use saved_agents_exchange::SavedAgentsExchange;
 use update_notifier::UpdateNotifier;
 
-/// Between two sweeps over soft state.
+/// Interval between sweeps that expire soft state.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// News of agents are gathered for this long.
+/// How long changes of the directory are collected before they are sent.
 const DIRECTORY_DELAY: Duration = Duration::from_millis(20);
 
-/// An agent is told the group's members with every so many reports.
+/// An agent gets a group status in reply to one of this many reports, even if nothing has
+/// changed.
 const REPORTS_PER_GROUP_STATUS: u64 = 4;
 
-/// Times that a replica measures.
+/// Latencies that a replica measures.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationNodeLatencies {
-    /// From the request of a replacement until it was accepted.
+    /// From the request to replace the configuration until the version was accepted.
     pub acceptance: LatencyHistogram,
-    /// From the request of a write until it was synced.
+    /// From the request to write to the log until the write was synced.
     pub log_sync: LatencyHistogram,
 }
 
@@ -86,7 +87,7 @@
     },
 }
 
-/// What an operator reads.
+/// The data that an operator reads.
 #[derive(Clone, Copy, Debug)]
 enum ReadSubject {
     Configuration,
@@ -101,37 +102,36 @@
     random: ChaCha8Rng,
     state: ConfigurationState,
     replacements: PendingReplacements,
-    /// Orders about zones that are in the log.
+    /// Zone commands that are in the log and not yet applied.
     pending_zone_commands: PendingCommands,
-    /// Changes of the placement policies that are in the log.
+    /// Changes of the placement policies that are in the log and not yet applied.
     pending_policy_changes: PendingCommands,
     update_notifier: UpdateNotifier,
     reads: BTreeMap<u64, PendingRead>,
-    next_read_id: u64,
+    last_read_id: u64,
     daemons: DaemonRegistry,
     recent_changes: RecentChanges,
-    /// Revision of the directory that balancers were told last.
+    /// Revision of the directory that subscribers were sent last.
     sent_directory_revision: u64,
     known_replicas: KnownReplicas,
-    /// The version before the first change that balancers were not told.
+    /// The version before the first change that subscribers were not sent yet.
     unsent_since: Option<u64>,
     membership_manager: MembershipManager,
     daemon_store: DaemonStore,
     flow_records: FlowRecordStore,
-    /// When the other replicas are told this one's zone next, and how often they were.
+    /// When this replica announces its zone to the others next, and how often it has done so.
     next_zone_announcement_at: Timestamp,
     zone_announcements: u32,
     send_directory_at: Option<Timestamp>,
     directory_fetch: DirectoryFetch,
     saved_agents_exchange: SavedAgentsExchange,
-    /// The replica whose directory was taken over, until it has said whether
-    /// that is whole.
+    /// The replica whose directory was fetched, until it reports whether that is complete.
     fetched_directory_from: Option<SocketAddrV4>,
-    /// Whether balancers were told that the directory is whole.
+    /// Whether subscribers were notified that the directory is complete.
     announced_complete: bool,
-    /// When to look whether it is.
+    /// When to check next whether the directory is complete.
     completeness_check_at: Option<Timestamp>,
-    /// Whether this replica heard a leader at the latest input.
+    /// Whether this replica had contact with a leader at the latest input.
     had_leader: bool,
     latencies: ConfigurationNodeLatencies,
     elections_lost: BTreeMap<ElectionLoss, u64>,
@@ -147,13 +147,13 @@
     NodeId(pack_address(address))
 }
 
-/// The address of a replica whose identifier [`node_id_of_address`] made.
+/// The address of a replica, from an identifier that [`node_id_of_address`] made.
 pub fn address_of_node_id(node: NodeId) -> SocketAddrV4 {
     unpack_address(node.0)
 }
 
 impl ConfigurationNode {
-    /// Starts a life of a replica. Nodes in `start` are made by [`node_id_of_address`].
+    /// Starts a replica. [`node_id_of_address`] makes the node identifiers in `start`.
     pub fn new(now: Timestamp, settings: ConfigurationNodeSettings, start: ReplicaStart) -> Self {
         let flow_records = FlowRecordStore::new(
             now,
@@ -183,7 +183,7 @@
             pending_policy_changes: PendingCommands::default(),
             update_notifier: UpdateNotifier::default(),
             reads: BTreeMap::new(),
-            next_read_id: 0,
+            last_read_id: 0,
             sent_directory_revision: daemons.revision(),
             daemons,
             recent_changes: RecentChanges::default(),
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Takes what a former life asked to be remembered. Returns whether it could
-    /// be read.
+    /// Loads the daemons that the previous incarnation saved, see
+    /// [`ConfigurationOutput::SaveDaemons`]. Returns whether they are readable.
     pub fn load_daemons(&mut self, saved: &[u8]) -> bool {
         let is_readable = self.daemon_store.load(saved);
         let agents = self.daemon_store.saved_agents();
@@ -217,38 +217,38 @@
         is_readable
     }
 
-    /// The replica of the log.
+    /// The consensus replica, which replicates the log.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The configuration as far as it is applied here.
+    /// The configuration, as far as the log is applied here.
     pub fn configuration(&self) -> &Configuration {
         self.state.configuration()
     }
 
-    /// The orders about zones as far as they are applied here.
+    /// The evacuated zones, as far as the log is applied here.
     pub fn evacuations(&self) -> &Evacuations {
         self.state.evacuations()
     }
 
-    /// Elections of this life that this replica stood for and lost, by reason.
+    /// Number of elections since the start that this replica stood for and lost for a reason.
     pub fn elections_lost(&self, reason: ElectionLoss) -> u64 {
         self.elections_lost.get(&reason).copied().unwrap_or(0)
     }
 
-    /// Agents that have not said that they know the latest order about their
-    /// zone. Only the leader hears all of them.
+    /// Number of agents that have not acknowledged the latest command for their zone. Only
+    /// the leader receives all acknowledgements.
     pub fn agents_behind(&self) -> usize {
         self.daemons.agents_behind(self.evacuations()).count()
     }
 
-    /// Times since the start.
+    /// Latencies measured since the start.
     pub fn latencies(&self) -> &ConfigurationNodeLatencies {
         &self.latencies
     }
 
-    /// Replaces the replicas that the settings name.
+    /// Replaces the seed replicas of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.replica
             .set_contacts(seeds.iter().copied().map(node_id_of_address));
@@ -259,7 +259,7 @@
         self.is_stopped
     }
 
-    /// Begins a planned stop: hands leadership over first.
+    /// Begins a planned stop. A leader transfers its leadership first.
     pub fn begin_stop(&mut self, now: Timestamp) {
         if self.stop_deadline.is_some() {
             return;
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Takes a message of another process.
+    /// Handles a message of another process.
     pub fn handle_message(&mut self, now: Timestamp, from: SocketAddrV4, body: PassThroughBody) {
         match body {
             PassThroughBody::Consensus(bytes) => self.handle_consensus(now, from, &bytes),
@@ -302,7 +302,7 @@
         self.process_replica_outputs(now);
     }
 
-    /// Takes a request of an operator.
+    /// Handles a request of an operator. The response carries the `token`.
     pub fn handle_request(&mut self, now: Timestamp, token: u64, request: ConfigurationRequest) {
         match request {
             ConfigurationRequest::Replace(configuration) => {
@@ -356,7 +356,7 @@
         self.process_replica_outputs(now);
     }
 
-    /// Notes that a write is synced.
+    /// Notes that the write with this ticket is synced.
     pub fn handle_persisted(&mut self, now: Timestamp, ticket: PersistTicket) {
         if let Some(since) = self.write_started_at.take() {
             self.latencies.log_sync.record(now.saturating_since(since));
@@ -365,7 +365,7 @@
         self.process_replica_outputs(now);
     }
 
-    /// Does what has become due.
+    /// Runs all timers that are due.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if self.replica.poll_timeout().is_some_and(|due| due <= now) {
             self.replica.handle_timeout(now);
@@ -394,7 +394,7 @@
         self.process_replica_outputs(now);
     }
 
-    /// When [`ConfigurationNode::handle_timeout`] is wanted.
+    /// When to call [`ConfigurationNode::handle_timeout`] next.
     pub fn poll_timeout(&self) -> Timestamp {
         let timers = [
             self.replica.poll_timeout(),
@@ -414,7 +414,7 @@
         first.unwrap_or(self.sweep_at)
     }
 
-    /// The next thing to do.
+    /// The next output for the event loop.
     pub fn poll_output(&mut self) -> Option<ConfigurationOutput> {
         self.outputs.pop_front()
     }
@@ -427,7 +427,7 @@
         self.replica
             .handle_message(now, node_id_of_address(from), message);
         if is_join_request && self.replica.role() != Role::Leader {
-            // The newcomer may know no replica but this one.
+            // The joining replica may know no other replica.
             let status = self.group_status(now);
             self.send(from, PassThroughBody::GroupStatus(status));
         }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/pending_commands.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/pending_commands.rs
@@ -1,10 +1,10 @@
-//! Orders of operators that a leader has put into the log, until they are applied.
+//! Commands of operators that a leader has put into the log, until they are applied.
 
 use std::collections::BTreeMap;
 
 use crate::time::Timestamp;
 
-/// Requests that wait for their orders to be applied, by the orders' random numbers.
+/// Requests whose commands are not applied yet, by the random identifiers of the commands.
 #[derive(Debug, Default)]
 pub(super) struct PendingCommands {
     commands: BTreeMap<u64, PendingCommand>,
@@ -22,20 +22,22 @@
         self.commands.insert(command_id, pending);
     }
 
-    /// Takes out who waits for an order that was applied.
+    /// Removes an applied command. Returns the token of its request, if that is still
+    /// pending.
     pub(super) fn take(&mut self, command_id: u64) -> Option<u64> {
         self.commands
             .remove(&command_id)
             .map(|command| command.token)
     }
 
-    /// Takes out all.
+    /// Removes all commands. Returns the tokens of their requests.
     pub(super) fn take_all(&mut self) -> Vec<u64> {
         let all = std::mem::take(&mut self.commands).into_values();
         all.map(|command| command.token).collect()
     }
 
-    /// Takes out those who have waited too long. Their orders may still hold.
+    /// Removes commands past their deadline. Returns the tokens of their requests. The
+    /// commands may still be applied.
     pub(super) fn take_expired(&mut self, now: Timestamp) -> Vec<u64> {
         let is_due = |command: &PendingCommand| command.deadline <= now;
         let expired = self.commands.values().filter(|command| is_due(command));
--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -1,4 +1,4 @@
-//! Placement policies, from the request of an operator to the answer and to balancers.
+//! Placement policies: requests of operators, their responses, and updates for balancers.
 
 use petrellatch_proto::pass_through::{PlacementPolicy, PolicyChange};
 
@@ -9,13 +9,13 @@
 use crate::pass_through::policies::policy_check::{self, ExplainedPolicy};
 
 impl ConfigurationNode {
-    /// The placement policies as far as they are applied here.
+    /// The placement policies, as far as the log is applied here.
     pub fn policies(&self) -> &PlacementPolicies {
         self.state.policies()
     }
 
-    /// Puts a change into the log once its policy has passed all checks. Repeated changes
-    /// go there as well: only what the log says is known to hold for good.
+    /// Proposes a change to the log once its policy has passed all checks. Repeated changes
+    /// are proposed as well: only an applied log entry shows that the result is committed.
     pub(super) fn handle_policy_change(
         &mut self,
         now: Timestamp,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Checks a policy without effect, on the back ends that this replica hears of.
+    /// Checks a policy against the back ends that agents have reported to this replica,
+    /// without storing it.
     pub(super) fn handle_policy_check(
         &mut self,
         now: Timestamp,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Tells what the policy of a service decides for each of its back ends. Only the
-    /// leader hears all agents.
+    /// Explains what the policy of a service decides for each of its back ends. Only the
+    /// leader receives the reports of all agents.
     pub(super) fn handle_policy_explanation(
         &mut self,
         now: Timestamp,
@@ -99,7 +100,8 @@
         self.respond(token, ConfigurationResponse::PolicyRefused(refusal));
     }
 
-    /// A change was applied: whoever waits for it is answered, and balancers are told.
+    /// Handles an applied change: responds to the request, and schedules updates for
+    /// balancers.
     pub(super) fn note_policy_change(
         &mut self,
         change: &PolicyChange,
--- a/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/replica_outputs.rs
@@ -1,10 +1,10 @@
-//! What the node does with the outputs of its replica.
+//! Processing of the outputs of the consensus replica.
 
 use super::*;
 use crate::pass_through::routes::configuration_state::{Applied, AppliedChange};
 
 impl ConfigurationNode {
-    /// Carries out the replica's outputs.
+    /// Processes the outputs of the consensus replica, and sends the updates that result.
     pub(super) fn process_replica_outputs(&mut self, now: Timestamp) {
         while let Some(output) = self.replica.poll_output() {
             self.process_replica_output(now, output);
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -1,4 +1,4 @@
-//! Replacements and reads, from the request to the answer.
+//! Replacements and reads, from the request to the response.
 
 use super::*;
 
@@ -39,7 +39,7 @@
         self.replacements.note_proposed(id);
     }
 
-    /// Nothing is known of the outcome of what waits.
+    /// Responds to all pending replacements that their outcome is unknown.
     pub(super) fn fail_replacements(&mut self) {
         for (token, _) in self.replacements.take_all() {
             self.respond(token, ConfigurationResponse::Unavailable);
@@ -47,8 +47,8 @@
     }
 
     pub(super) fn request_read(&mut self, now: Timestamp, read: PendingRead) {
-        self.next_read_id += 1;
-        let read_id = self.next_read_id;
+        self.last_read_id += 1;
+        let read_id = self.last_read_id;
         match self.replica.request_read(now, read_id) {
             Ok(()) => {
                 self.reads.insert(read_id, read);
@@ -75,7 +75,8 @@
         self.request_read(now, read);
     }
 
-    /// Nothing is known of the outcome of orders that wait.
+    /// Responds to all pending zone commands and policy changes that their outcome is
+    /// unknown.
     pub(super) fn fail_pending_commands(&mut self) {
         let zones = self.pending_zone_commands.take_all();
         let policies = self.pending_policy_changes.take_all();
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
@@ -1,4 +1,4 @@
-//! What operators ask a replica, what it answers, and what it wants done.
+//! Requests of operators to a replica, its responses, and its outputs.
 
 use std::net::SocketAddrV4;
 
@@ -12,109 +12,108 @@
 use crate::pass_through::policies::policy_check::ExplainedPolicy;
 use crate::pass_through::routes::configuration::Configuration;
 
-/// What an operator asks.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationRequest {
-    /// Replace the configuration, unless the held version is as high.
+    /// Replace the configuration, unless the current version is at least as high.
     Replace(Configuration),
     /// Read the newest configuration.
     Read,
-    /// Take a zone out of service, or back into it.
+    /// Evacuate a zone, or restore it.
     SetZoneEvacuated {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// Whether it goes out of service.
+        /// Whether the zone is evacuated; otherwise it is restored.
         evacuated: bool,
-        /// Whether a service may be left without any zone.
+        /// Whether a service may be left without any zone in service.
         allow_last: bool,
-        /// The time of the order, in milliseconds of Unix time; only operators
-        /// read it.
+        /// Time of the command, in milliseconds of Unix time; only operators read it.
         issued_at_millis: u64,
     },
-    /// Put a placement policy in place of one of the same name.
+    /// Add a placement policy, or replace the one of the same name.
     PutPolicy {
         /// The policy.
         policy: PlacementPolicy,
-        /// Index of the policies that it is based on; none if it holds in any case.
+        /// Log index of the policies that the change is based on; none if it applies to any.
         base_index: Option<u64>,
     },
     /// Remove a placement policy.
     RemovePolicy {
-        /// Its name.
+        /// Name of the policy.
         name: String,
         /// See [`ConfigurationRequest::PutPolicy`].
         base_index: Option<u64>,
     },
-    /// Check a placement policy without effect.
+    /// Check a placement policy without storing it.
     CheckPolicy(PlacementPolicy),
-    /// Tell what the policy of a service decides for each of its back ends.
+    /// Explain what the policy of a service decides for each of its back ends.
     ExplainPolicy {
-        /// The service.
+        /// Name of the service.
         service: String,
     },
     /// Read the newest placement policies.
     ReadPolicies,
 }
 
-/// Why an order about a zone is refused; nothing of it is done.
+/// Reason why a zone command is refused. A refused command has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ZoneCommandRefusal {
     /// There is no such zone.
     #[snafu(display("there is no zone {zone}"))]
     UnknownZone {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
-    /// The zone is the last one in service that a service has back ends in.
+    /// A service has back ends in no other zone in service.
     #[snafu(display("{zone} is the last zone in service of {service}"))]
     LastZone {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
-        /// One such service.
+        /// Name of one such service.
         service: String,
     },
 }
 
-/// The answer to an operator.
+/// The response to a request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationResponse {
-    /// The version, or a higher one, is accepted for good.
+    /// The version, or a higher one, is committed.
     Accepted {
-        /// The version that is held.
+        /// The current version.
         version: u64,
     },
     /// The newest configuration.
     Read(Configuration),
-    /// The order about a zone holds for good.
+    /// The zone command is committed and applied.
     ZoneCommandApplied,
-    /// The order about a zone is refused.
+    /// The zone command is refused.
     ZoneCommandRefused(ZoneCommandRefusal),
-    /// The change of the policies holds for good.
+    /// The change of the policies is committed and applied.
     PolicyChanged {
-        /// Index of the policies.
+        /// Log index of the policies.
         index: u64,
-        /// Whether it had an effect; otherwise what it leads to held already.
+        /// Whether it had an effect; otherwise the policies were so already.
         changed: bool,
     },
     /// The policy, or a change of the policies, is refused.
     PolicyRefused(PolicyRefusal),
-    /// Nothing is wrong with the policy.
+    /// The policy is valid.
     PolicyValid,
-    /// What the policy of a service decides.
+    /// The decisions of the policy of a service.
     PolicyExplained(ExplainedPolicy),
     /// The newest policies.
     Policies(PolicySet),
-    /// Another replica leads.
+    /// Another replica is the leader.
     NotLeader {
-        /// Its address for messages between processes.
+        /// The leader's address for messages between processes.
         leader: SocketAddrV4,
     },
-    /// Nobody is known to lead, or the outcome is not known in time.
+    /// There is no known leader, or the outcome is not known in time.
     Unavailable,
 }
 
 impl ConfigurationResponse {
-    /// The answer in a few words.
+    /// Short text for the log.
     pub(super) fn summary(&self) -> String {
         match self {
             ConfigurationResponse::Accepted { version } => format!("accepted({version})"),
@@ -134,7 +133,7 @@
     }
 }
 
-/// Something for the driver to do.
+/// An action for the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationOutput {
     /// Send a message. It may get lost.
@@ -144,19 +143,19 @@
         /// The message.
         body: PassThroughBody,
     },
-    /// Write and sync, then call [`ConfigurationNode::handle_persisted`].
+    /// Write this and sync it, then call [`ConfigurationNode::handle_persisted`].
     Persist(PersistRequest),
-    /// Save this for the next life's [`ConfigurationNode::load_daemons`], in
-    /// place of what was saved before. It may get lost.
+    /// Save these bytes for [`ConfigurationNode::load_daemons`] of the next incarnation, in
+    /// place of the earlier ones. They may get lost.
     SaveDaemons(Vec<u8>),
-    /// Write to the file of the records of open flows, then call
+    /// Write to the file of flow records, then call
     /// [`ConfigurationNode::handle_flow_records_written`]. There is one write at a time.
     WriteFlowRecords(FlowRecordWrite),
-    /// Answer a request.
+    /// Respond to a request.
     Respond {
         /// Token of the request.
         token: u64,
-        /// The answer.
+        /// The response.
         response: ConfigurationResponse,
     },
     /// Write to the log.
--- a/crates/petrellatch-core/src/pass_through/configuration_node/saved_agents_exchange.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/saved_agents_exchange.rs
@@ -1,22 +1,22 @@
-//! Which agents the replicas remember of their former lives: one that has started
-//! asks the others, and tells those agents that it is there.
+//! Exchange of saved agents after a start: a replica requests the lists of the other
+//! replicas, and notifies the saved agents that it is running.
 
 use super::*;
 
-/// Between two questions to replicas that have not told what they remember: others may
-/// start a little later.
+/// Interval between requests to replicas that have not sent their list: they may start a
+/// little later.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
-/// So often they are asked. Then agents have reported by themselves, or a replica
-/// that did not start again has told its whole directory.
+/// Maximum number of requests. By then agents have reported by themselves, or a replica that
+/// has not restarted has sent its complete directory.
 const MAX_REQUESTS: u32 = 100;
-/// Agents in one message.
+/// Number of agents in one message.
 const AGENTS_PER_MESSAGE: usize = 1_000;
-/// Agents of the former life that are told at once: each answers to all replicas.
+/// Number of saved agents that are notified per round: each replies to all replicas.
 const MAX_NOTIFIED_PER_ROUND: usize = 256;
-/// Between two rounds while agents are left that have not been told.
+/// Interval between rounds while agents are left to notify.
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
 
-/// When to ask and tell next.
+/// Times of the next request to replicas, and of the next notification of agents.
 #[derive(Debug)]
 pub(super) struct SavedAgentsExchange {
     request_at: Option<Timestamp>,
@@ -37,14 +37,15 @@
         self.request_at.into_iter().chain(self.notify_at).min()
     }
 
-    /// Lets the agents of the former life be told from now on.
+    /// Starts to notify the saved agents.
     pub(super) fn schedule_notifications(&mut self, now: Timestamp) {
         self.notify_at = Some(now);
     }
 }
 
 impl ConfigurationNode {
-    /// Asks the other replicas which agents they remember.
+    /// Requests the lists of saved agents of the other replicas, if that is due and still
+    /// needed.
     pub(super) fn request_saved_agents(&mut self, now: Timestamp) {
         if self
             .saved_agents_exchange
@@ -80,8 +81,8 @@
             .collect()
     }
 
-    /// Tells another replica which agents this one remembers. One that has lost its
-    /// memory says nothing until it has heard them all.
+    /// Sends another replica the agents that this one saves. Without a saved list, this
+    /// replica sends nothing until its directory is complete.
     pub(super) fn send_saved_agents(&mut self, now: Timestamp, to: SocketAddrV4) {
         let has_saved_list = self.daemons.expected().has_saved_list();
         if !has_saved_list && !self.daemons.is_complete(now) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Takes what another replica remembers.
+    /// Takes a part of the list that another replica has saved.
     pub(super) fn note_saved_agents(&mut self, from: SocketAddrV4, status: &GroupStatus) {
         let is_member = self.member_addresses().contains(&from);
         if status.saved_agent_count > 0 && is_member {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Tells agents of the former life where the group is, and that this replica has not
-    /// heard them.
+    /// Notifies saved agents where the group is, and requests a report from those that this
+    /// replica has not seen since its start.
     pub(super) fn notify_saved_agents(&mut self, now: Timestamp) {
         if self
             .saved_agents_exchange
--- a/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
@@ -8,30 +8,30 @@
 /// Settings of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigurationNodeSettings {
-    /// Of the replicated log.
+    /// Settings of the replicated log.
     pub replica: ReplicaSettings,
-    /// How many machines may be lost at once.
+    /// Number of replicas that may be lost at once.
     pub max_lost_replicas: usize,
-    /// How many zones may be lost at once: none or one.
+    /// Number of zones that may be lost at once; zero or one.
     pub max_lost_zones: usize,
     /// The zone of this replica.
     pub zone: String,
-    /// A silent member is removed after this, if enough others stay.
+    /// Silence after which a member is removed, if enough others remain.
     pub member_silence_timeout: Duration,
-    /// A request that is not answered by then gets the answer that its
-    /// outcome is unknown.
+    /// Time after which a request without an outcome gets the response that its outcome is
+    /// unknown.
     pub request_timeout: Duration,
-    /// A leader whose disk holds up a write for longer stops leading.
+    /// A leader whose disk takes longer for a write resigns.
     pub write_timeout: Duration,
-    /// The longest that a planned stop waits for a successor.
+    /// Maximum time that a planned stop waits for a successor.
     pub stop_timeout: Duration,
-    /// All zones. Orders about others are refused; if there are none here, orders
-    /// about any zone are taken.
+    /// All zones. Commands for other zones are refused; if this is empty, commands for any
+    /// zone are accepted.
     pub zones: BTreeSet<String>,
-    /// What the records of open flows may take in memory, in bytes.
+    /// Maximum memory of the flow records, in bytes.
     pub max_flow_record_bytes: usize,
-    /// A record is forgotten if its agent was not heard of for so long: no flow rests for
-    /// longer.
+    /// A flow record is removed after this time without a message of its agent: no flow is
+    /// idle for longer.
     pub flow_record_ttl: Duration,
 }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/update_notifier.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/update_notifier.rs
@@ -1,38 +1,38 @@
-//! Who is told of orders about zones and of placement policies, and when again.
+//! Notifications of zone commands and placement policies.
 //!
-//! Each replica tells the balancers that follow it. Of zones, the agents of the zone are
-//! told by the leader, which hears all of them, until each has said that it
-//! knows: they report by themselves too rarely in a large fleet.
+//! Each replica notifies the balancers that are subscribed to it. The agents of a zone are
+//! notified by the leader, which receives the reports of all, until each has acknowledged: in
+//! a large fleet they report too rarely by themselves.
 
 use super::*;
 use crate::pass_through::group::daemon_registry::AgentsToNotify;
 
-/// Between two messages to an agent that has not answered: some round trips.
+/// Interval between notifications of an agent that has not acknowledged: some round trips.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Agents that are told at once. It bounds what one round sends; chosen above the 22
-/// agents of a zone that it was measured with, and not
-/// measured at that number.
+/// Maximum number of agents that are notified per round, which bounds what a round sends.
+/// Zones of more than 22 agents are not measured.
 const MAX_NOTIFIED_PER_ROUND: usize = 256;
-/// Between two rounds while agents are left that have not been told.
+/// Interval between rounds while agents are left to notify.
 const ROUND_INTERVAL: Duration = Duration::from_millis(30);
 
-/// What of the orders about zones is to be told.
+/// Pending notifications of zone commands and placement policies.
 #[derive(Debug, Default)]
 pub(super) struct UpdateNotifier {
-    /// Balancers have not been told of the latest order.
+    /// Whether subscribers have not been notified of the latest zone command or policy.
     are_balancers_due: bool,
-    /// When agents are told next.
+    /// When agents are notified next.
     notify_agents_at: Option<Timestamp>,
 }
 
 impl UpdateNotifier {
-    /// Notes an order, or that this replica leads and may know more than agents.
+    /// Notes a zone command, or that this replica is now the leader or has a new state, and
+    /// may know more commands than agents.
     pub(super) fn note_zone_command(&mut self, now: Timestamp) {
         self.are_balancers_due = true;
         self.notify_agents_at = Some(now);
     }
 
-    /// Notes that balancers are to be told, and no agents.
+    /// Notes that only balancers have to be notified.
     pub(super) fn note_balancers_due(&mut self) {
         self.are_balancers_due = true;
     }
@@ -43,7 +43,7 @@
 }
 
 impl ConfigurationNode {
-    /// Tells the balancers that follow this replica of a new order or policy.
+    /// Notifies the subscribers of a new zone command or policy.
     pub(super) fn notify_balancers(&mut self, now: Timestamp) {
         if !std::mem::take(&mut self.update_notifier.are_balancers_due) {
             return;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Tells agents that have not said that they know the latest order about their
+    /// As the leader, notifies agents that have not acknowledged the latest command for their
     /// zone.
     pub(super) fn notify_agents_of_zones(&mut self, now: Timestamp) {
         if self
@@ -91,7 +91,8 @@
         }
     }
 
-    /// The group, with the orders about zones unless the receiver knows them.
+    /// The group status, with the zone statuses unless the receiver knows the zone commands
+    /// up to this log index.
     pub(super) fn group_status_with_zones(&self, now: Timestamp, known_index: u64) -> GroupStatus {
         GroupStatus {
             zones: self.evacuations().updates_since(known_index),
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_announcement.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_announcement.rs
@@ -1,17 +1,17 @@
-//! Tells the other replicas where this one runs.
+//! Announcements of this replica's zone to the other replicas.
 
 use super::*;
 
-/// Between two messages to the other replicas about this one's zone: a machine that is
-/// gone for good is replaced after two seconds at the earliest.
+/// Interval between announcements: a machine that is lost for good is replaced after two
+/// seconds at the earliest.
 const ZONE_INTERVAL: Duration = Duration::from_secs(2);
-/// The same after the start, when the group may be founded.
+/// Interval between the first announcements after the start, when the group may be forming.
 const INITIAL_ZONE_INTERVAL: Duration = Duration::from_millis(100);
 const INITIAL_ZONE_ANNOUNCEMENTS: u32 = 10;
 
 impl ConfigurationNode {
-    /// Tells the other replicas where this one runs: at first often, since the group
-    /// may be founded just now.
+    /// Announces this replica's zone to the others, if that is due: often at first, since the
+    /// group may be forming.
     pub(super) fn announce_zone(&mut self, now: Timestamp) {
         if now < self.next_zone_announcement_at {
             return;
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_commands.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_commands.rs
@@ -1,10 +1,10 @@
-//! Orders about zones, from the request to the answer.
+//! Zone commands, from the request to the response.
 
 use super::*;
 
 impl ConfigurationNode {
-    /// Puts an order into the log. Repeated orders go there as well: only what the
-    /// log says is known to hold for good.
+    /// Proposes a zone command to the log. Repeated commands are proposed as well: only an
+    /// applied log entry shows that the result is committed.
     pub(super) fn handle_zone_command(
         &mut self,
         now: Timestamp,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// A service that would have back ends in zones out of service only. Nothing is
-    /// said of that before all agents are known.
+    /// A service that would have back ends in evacuated zones only. None is reported while
+    /// the directory is incomplete.
     fn service_left_without_zone(&self, now: Timestamp, zone: &str) -> Option<String> {
         if !self.daemons.is_complete(now) {
             return None;
@@ -57,7 +57,8 @@
         self.respond(token, ConfigurationResponse::ZoneCommandRefused(refusal));
     }
 
-    /// An order was applied: whoever waits for it is answered, and daemons are told.
+    /// Handles an applied command: responds to the request, and schedules notifications of
+    /// daemons.
     pub(super) fn note_zone_command(
         &mut self,
         now: Timestamp,
