--- a/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/preferred_replicas.rs
@@ -58,8 +58,8 @@
         self.back_off_overdue(now);
         let mut ranked: Vec<SocketAddrV4> = known.iter().copied().collect();
         ranked.sort_by_cached_key(|replica| {
-            let order = address_digest(pack_address(*replica), self.salt);
-            (self.is_in_backoff(now, *replica), order)
+            let rank = address_digest(pack_address(*replica), self.salt);
+            (self.is_in_backoff(now, *replica), rank)
         });
         ranked.truncate(count);
         for replica in &ranked {
