--- a/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
+++ b/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
@@ -42,8 +42,8 @@
     balancer.handle_message(START, REPLICA, PassThroughBody::VersionConfirmed(confirmed));
     assert!(balancer.is_ready(START));
     balancer.handle_timeout(START);
-    hear_group(&mut balancer, START, 3);
-    questions(&mut balancer);
+    receive_group_status(&mut balancer, START, 3);
+    count_polls(&mut balancer);
     balancer
 }
 
@@ -75,19 +75,19 @@
     })
 }
 
-fn hear_group(balancer: &mut Balancer, now: Timestamp, version: u64) {
-    let group = GroupStatus {
+fn receive_group_status(balancer: &mut Balancer, now: Timestamp, version: u64) {
+    let status = GroupStatus {
         version,
         has_leader: true,
         ..GroupStatus::default()
     };
-    balancer.handle_message(now, REPLICA, PassThroughBody::GroupStatus(group));
+    balancer.handle_message(now, REPLICA, PassThroughBody::GroupStatus(status));
 }
 
 /// Questions for what is missing of the configuration, and for news.
-fn questions(balancer: &mut Balancer) -> usize {
+fn count_polls(balancer: &mut Balancer) -> usize {
     let outputs = std::iter::from_fn(|| balancer.poll_output());
-    let is_question = |output: &PassThroughOutput| {
+    let is_poll = |output: &PassThroughOutput| {
         matches!(
             output,
             PassThroughOutput::Send {
@@ -96,22 +96,22 @@
             }
         )
     };
-    outputs.filter(is_question).count()
+    outputs.filter(is_poll).count()
 }
 
 #[test]
-fn changes_that_overtake_each_other_come_into_force_together() {
+fn reordered_changes_are_applied_together() {
     let mut balancer = balancer();
     for (base, version) in [(7, 9), (5, 7), (9, 12), (3, 5)] {
         balancer.handle_message(START, REPLICA, part(base, version));
     }
     assert_eq!(balancer.version(), 12);
     balancer.handle_message(START, REPLICA, part(5, 7));
-    assert_eq!(balancer.version(), 12, "never back");
+    assert_eq!(balancer.version(), 12, "the version never decreases");
 }
 
 #[test]
-fn a_change_that_was_lost_is_asked_for_soon() {
+fn a_lost_change_is_requested_soon() {
     let mut balancer = balancer();
     // The change from 3 to 5 is lost.
     balancer.handle_message(START, REPLICA, part(5, 7));
@@ -119,20 +119,20 @@
     let soon = START + Duration::from_millis(150);
     assert!(balancer.poll_timeout() <= soon);
     balancer.handle_timeout(soon);
-    assert!(questions(&mut balancer) > 0);
+    assert!(count_polls(&mut balancer) > 0);
 }
 
 #[test]
-fn what_is_still_missing_after_an_answer_is_asked_for_again_soon() {
+fn a_change_missing_after_a_reply_is_requested_again_soon() {
     let mut balancer = balancer();
-    hear_group(&mut balancer, START, 9);
-    assert_eq!(questions(&mut balancer), 1);
+    receive_group_status(&mut balancer, START, 9);
+    assert_eq!(count_polls(&mut balancer), 1);
     // Of the answer only the first change and the end arrive.
-    let answered = START + Duration::from_millis(3);
-    balancer.handle_message(answered, REPLICA, part(3, 5));
-    hear_group(&mut balancer, answered, 9);
+    let replied_at = START + Duration::from_millis(3);
+    balancer.handle_message(replied_at, REPLICA, part(3, 5));
+    receive_group_status(&mut balancer, replied_at, 9);
     let soon = START + Duration::from_millis(300);
     assert!(balancer.poll_timeout() <= soon);
     balancer.handle_timeout(soon);
-    assert!(questions(&mut balancer) > 0);
+    assert!(count_polls(&mut balancer) > 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -5,21 +5,21 @@
 use super::world::{MILLI, World, agent_address};
 
 #[test]
-fn a_flow_opens_and_its_packets_follow() {
+fn a_flow_opens_and_its_packets_reach_its_back_end() {
     let mut world = World::new(3, 2);
     world.open(1, 0);
-    let agent = world.accepted_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("the flow is accepted");
     world.request(1, agent);
     assert_eq!(world.data_packets_at(agent), 1);
     assert_eq!(world.resets(), 0);
 }
 
 #[test]
-fn new_flows_spread_by_load_and_the_last_is_refused_at_once() {
+fn new_flows_spread_by_load_and_are_refused_at_once_when_all_queues_are_full() {
     let mut world = World::new(2, 2);
     for port in 1..=4 {
         world.open(port, 0);
-        let agent = world.accepted_by(port).expect("an answer");
+        let agent = world.accepted_by(port).expect("the flow is accepted");
         world.request(port, agent);
     }
     for agent in [agent_address(1), agent_address(2)] {
@@ -27,15 +27,15 @@
     }
     for port in 5..=12 {
         world.open(port, 0);
-        let agent = world.accepted_by(port).expect("it is queued");
+        let agent = world.accepted_by(port).expect("the flow is queued");
         world.request(port, agent);
     }
     world.open(13, 0);
-    assert_eq!(world.resets(), 1, "everybody's queue is full");
+    assert_eq!(world.resets(), 1, "all queues are full");
 }
 
 #[test]
-fn a_flow_is_queued_by_the_one_agent_that_has_room() {
+fn a_flow_is_queued_by_the_one_agent_that_has_capacity() {
     for free in 1..=6 {
         let mut world = World::new(6, 2);
         let others = (1..=6).filter(|index| *index != free);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_frozen_agent_costs_a_new_flow_only_a_moment() {
+fn a_frozen_agent_delays_new_flows_only_briefly() {
     let mut world = World::new(2, 4);
     world.frozen.push(agent_address(1));
     for port in 1..=6 {
@@ -66,7 +66,7 @@
 fn a_draining_back_end_gets_no_new_flow_and_keeps_its_open_ones() {
     let mut world = World::new(2, 4);
     world.open(1, 0);
-    let agent = world.accepted_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("the flow is accepted");
     world.request(1, agent);
     world.register(agent.ip().octets()[3], 4, true, 2);
     for port in 2..=5 {
@@ -78,13 +78,16 @@
 }
 
 #[test]
-fn a_late_call_does_not_bring_a_back_end_back() {
+fn a_late_registration_does_not_undo_draining_or_deregistration() {
     let mut world = World::new(1, 4);
     world.register(1, 4, true, 5);
     world.register(1, 4, false, 4);
     world.open(1, 0);
     assert_eq!(world.accepted_by(1), None);
-    let agent = world.agents.get_mut(&agent_address(1)).expect("known");
+    let agent = world
+        .agents
+        .get_mut(&agent_address(1))
+        .expect("the agent exists");
     agent.handle_deregistration(world.now, "backend-1");
     world.register(1, 4, false, 9);
     world.open(2, 0);
@@ -95,7 +98,7 @@
 fn a_restarted_balancer_finds_open_flows() {
     let mut world = World::new(3, 4);
     world.open(1, 0);
-    let agent = world.accepted_by(1).expect("an answer");
+    let agent = world.accepted_by(1).expect("the flow is accepted");
     world.request(1, agent);
     let agents = std::mem::take(&mut world.agents);
     let mut restarted = World::new(0, 0);
@@ -106,12 +109,15 @@
     restarted.request(1, agent);
     assert_eq!(restarted.data_packets_at(agent), 2);
     let others = restarted.agents.keys().filter(|other| **other != agent);
-    let strays: usize = others.map(|other| restarted.data_packets_at(*other)).sum();
-    assert_eq!(strays, 0, "no other back end may see the flow");
+    let misdelivered: usize = others.map(|other| restarted.data_packets_at(*other)).sum();
+    assert_eq!(
+        misdelivered, 0,
+        "no other back end may get packets of the flow"
+    );
 }
 
 #[test]
-fn callers_that_left_do_not_hold_slots() {
+fn callers_that_gave_up_do_not_occupy_slots() {
     let mut world = World::new(2, 3);
     for port in 1..=18 {
         world.open(port, 0);
@@ -126,13 +132,13 @@
 }
 
 #[test]
-fn a_balancer_that_stood_still_drops_opening_packets_of_that_time() {
+fn a_balancer_drops_the_syns_that_waited_during_a_process_pause() {
     let mut world = World::new(2, 4);
-    world.freeze_all(Duration::from_secs(4));
+    world.pause_all(Duration::from_secs(4));
     for port in 1..=30 {
         world.open(port, 0);
     }
-    assert_eq!(world.resets(), 0, "their callers gave up long ago");
+    assert_eq!(world.resets(), 0, "their callers have given up");
     let reached: usize = world.backends.values().map(|it| it.received.len()).sum();
     assert_eq!(reached, 0);
     world.run(100 * MILLI);
@@ -141,7 +147,7 @@
 }
 
 #[test]
-fn packets_of_flows_that_nobody_has_cost_few_messages() {
+fn packets_of_flows_without_owner_cost_few_messages() {
     let mut world = World::new(10, 4);
     for round in 0..20 {
         for port in 1..=300 {
@@ -153,18 +159,18 @@
     let budget = 2_000 + 2_000 * 210 / 1_000;
     assert!(
         world.flow_queries <= budget,
-        "{} questions",
+        "{} flow queries",
         world.flow_queries
     );
     let received: usize = world.backends.values().map(|it| it.received.len()).sum();
     assert!(
         received <= 300,
-        "{received} packets at back ends that have no flow"
+        "{received} packets at back ends that own no flow"
     );
 }
 
 #[test]
-fn agents_that_all_answer_late_are_not_all_asked_in_turn() {
+fn a_flow_is_offered_once_although_all_agents_reply_late() {
     let mut world = World::new(6, 4);
     // Every answer takes longer than the first limit.
     world.delay_replies(150 * MILLI);
@@ -178,29 +184,29 @@
         world.run(200 * MILLI);
     }
     let after = world.balancer.counters();
-    assert_eq!(after.placed - before.placed, 20, "one question a flow");
+    assert_eq!(after.placed - before.placed, 20, "one offer per flow");
     assert_eq!(after.unanswered, before.unanswered);
     assert_eq!(world.resets(), 0);
 }
 
 #[test]
-fn a_balancer_that_nobody_answers_is_not_ready() {
+fn a_balancer_without_replies_is_not_ready() {
     let mut world = World::new(2, 4);
     world.frozen = vec![agent_address(1), agent_address(2)];
     world.run(500 * MILLI);
     assert!(
         world.balancer.is_ready(world.now),
-        "a short silence is nothing"
+        "a short silence does not matter"
     );
     world.run(200 * MILLI);
     assert!(!world.balancer.is_ready(world.now));
     world.frozen.clear();
     world.open(1, 0);
-    assert!(world.balancer.is_ready(world.now), "an agent answered");
+    assert!(world.balancer.is_ready(world.now), "an agent has replied");
 }
 
 #[test]
-fn flows_that_never_open_are_soon_forgotten() {
+fn flows_that_never_open_expire_soon() {
     let mut world = World::new(2, 4);
     for port in 1..=500 {
         world.open(port, 0);
@@ -208,48 +214,48 @@
     }
     world.run(200 * MILLI);
     world.open(2_000, 0);
-    let agent = world.accepted_by(2_000).expect("an answer");
+    let agent = world.accepted_by(2_000).expect("the flow is accepted");
     world.request(2_000, agent);
     world.run(Duration::from_secs(5));
     let (flows, _) = world.balancer.table_sizes();
-    assert_eq!(flows, 1, "only the open one is left");
+    assert_eq!(flows, 1, "only the open flow is left");
 }
 
 #[test]
-fn a_flow_is_offered_to_starting_agents_when_no_other_one_takes_it() {
+fn a_flow_is_offered_to_starting_agents_when_no_other_one_accepts_it() {
     let mut world = World::new(0, 4);
     for index in 1..=3 {
         world.start_agent(index);
     }
     world.run(5 * MILLI);
     world.open(1, 0);
-    assert!(world.accepted_by(1).is_some(), "a back end was alive");
+    assert!(world.accepted_by(1).is_some(), "a back end is available");
     assert_eq!(world.resets(), 0);
 }
 
 #[test]
-fn a_refusal_tells_what_the_agents_answered() {
+fn a_refusal_logs_the_replies_of_the_agents() {
     let mut world = World::new(3, 2);
     for index in 1..=3 {
         world.fill_from_other_balancer(index, 6);
     }
     world.open(1, 0);
-    let refusal = world.refusals.pop().expect("everybody is full");
+    let refusal = world.refusals.pop().expect("all agents are full");
     // Each is asked for a slot, and again whether it queues the flow.
     assert!(
         refusal.contains(" asked=6 full=6 late=0 other=0"),
         "{refusal}"
     );
-    let mut nobody = World::new(0, 0);
+    let mut no_agents = World::new(0, 0);
     // It has waited for its first directory.
-    nobody.run(600 * MILLI);
-    nobody.open(1, 0);
-    let refusal = nobody.refusals.pop().expect("there is no agent");
+    no_agents.run(600 * MILLI);
+    no_agents.open(1, 0);
+    let refusal = no_agents.refusals.pop().expect("there is no agent");
     assert!(refusal.contains(" asked=0 "), "{refusal}");
 }
 
 #[test]
-fn packets_of_a_flow_that_all_forgot_wander_over_no_back_ends() {
+fn packets_of_a_lost_flow_are_not_spread_over_back_ends() {
     let mut world = World::new(6, 4);
     // Both the flow's agent and its balancer have started again. The caller
     // repeats its packet as callers do.
@@ -260,12 +266,12 @@
     let received: usize = world.backends.values().map(|it| it.received.len()).sum();
     assert!(
         received < 3,
-        "{received} packets at back ends that do not have the flow"
+        "{received} packets at back ends that do not own the flow"
     );
 }
 
 #[test]
-fn a_forgotten_flow_is_found_once_its_back_end_speaks() {
+fn a_lost_flow_is_found_once_its_back_end_sends_data() {
     let mut world = World::new(3, 4);
     world.request(1, agent_address(2));
     world.run(300 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/expected_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/expected_agents.rs
@@ -17,7 +17,7 @@
 const ALL_REPORTED: Duration = Duration::from_millis(1_200);
 
 /// Starts all agents of a site that has lost its power, one shortly after the other.
-fn return_agents(site: &mut Site, agents: u16) {
+fn restart_agents(site: &mut Site, agents: u16) {
     for index in 1..=agents {
         site.start_agent(index, 1);
         if index % agents.div_ceil(40) == 0 {
@@ -27,58 +27,58 @@
 }
 
 #[test]
-fn the_first_dead_flow_is_told_soon_after_the_first_balancer_is_current() {
+fn an_orphaned_flow_is_reset_soon_after_the_first_balancer_is_up_to_date() {
     for agents in [56, 204, 690] {
         let mut site = Site::new(agents);
         site.lose_power();
         site.run(SECOND);
         site.start_replicas();
         site.run(100 * MILLI);
-        return_agents(&mut site, agents);
+        restart_agents(&mut site, agents);
         site.run(200 * MILLI);
         site.start_balancer();
         site.request(1);
         site.run(150 * MILLI);
         assert_eq!(site.resets, 1, "{agents} agents");
-        assert_eq!(site.packets_to_backends.len(), 0, "nobody may have it");
+        assert_eq!(site.packets_to_backends.len(), 0, "no back end may own it");
     }
 }
 
 #[test]
-fn agents_that_run_on_report_at_once_to_replicas_that_start() {
+fn running_agents_report_at_once_to_restarted_replicas() {
     let mut site = Site::new(690);
     site.run(20 * SECOND);
     site.stop_replicas();
     site.run(5 * SECOND);
     site.start_replicas();
     let time = site.time_until_complete(REPLICAS.len(), 4 * SECOND);
-    assert!(time.is_some(), "not by the time between two reports");
+    assert!(time.is_some(), "complete only after the report interval");
 }
 
 #[test]
-fn a_remembered_agent_that_stays_away_is_waited_for() {
+fn replicas_wait_for_a_saved_agent_that_stays_away() {
     let mut site = Site::new(AGENTS);
     site.lose_power();
     site.run(SECOND);
     site.start_replicas();
-    return_agents(&mut site, AGENTS - 1);
+    restart_agents(&mut site, AGENTS - 1);
     let limit = ALL_REPORTED - 200 * MILLI;
     assert_eq!(site.time_until_complete(1, limit - 200 * MILLI), None);
     assert!(
         site.time_until_complete(3, 2 * SECOND).is_some(),
-        "not for ever"
+        "the directory never became complete"
     );
 }
 
 #[test]
-fn an_agent_that_joined_after_the_last_save_and_runs_on_keeps_its_flows() {
+fn a_running_agent_that_joined_after_the_last_save_keeps_its_flows() {
     for outage in [MILLI, 250 * MILLI, SECOND, 4 * SECOND, 30 * SECOND] {
         let mut site = Site::new(AGENTS);
-        let memories = site.saved_daemons.clone();
-        let young = AGENTS + 1;
-        site.start_agent(young, 100);
+        let saved = site.saved_daemons.clone();
+        let new_agent = AGENTS + 1;
+        site.start_agent(new_agent, 100);
         site.run(20 * MILLI);
-        site.saved_daemons = memories;
+        site.saved_daemons = saved;
         site.stop_replicas();
         site.run(outage);
         site.start_replicas();
@@ -89,8 +89,8 @@
         }
         assert_eq!(site.resets, 0, "after {outage:?}");
         assert!(
-            site.packets_to_backends.contains(&agent_address(young)),
-            "it is asked"
+            site.packets_to_backends.contains(&agent_address(new_agent)),
+            "the new agent was not found"
         );
     }
 }
@@ -100,29 +100,29 @@
     let mut site = Site::new(AGENTS);
     let stale = site.saved_daemons[&REPLICAS[0]].clone();
     site.replicas.remove(&REPLICAS[0]);
-    let young = AGENTS + 1;
-    site.start_agent(young, 100);
+    let new_agent = AGENTS + 1;
+    site.start_agent(new_agent, 100);
     site.run(10 * SECOND);
     site.saved_daemons.insert(REPLICAS[0], stale);
     site.lose_power();
     site.run(SECOND);
     site.start_replicas();
-    return_agents(&mut site, AGENTS);
+    restart_agents(&mut site, AGENTS);
     assert_eq!(
         site.time_until_complete(1, ALL_REPORTED - 400 * MILLI),
         None
     );
-    site.start_agent(young, 100);
+    site.start_agent(new_agent, 100);
     assert!(site.time_until_complete(3, 600 * MILLI).is_some());
 }
 
 #[test]
-fn a_replica_that_is_cut_off_from_the_others_waits_for_the_reports_of_all() {
+fn an_isolated_replica_waits_for_the_reports_of_all_agents() {
     let mut site = Site::new(AGENTS);
     site.lose_power();
     site.run(SECOND);
     site.start_replica(REPLICAS[0]);
-    return_agents(&mut site, AGENTS);
+    restart_agents(&mut site, AGENTS);
     assert_eq!(
         site.time_until_complete(1, ALL_REPORTED - 400 * MILLI),
         None
@@ -130,54 +130,57 @@
 }
 
 #[test]
-fn replicas_whose_memories_are_lost_or_unreadable_wait_for_the_time() {
-    for memory in [None, Some(vec![0xFF; 9])] {
+fn replicas_without_readable_saved_agents_wait_for_the_report_interval() {
+    for bytes in [None, Some(vec![0xFF; 9])] {
         let mut site = Site::new(AGENTS);
         site.lose_power();
         site.saved_daemons.clear();
-        if let Some(memory) = memory {
-            site.saved_daemons = REPLICAS.map(|it| (it, memory.clone())).into();
+        if let Some(bytes) = bytes {
+            site.saved_daemons = REPLICAS.map(|it| (it, bytes.clone())).into();
         }
         site.run(SECOND);
         site.start_replicas();
-        return_agents(&mut site, AGENTS);
+        restart_agents(&mut site, AGENTS);
         assert_eq!(site.time_until_complete(1, 350 * MILLI), None);
         assert!(site.time_until_complete(3, 2 * SECOND).is_some());
     }
 }
 
-fn remembers(site: &Site, agent: u16) -> bool {
+fn is_saved(site: &Site, agent: u16) -> bool {
     let agent = pack_address(agent_address(agent));
-    let is_remembered = |memory: &Vec<u8>| {
-        let memory = SavedDaemons::decode(memory.as_slice()).expect("readable");
-        memory.agents.contains(&agent)
+    let contains_agent = |bytes: &Vec<u8>| {
+        let saved = SavedDaemons::decode(bytes.as_slice()).expect("readable");
+        saved.agents.contains(&agent)
     };
-    site.saved_daemons.values().all(is_remembered)
+    site.saved_daemons.values().all(contains_agent)
 }
 
 #[test]
-fn what_is_remembered_follows_new_agents_and_those_that_leave() {
+fn saved_agents_follow_new_and_stopped_agents() {
     let mut site = Site::new(AGENTS);
-    let young = AGENTS + 1;
-    site.start_agent(young, 1);
+    let new_agent = AGENTS + 1;
+    site.start_agent(new_agent, 1);
     site.run(300 * MILLI);
-    assert!(remembers(&site, young));
+    assert!(is_saved(&site, new_agent));
     let now = site.now;
-    let agent = site.agents.get_mut(&agent_address(young)).expect("known");
+    let agent = site
+        .agents
+        .get_mut(&agent_address(new_agent))
+        .expect("the agent exists");
     agent.begin_stop(now);
     site.run(300 * MILLI);
-    assert!(site.agents[&agent_address(young)].is_stopped());
+    assert!(site.agents[&agent_address(new_agent)].is_stopped());
     assert!(
-        !remembers(&site, young),
-        "it has left, and its back end has no flows"
+        !is_saved(&site, new_agent),
+        "it has stopped without open flows"
     );
     site.agents.remove(&agent_address(1));
     site.run(20 * SECOND);
-    assert!(remembers(&site, 1), "it may be cut off");
+    assert!(is_saved(&site, 1), "it may be cut off");
 }
 
 #[test]
-fn agents_that_come_and_go_all_the_time_cost_few_writes() {
+fn frequent_changes_of_agents_cost_few_writes() {
     let mut site = Site::new(AGENTS);
     site.writes = 0;
     for index in 1..=200 {
@@ -186,46 +189,49 @@
     }
     assert!(
         site.writes <= 9 * REPLICAS.len(),
-        "{} in two seconds",
+        "{} writes in two seconds",
         site.writes
     );
 }
 
 #[test]
-fn a_second_loss_of_power_in_the_midst_of_the_return_forgets_nobody() {
+fn a_second_power_loss_during_recovery_loses_no_saved_agent() {
     let mut site = Site::new(AGENTS);
     site.lose_power();
     site.run(SECOND);
     site.start_replicas();
-    return_agents(&mut site, AGENTS / 4);
+    restart_agents(&mut site, AGENTS / 4);
     site.run(700 * MILLI);
     site.lose_power();
-    assert!((1..=AGENTS).all(|index| remembers(&site, index)));
+    assert!((1..=AGENTS).all(|index| is_saved(&site, index)));
 }
 
 #[test]
-fn an_agent_that_stopped_and_may_have_left_flows_is_expected_as_long_as_it_is_listed() {
+fn a_stopped_agent_that_may_have_flows_is_saved_as_long_as_it_is_listed() {
     let mut site = Site::new(AGENTS);
-    let leaving = AGENTS + 1;
-    site.start_agent(leaving, 100);
+    let stopping = AGENTS + 1;
+    site.start_agent(stopping, 100);
     site.run(SECOND);
     let now = site.now;
-    let agent = site.agents.get_mut(&agent_address(leaving)).expect("known");
+    let agent = site
+        .agents
+        .get_mut(&agent_address(stopping))
+        .expect("the agent exists");
     agent.begin_stop(now);
     site.run(300 * MILLI);
-    assert!(site.agents[&agent_address(leaving)].is_stopped());
-    site.agents.remove(&agent_address(leaving));
+    assert!(site.agents[&agent_address(stopping)].is_stopped());
+    site.agents.remove(&agent_address(stopping));
     site.run(SECOND);
-    assert!(remembers(&site, leaving));
+    assert!(is_saved(&site, stopping));
     site.run(8 * SECOND);
     assert!(
-        !remembers(&site, leaving),
-        "only another life of it may come back"
+        !is_saved(&site, stopping),
+        "only another incarnation may come back"
     );
 }
 
 /// Replicas and agents end and start at random.
-fn disturb(site: &mut Site, random: &mut ChaCha8Rng, outage: bool) {
+fn stop_or_start_at_random(site: &mut Site, random: &mut ChaCha8Rng, outage: bool) {
     let replica = REPLICAS[random.random_range(0..REPLICAS.len())];
     let index = random.random_range(1..=12);
     match random.random_range(0..8) {
@@ -241,20 +247,20 @@
 }
 
 #[test]
-fn no_whole_directory_leaves_out_an_agent_that_runs() {
+fn no_complete_directory_lacks_a_running_agent() {
     for seed in 1..=20 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut site = Site::new(6);
-        let mut whole = 0;
+        let mut complete = 0;
         for round in 0..400 {
-            disturb(&mut site, &mut random, seed % 2 == 0);
-            let pause = random.random_range(1..=if round % 40 < 30 { 12 } else { 120 });
-            for _ in 0..pause {
+            stop_or_start_at_random(&mut site, &mut random, seed % 2 == 0);
+            let steps = random.random_range(1..=if round % 40 < 30 { 12 } else { 120 });
+            for _ in 0..steps {
                 site.run(5 * MILLI);
-                whole += site.complete_replicas();
+                complete += site.complete_replicas();
                 assert_eq!(site.unlisted_agent(), None, "seed {seed}, round {round}");
             }
         }
-        assert!(whole > 100, "{whole}");
+        assert!(complete > 100, "{complete} complete directories");
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -30,16 +30,16 @@
 pub const SLOTS: u32 = 2;
 pub const PROCESSING_MICROS: u64 = 33_000;
 /// One way, in microseconds.
-const WAY: u64 = 500;
+const ONE_WAY_MICROS: u64 = 500;
 /// Packets that would wait for longer at a link are lost.
-const LINK_QUEUE: u64 = 1_000_000;
+const MAX_LINK_WAIT: u64 = 1_000_000;
 /// Heads of IP and UDP.
-const HEADS: usize = 28;
+const HEADER_BYTES: usize = 28;
 /// A refused caller is back after so long, so often.
-const RETRY: u64 = 18_000;
-const RETRIES: u32 = 2;
+const RETRY_DELAY: u64 = 18_000;
+const MAX_RETRIES: u32 = 2;
 /// Callers send copies of an opening packet after so long.
-const COPIES: [u64; 2] = [200_000, 600_000];
+const SYN_RETRANSMISSIONS: [u64; 2] = [200_000, 600_000];
 const DEADLINE: u64 = 2_000_000;
 /// The address of priority 0 is the first, that of priority 1 the next one.
 const ROUTES: [SocketAddrV4; 2] = [
@@ -51,41 +51,41 @@
     Arrival {
         priority: usize,
     },
-    Again {
+    Retry {
         first_at: u64,
-        tries: u32,
+        retries: u32,
         priority: usize,
     },
     Open {
         flow: SocketAddrV4,
-        copy: u32,
+        retransmission: u32,
     },
-    AtBalancer(usize, Vec<u8>),
-    ToBalancer(usize, SocketAddrV4, Box<PassThroughBody>),
-    ToAgent(SocketAddrV4, SocketAddrV4, Box<PassThroughBody>),
-    Done(SocketAddrV4, PacketView),
-    ToCaller(PacketView),
+    PacketToBalancer(usize, Vec<u8>),
+    MessageToBalancer(usize, SocketAddrV4, Box<PassThroughBody>),
+    MessageToAgent(SocketAddrV4, SocketAddrV4, Box<PassThroughBody>),
+    RequestDone(SocketAddrV4, PacketView),
+    PacketToCaller(PacketView),
 }
 
-struct Call {
+struct Attempt {
     first_at: u64,
-    tries: u32,
+    retries: u32,
     balancer: usize,
     priority: usize,
-    answered: bool,
+    is_accepted: bool,
     /// Questions to agents for it.
-    questions: u32,
+    offers: u32,
 }
 
 #[derive(Default)]
 struct BackEnd {
-    working: u32,
+    busy_slots: u32,
     queue: VecDeque<PacketView>,
 }
 
 /// What happened in a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Second {
+pub struct SecondStats {
     pub requests: [u32; 2],
     pub served: [u32; 2],
     pub refused: u32,
@@ -96,36 +96,36 @@
 
 pub struct Fleet {
     now: u64,
-    order: u64,
+    last_order: u64,
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    bodies: HashMap<usize, Event>,
+    scheduled: HashMap<usize, Event>,
     balancers: Vec<PassThroughBalancer<TestCodec>>,
     /// When the link of each balancer is free again, to it and from it.
     links: Vec<[u64; 2]>,
     agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     back_ends: BTreeMap<SocketAddrV4, BackEnd>,
-    calls: HashMap<SocketAddrV4, Call>,
+    attempts: HashMap<SocketAddrV4, Attempt>,
     next_caller: u32,
     /// Requests a second of each priority.
     rates: [f64; 2],
-    pub seconds: Vec<Second>,
+    pub seconds: Vec<SecondStats>,
 }
 
 impl Fleet {
     pub fn new(balancers: usize, agents: u16) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000_000,
-            order: 0,
+            last_order: 0,
             events: BinaryHeap::new(),
-            bodies: HashMap::new(),
+            scheduled: HashMap::new(),
             balancers: Vec::new(),
             links: vec![[0; 2]; balancers],
             agents: BTreeMap::new(),
             back_ends: BTreeMap::new(),
-            calls: HashMap::new(),
+            attempts: HashMap::new(),
             next_caller: 0,
             rates: [0.0; 2],
-            seconds: vec![Second::default(); 64],
+            seconds: vec![SecondStats::default(); 64],
         };
         let now = fleet.time();
         for index in 0..balancers {
@@ -161,7 +161,7 @@
                     break;
                 };
                 self.now = at;
-                let event = self.bodies.remove(&key).expect("scheduled");
+                let event = self.scheduled.remove(&key).expect("the event is scheduled");
                 self.handle(event);
             }
             self.now = tick_at;
@@ -170,8 +170,8 @@
     }
 
     /// All that happened in some seconds since the start.
-    pub fn sum(&self, seconds: std::ops::Range<usize>) -> Second {
-        let mut sum = Second::default();
+    pub fn sum(&self, seconds: std::ops::Range<usize>) -> SecondStats {
+        let mut sum = SecondStats::default();
         for second in &self.seconds[seconds] {
             for priority in 0..2 {
                 sum.requests[priority] += second.requests[priority];
@@ -188,27 +188,27 @@
         Timestamp::from_micros(self.now)
     }
 
-    fn second(&mut self, at: u64) -> &mut Second {
+    fn second(&mut self, at: u64) -> &mut SecondStats {
         &mut self.seconds[(at / 1_000_000) as usize - 1]
     }
 
     fn schedule(&mut self, after: u64, event: Event) {
-        self.order += 1;
-        let key = self.order as usize;
+        self.last_order += 1;
+        let key = self.last_order as usize;
         let at = self.now + after;
-        self.events.push(Reverse((at, self.order, key)));
-        self.bodies.insert(key, event);
+        self.events.push(Reverse((at, self.last_order, key)));
+        self.scheduled.insert(key, event);
     }
 
     /// Sends bytes over the link of a balancer: zero for to it, one for from it.
-    fn over_link(&mut self, balancer: usize, direction: usize, bytes: usize, event: Event) {
+    fn send_over_link(&mut self, balancer: usize, direction: usize, bytes: usize, event: Event) {
         let free_at = &mut self.links[balancer][direction];
         let starts = (*free_at).max(self.now);
-        if starts - self.now > LINK_QUEUE {
+        if starts - self.now > MAX_LINK_WAIT {
             return;
         }
         *free_at = starts + bytes as u64 * 1_000_000 / LINK_BYTES_PER_SECOND;
-        let after = *free_at - self.now + WAY;
+        let after = *free_at - self.now + ONE_WAY_MICROS;
         self.schedule(after, event);
     }
 
@@ -217,16 +217,16 @@
         for index in 0..self.balancers.len() {
             if self.balancers[index].poll_timeout() <= now {
                 self.balancers[index].handle_timeout(now);
-                self.drain_balancer(index);
+                self.process_balancer_outputs(index);
             }
         }
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for address in addresses {
-            let agent = self.agents.get_mut(&address).expect("known");
+            let agent = self.agents.get_mut(&address).expect("the agent exists");
             if agent.poll_timeout() <= now {
                 agent.handle_timeout(now);
             }
-            self.drain_agent(address);
+            self.process_agent_outputs(address);
         }
     }
 
@@ -234,109 +234,134 @@
         let now = self.time();
         match event {
             Event::Arrival { priority } => self.arrive(priority),
-            Event::Again {
+            Event::Retry {
                 first_at,
-                tries,
+                retries,
                 priority,
             } => {
-                self.try_again(first_at, tries, priority);
+                self.start_attempt(first_at, retries, priority);
             }
-            Event::Open { flow, copy } => self.open(flow, copy),
-            Event::AtBalancer(index, packet) => {
+            Event::Open {
+                flow,
+                retransmission,
+            } => self.open(flow, retransmission),
+            Event::PacketToBalancer(index, packet) => {
                 self.balancers[index].handle_packet(now, &packet);
-                self.drain_balancer(index);
+                self.process_balancer_outputs(index);
             }
-            Event::ToBalancer(index, from, body) => {
+            Event::MessageToBalancer(index, from, body) => {
                 self.balancers[index].handle_message(now, from, *body);
-                self.drain_balancer(index);
+                self.process_balancer_outputs(index);
             }
-            Event::ToAgent(to, from, body) => {
-                let agent = self.agents.get_mut(&to).expect("known");
+            Event::MessageToAgent(to, from, body) => {
+                let agent = self.agents.get_mut(&to).expect("the agent exists");
                 agent.handle_message(now, from, *body);
-                self.drain_agent(to);
+                self.process_agent_outputs(to);
             }
-            Event::Done(address, view) => self.finish_work(address, view),
-            Event::ToCaller(view) => self.reach_caller(view),
+            Event::RequestDone(address, view) => self.finish_request(address, view),
+            Event::PacketToCaller(view) => self.deliver_to_caller(view),
         }
     }
 
     fn arrive(&mut self, priority: usize) {
         let rate = self.rates[priority];
-        let gap = if rate > 0.0 {
+        let interval = if rate > 0.0 {
             (1e6 / rate) as u64
         } else {
             100_000
         };
-        self.schedule(gap.max(1), Event::Arrival { priority });
+        self.schedule(interval.max(1), Event::Arrival { priority });
         if rate == 0.0 {
             return;
         }
         let at = self.now;
         self.second(at).requests[priority] += 1;
-        self.try_again(at, 0, priority);
+        self.start_attempt(at, 0, priority);
     }
 
     /// A caller comes, or is back at another balancer.
-    fn try_again(&mut self, first_at: u64, tries: u32, priority: usize) {
+    fn start_attempt(&mut self, first_at: u64, retries: u32, priority: usize) {
         self.next_caller += 1;
         let flow = SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + self.next_caller), 9000);
-        let call = Call {
+        let attempt = Attempt {
             first_at,
-            tries,
+            retries,
             balancer: self.next_caller as usize % self.balancers.len(),
             priority,
-            answered: false,
-            questions: 0,
+            is_accepted: false,
+            offers: 0,
         };
-        self.calls.insert(flow, call);
+        self.attempts.insert(flow, attempt);
         self.open(flow, 0);
     }
 
-    fn open(&mut self, flow: SocketAddrV4, copy: u32) {
-        let Some(call) = self.calls.get(&flow).filter(|call| !call.answered) else {
+    fn open(&mut self, flow: SocketAddrV4, retransmission: u32) {
+        let Some(attempt) = self
+            .attempts
+            .get(&flow)
+            .filter(|attempt| !attempt.is_accepted)
+        else {
             return;
         };
         let packet = PacketView {
             syn: true,
-            ack_number: copy,
-            ..empty(flow, ROUTES[call.priority])
+            ack_number: retransmission,
+            ..empty(flow, ROUTES[attempt.priority])
         };
-        if let Some(after) = COPIES.get(copy as usize) {
-            let before = copy.checked_sub(1).map_or(0, |last| COPIES[last as usize]);
-            let copy = copy + 1;
-            self.schedule(after - before, Event::Open { flow, copy });
+        if let Some(after) = SYN_RETRANSMISSIONS.get(retransmission as usize) {
+            let before = retransmission
+                .checked_sub(1)
+                .map_or(0, |last| SYN_RETRANSMISSIONS[last as usize]);
+            let retransmission = retransmission + 1;
+            self.schedule(
+                after - before,
+                Event::Open {
+                    flow,
+                    retransmission,
+                },
+            );
         }
         self.send_packet(&packet);
     }
 
     fn send_packet(&mut self, view: &PacketView) {
-        let Some(call) = self.calls.get(&view.source) else {
+        let Some(attempt) = self.attempts.get(&view.source) else {
             return;
         };
-        let index = call.balancer;
+        let index = attempt.balancer;
         let packet = encode(view);
-        self.over_link(index, 0, packet.len(), Event::AtBalancer(index, packet));
+        self.send_over_link(
+            index,
+            0,
+            packet.len(),
+            Event::PacketToBalancer(index, packet),
+        );
     }
 
-    fn drain_balancer(&mut self, index: usize) {
+    fn process_balancer_outputs(&mut self, index: usize) {
         let from = balancer_address(index);
         while let Some(output) = self.balancers[index].poll_output() {
             match output {
                 PassThroughOutput::Send { to, .. } if to == REPLICA => {}
                 PassThroughOutput::Send { to, body } => {
                     let bytes = message_bytes(&body);
-                    if let PassThroughBody::ForwardedPacket(carry) = &body
-                        && carry.reason() != ForwardReason::Deliver
+                    if let PassThroughBody::ForwardedPacket(forwarded) = &body
+                        && forwarded.reason() != ForwardReason::Deliver
                     {
-                        let view = TestCodec.view(&carry.packet).expect("a packet");
-                        let call = self.calls.get_mut(&view.source);
-                        call.into_iter().for_each(|call| call.questions += 1);
+                        let view = TestCodec.view(&forwarded.packet).expect("a valid packet");
+                        let attempt = self.attempts.get_mut(&view.source);
+                        attempt.into_iter().for_each(|attempt| attempt.offers += 1);
                     }
-                    self.over_link(index, 1, bytes, Event::ToAgent(to, from, Box::new(body)));
+                    self.send_over_link(
+                        index,
+                        1,
+                        bytes,
+                        Event::MessageToAgent(to, from, Box::new(body)),
+                    );
                 }
                 PassThroughOutput::ToCaller { packet, .. } => {
-                    let view = TestCodec.view(&packet).expect("a packet");
-                    self.over_link(index, 1, packet.len(), Event::ToCaller(view));
+                    let view = TestCodec.view(&packet).expect("a valid packet");
+                    self.send_over_link(index, 1, packet.len(), Event::PacketToCaller(view));
                 }
                 PassThroughOutput::Event(event) if event.kind == EventKind::AgentSuspected => {
                     let at = self.now;
@@ -347,7 +372,7 @@
         }
     }
 
-    fn drain_agent(&mut self, address: SocketAddrV4) {
+    fn process_agent_outputs(&mut self, address: SocketAddrV4) {
         while let Some(output) = self
             .agents
             .get_mut(&address)
@@ -357,47 +382,53 @@
                 PassThroughOutput::Send { to, body } if to == REPLICA => {
                     if let PassThroughBody::Report(report) = body {
                         let age_millis = 0;
-                        self.tell_all(DirectoryEntry { report, age_millis });
-                        let heard = GroupStatus {
+                        self.send_to_balancers(DirectoryEntry { report, age_millis });
+                        let status = GroupStatus {
                             has_report: true,
                             ..GroupStatus::default()
                         };
-                        let body = Box::new(PassThroughBody::GroupStatus(heard));
-                        self.schedule(WAY, Event::ToAgent(address, REPLICA, body));
+                        let body = Box::new(PassThroughBody::GroupStatus(status));
+                        self.schedule(
+                            ONE_WAY_MICROS,
+                            Event::MessageToAgent(address, REPLICA, body),
+                        );
                     }
                 }
                 PassThroughOutput::Send { to, body } if self.agents.contains_key(&to) => {
-                    self.schedule(WAY, Event::ToAgent(to, address, Box::new(body)));
+                    self.schedule(
+                        ONE_WAY_MICROS,
+                        Event::MessageToAgent(to, address, Box::new(body)),
+                    );
                 }
                 PassThroughOutput::Send { to, body } => {
                     let index = usize::from(to.ip().octets()[3]);
                     let bytes = message_bytes(&body);
-                    let event = Event::ToBalancer(index, address, Box::new(body));
-                    self.over_link(index, 0, bytes, event);
+                    let event = Event::MessageToBalancer(index, address, Box::new(body));
+                    self.send_over_link(index, 0, bytes, event);
                 }
                 PassThroughOutput::ToBackend(packet) => {
-                    let view = TestCodec.view(&packet).expect("a packet");
-                    self.reach_back_end(address, view);
+                    let view = TestCodec.view(&packet).expect("a valid packet");
+                    self.deliver_to_back_end(address, view);
                 }
                 PassThroughOutput::ToCaller { packet, .. } => {
-                    let view = TestCodec.view(&packet).expect("a packet");
-                    self.schedule(WAY, Event::ToCaller(view));
+                    let view = TestCodec.view(&packet).expect("a valid packet");
+                    self.schedule(ONE_WAY_MICROS, Event::PacketToCaller(view));
                 }
                 PassThroughOutput::Event(_) => {}
             }
         }
     }
 
-    fn tell_all(&mut self, entry: DirectoryEntry) {
+    fn send_to_balancers(&mut self, entry: DirectoryEntry) {
         let change = DirectoryChange {
             agents: vec![entry],
             removed: Vec::new(),
         };
         let bytes = compress_prepend_size(&change.encode_to_vec());
-        self.order += 1;
+        self.last_order += 1;
         let directory = DirectoryPart {
             base_revision: 0,
-            revision: self.order,
+            revision: self.last_order,
             part: 0,
             parts: 1,
             bytes,
@@ -409,74 +440,77 @@
         }
     }
 
-    fn reach_back_end(&mut self, address: SocketAddrV4, view: PacketView) {
+    fn deliver_to_back_end(&mut self, address: SocketAddrV4, view: PacketView) {
         if view.is_syn() {
-            let answer = PacketView {
+            let syn_ack = PacketView {
                 syn: true,
                 ack: true,
                 sequence_number: first_sequence(address),
                 ..empty(view.destination, view.source)
             };
-            self.answer(address, &answer);
+            self.send_from_back_end(address, &syn_ack);
         } else if view.data_bytes > 0 {
-            let back_end = self.back_ends.get_mut(&address).expect("known");
+            let back_end = self.back_ends.get_mut(&address).expect("the agent exists");
             back_end.queue.push_back(view);
-            self.begin_work(address);
+            self.start_request(address);
         }
     }
 
-    fn begin_work(&mut self, address: SocketAddrV4) {
-        let back_end = self.back_ends.get_mut(&address).expect("known");
-        if back_end.working < SLOTS
+    fn start_request(&mut self, address: SocketAddrV4) {
+        let back_end = self.back_ends.get_mut(&address).expect("the agent exists");
+        if back_end.busy_slots < SLOTS
             && let Some(view) = back_end.queue.pop_front()
         {
-            back_end.working += 1;
-            self.schedule(PROCESSING_MICROS, Event::Done(address, view));
+            back_end.busy_slots += 1;
+            self.schedule(PROCESSING_MICROS, Event::RequestDone(address, view));
         }
     }
 
-    fn finish_work(&mut self, address: SocketAddrV4, request: PacketView) {
-        self.back_ends.get_mut(&address).expect("known").working -= 1;
-        let answer = PacketView {
+    fn finish_request(&mut self, address: SocketAddrV4, request: PacketView) {
+        self.back_ends
+            .get_mut(&address)
+            .expect("the agent exists")
+            .busy_slots -= 1;
+        let response = PacketView {
             ack: true,
             data_bytes: 1_000,
             sequence_number: first_sequence(address).wrapping_add(1),
             ..empty(request.destination, request.source)
         };
-        self.answer(address, &answer);
-        self.begin_work(address);
+        self.send_from_back_end(address, &response);
+        self.start_request(address);
     }
 
-    fn answer(&mut self, address: SocketAddrV4, view: &PacketView) {
+    fn send_from_back_end(&mut self, address: SocketAddrV4, view: &PacketView) {
         let now = self.time();
-        let agent = self.agents.get_mut(&address).expect("known");
+        let agent = self.agents.get_mut(&address).expect("the agent exists");
         agent.handle_backend_packet(now, &encode(view));
-        self.drain_agent(address);
+        self.process_agent_outputs(address);
     }
 
-    fn reach_caller(&mut self, view: PacketView) {
+    fn deliver_to_caller(&mut self, view: PacketView) {
         let now = self.now;
         let flow = view.destination;
-        let Some(call) = self.calls.get_mut(&flow) else {
+        let Some(attempt) = self.attempts.get_mut(&flow) else {
             return;
         };
-        let (first_at, tries, priority) = (call.first_at, call.tries, call.priority);
-        let questions = call.questions;
+        let (first_at, retries, priority) = (attempt.first_at, attempt.retries, attempt.priority);
+        let offers = attempt.offers;
         if view.rst {
-            self.calls.remove(&flow);
+            self.attempts.remove(&flow);
             self.second(now).refused += 1;
-            self.second(now).offers += questions;
-            if tries < RETRIES && now + RETRY < first_at + DEADLINE {
-                let tries = tries + 1;
-                let again = Event::Again {
+            self.second(now).offers += offers;
+            if retries < MAX_RETRIES && now + RETRY_DELAY < first_at + DEADLINE {
+                let retries = retries + 1;
+                let retry = Event::Retry {
                     first_at,
-                    tries,
+                    retries,
                     priority,
                 };
-                self.schedule(RETRY, again);
+                self.schedule(RETRY_DELAY, retry);
             }
-        } else if view.syn && !call.answered {
-            call.answered = true;
+        } else if view.syn && !attempt.is_accepted {
+            attempt.is_accepted = true;
             let request = PacketView {
                 ack: true,
                 ack_number: view.sequence_number.wrapping_add(1),
@@ -485,14 +519,14 @@
             };
             self.send_packet(&request);
         } else if view.data_bytes > 0 {
-            let end = PacketView {
+            let fin = PacketView {
                 ack: true,
                 fin: true,
                 ack_number: view.sequence_number,
                 ..empty(flow, view.source)
             };
-            self.send_packet(&end);
-            self.calls.remove(&flow);
+            self.send_packet(&fin);
+            self.attempts.remove(&flow);
             if now <= first_at + DEADLINE {
                 self.second(first_at).served[priority] += 1;
             }
@@ -504,7 +538,7 @@
     let message = PassThroughMessage {
         body: Some(body.clone()),
     };
-    HEADS + message.encoded_len()
+    HEADER_BYTES + message.encoded_len()
 }
 
 fn balancer_address(index: usize) -> SocketAddrV4 {
@@ -532,10 +566,10 @@
         warm_up_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
     };
-    let life = Incarnation(u64::from(u32::from(*address.ip())));
+    let incarnation = Incarnation(u64::from(u32::from(*address.ip())));
     let contacts = KnownReplicas::new(vec![REPLICA]);
-    let mut agent = PassThroughAgent::new(now, settings, TestCodec, life, contacts);
-    let call = Registration {
+    let mut agent = PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts);
+    let registration = Registration {
         id: address.to_string(),
         service: SERVICE.to_owned(),
         started_at_millis: None,
@@ -545,8 +579,8 @@
         cold_for: Duration::ZERO,
         ..Registration::default()
     };
-    let taken = agent.handle_registration(now, &call);
-    taken.expect("it is of the agent's service");
+    let result = agent.handle_registration(now, &registration);
+    result.expect("the registration is accepted");
     agent
 }
 
@@ -559,8 +593,8 @@
         link_bytes_per_second: Some(LINK_BYTES_PER_SECOND),
     };
     let contacts = KnownReplicas::new(vec![REPLICA]);
-    let life = Incarnation(7 + 2 * index);
-    let mut balancer = PassThroughBalancer::new(now, settings, TestCodec, life, contacts);
+    let incarnation = Incarnation(7 + 2 * index);
+    let mut balancer = PassThroughBalancer::new(now, settings, TestCodec, incarnation, contacts);
     let route = |priority: usize| RouteRecord {
         address: pack_address(ROUTES[priority]),
         shares: vec![RouteShare {
@@ -585,7 +619,7 @@
         bytes: compress_prepend_size(&change.encode_to_vec()),
     };
     let confirmed = VersionConfirmed {
-        confirmation_id: life.0 | 1,
+        confirmation_id: incarnation.0 | 1,
         version: 3,
         zones: None,
         ..VersionConfirmed::default()
--- a/crates/petrellatch-core/tests/pass_through/formation.rs
+++ b/crates/petrellatch-core/tests/pass_through/formation.rs
@@ -13,26 +13,26 @@
 }
 
 #[test]
-fn a_newcomer_joins_although_its_seeds_name_no_leader() {
+fn a_new_replica_joins_although_no_seed_is_the_leader() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("there is a leader");
     let seeds = (1..=5).filter(|index| *index != leader).take(3);
     group.add_empty(6, seeds.collect());
     group.run_until(2 * SECOND, "six voters", |it| it.voters().contains(&6));
 }
 
 #[test]
-fn a_machine_that_is_gone_for_good_is_replaced_within_four_seconds() {
+fn a_lost_machine_is_replaced_within_four_seconds() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
     group.replace(3, 2);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("there is a leader");
     group.remove(leader);
     group.run(2 * SECOND);
     let seeds = (1..=5).filter(|index| *index != leader).take(3).collect();
     group.add_empty(6, seeds);
-    group.run_until(4 * SECOND, "the gone one is replaced", |it| {
+    group.run_until(4 * SECOND, "the lost machine is replaced", |it| {
         let voters = it.voters();
         voters.len() == 5 && voters.contains(&6) && !voters.contains(&leader)
     });
@@ -40,23 +40,25 @@
 }
 
 #[test]
-fn a_removed_machine_that_returns_is_taken_in_again() {
+fn a_removed_machine_that_returns_is_readmitted() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
     let cut = (1..=5).find(|index| Some(*index) != group.leader());
-    let cut = cut.expect("there are five");
+    let cut = cut.expect("there are five machines");
     group.cut_off(cut);
-    group.run_until(20 * SECOND, "the silent one is removed", |it| {
+    group.run_until(20 * SECOND, "the silent machine is removed", |it| {
         let voters = it.voters();
         !voters.is_empty() && !voters.contains(&cut)
     });
     group.replace(5, 3);
     group.heal();
-    group.run_until(5 * SECOND, "it is back", |it| it.voters().contains(&cut));
+    group.run_until(5 * SECOND, "the machine is readmitted", |it| {
+        it.voters().contains(&cut)
+    });
 }
 
 #[test]
-fn an_emptied_disk_is_a_learner_until_it_has_caught_up() {
+fn a_replica_with_an_empty_disk_is_a_learner_until_it_has_caught_up() {
     let mut group = Group::start(3);
     group.replace(7, 2);
     for index in 1..=3 {
@@ -74,10 +76,10 @@
 }
 
 #[test]
-fn a_minority_that_missed_changes_serves_nothing_beside_an_emptied_disk() {
+fn a_minority_that_missed_changes_elects_no_leader_with_an_emptied_disk() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("there is a leader");
     let others: Vec<u8> = (1..=5).filter(|index| *index != leader).collect();
     group.cut_off(others[0]);
     group.cut_off(others[1]);
@@ -88,17 +90,21 @@
     group.restart(leader);
     group.heal();
     group.run(5 * SECOND);
-    assert_eq!(group.leader(), None, "nobody may lead without the change");
+    assert_eq!(
+        group.leader(),
+        None,
+        "no leader may be elected without the change"
+    );
     group.restart(others[2]);
     group.restart(others[3]);
     assert_eq!(group.read().version, 9);
 }
 
 #[test]
-fn a_group_whose_processes_all_start_again_soon_has_a_leader() {
+fn a_group_elects_a_leader_soon_after_all_processes_restart() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
-    let mut waited = Duration::ZERO;
+    let mut total = Duration::ZERO;
     const ROUNDS: u32 = 20;
     for _ in 0..ROUNDS {
         for index in 1..=5 {
@@ -110,17 +116,20 @@
         }
         let start = group.now;
         group.run_until(SECOND, "a leader", |it| it.leader().is_some());
-        waited += group.now.saturating_since(start);
+        total += group.now.saturating_since(start);
     }
-    let mean = waited / ROUNDS;
-    assert!(mean < Duration::from_millis(150), "{mean:?} in the mean");
+    let mean = total / ROUNDS;
+    assert!(
+        mean < Duration::from_millis(150),
+        "mean time without a leader: {mean:?}"
+    );
 }
 
 #[test]
-fn one_process_that_starts_again_does_not_disturb_the_leader() {
+fn a_restarted_process_does_not_depose_the_leader() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
-    let leader = group.leader().expect("there is one");
+    let leader = group.leader().expect("there is a leader");
     let others = (1..=5).filter(|index| *index != leader);
     for index in others {
         group.kill(index);
@@ -135,7 +144,7 @@
 fn a_leader_is_elected_soon_after_the_last_voter_of_a_quorum_has_started() {
     let mut group = Group::start(5);
     group.run_until(5 * SECOND, "five voters", |it| it.voters().len() == 5);
-    let mut waited = Duration::ZERO;
+    let mut total = Duration::ZERO;
     const ROUNDS: u32 = 20;
     for round in 1..=ROUNDS {
         for index in 1..=5 {
@@ -149,13 +158,16 @@
         group.restart(3);
         let start = group.now;
         group.run_until(2 * SECOND, "a leader", |it| it.leader().is_some());
-        waited += group.now.saturating_since(start);
+        total += group.now.saturating_since(start);
         group.restart(4);
         group.restart(5);
         group.run(SECOND);
     }
-    let mean = waited / ROUNDS;
-    assert!(mean < Duration::from_millis(120), "{mean:?} in the mean");
+    let mean = total / ROUNDS;
+    assert!(
+        mean < Duration::from_millis(120),
+        "mean time without a leader: {mean:?}"
+    );
 }
 
 #[test]
@@ -183,6 +195,6 @@
     }
     assert!(
         longest < Duration::from_millis(250),
-        "{longest:?} at the most"
+        "longest time without a leader: {longest:?}"
     );
 }
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -16,14 +16,14 @@
 use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, RouteShare, ServiceRecord};
 
 /// Time that a message takes.
-const DELAY: Duration = Duration::from_millis(1);
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 /// Time that a write takes.
-const SYNC: Duration = Duration::from_millis(5);
+const WRITE_TIME: Duration = Duration::from_millis(5);
 /// Granularity of the virtual clock.
 const STEP: Duration = Duration::from_millis(1);
 
 /// Machines from this number on are no replicas.
-pub const FIRST_OUTSIDE: u8 = 100;
+pub const FIRST_DAEMON: u8 = 100;
 
 /// Address of machine number `index`.
 pub fn address(index: u8) -> SocketAddrV4 {
@@ -48,7 +48,7 @@
         warm_up_millirequests_per_second: 0,
     }];
     let routes = (0..routes).map(route).collect();
-    Configuration::new(version, routes, services, Vec::new()).expect("it is valid")
+    Configuration::new(version, routes, services, Vec::new()).expect("the configuration is valid")
 }
 
 struct Machine {
@@ -57,7 +57,7 @@
     incarnation: Incarnation,
     seeds: Vec<u8>,
     writes: VecDeque<(Timestamp, PersistRequest)>,
-    disk_answers: bool,
+    disk_responds: bool,
 }
 
 /// The group and its world.
@@ -65,8 +65,8 @@
     pub now: Timestamp,
     machines: BTreeMap<u8, Machine>,
     messages: VecDeque<(Timestamp, u8, u8, PassThroughBody)>,
-    cut: BTreeSet<(u8, u8)>,
-    answers: BTreeMap<u64, ConfigurationResponse>,
+    cut_links: BTreeSet<(u8, u8)>,
+    responses: BTreeMap<u64, ConfigurationResponse>,
     next_token: u64,
     next_incarnation: u64,
     /// What replicas sent to others than replicas: the sender, the receiver's
@@ -93,8 +93,8 @@
             now: Timestamp::ZERO,
             machines: BTreeMap::new(),
             messages: VecDeque::new(),
-            cut: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            responses: BTreeMap::new(),
             next_token: 0,
             next_incarnation: 5_000,
             sent_to_daemons: Vec::new(),
@@ -124,7 +124,7 @@
             incarnation,
             seeds,
             writes: VecDeque::new(),
-            disk_answers: true,
+            disk_responds: true,
         };
         self.machines.insert(index, machine);
         self.restart(index);
@@ -133,7 +133,7 @@
     /// Starts the process of a machine again, from its disk.
     pub fn restart(&mut self, index: u8) {
         let now = self.now;
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         let founders = machine.seeds.iter().map(|seed| ReplicaId {
             node: node_id_of_address(address(*seed)),
             incarnation: founder(*seed),
@@ -156,7 +156,7 @@
 
     /// Ends a process at once; writes that are not synced are lost.
     pub fn kill(&mut self, index: u8) {
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         machine.node = None;
         machine.writes.clear();
     }
@@ -171,30 +171,30 @@
         self.kill(index);
         self.next_incarnation += 1;
         let incarnation = Incarnation(self.next_incarnation);
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         machine.disk = PersistentState::default();
         machine.incarnation = incarnation;
     }
 
     /// Lets a disk answer or not.
-    pub fn set_disk_responds(&mut self, index: u8, answers: bool) {
+    pub fn set_disk_responds(&mut self, index: u8, responds: bool) {
         self.machines
             .get_mut(&index)
-            .expect("it is known")
-            .disk_answers = answers;
+            .expect("the machine exists")
+            .disk_responds = responds;
     }
 
     /// Cuts one machine off from all others.
     pub fn cut_off(&mut self, index: u8) {
         for other in self.machines.keys() {
-            self.cut.insert((index, *other));
-            self.cut.insert((*other, index));
+            self.cut_links.insert((index, *other));
+            self.cut_links.insert((*other, index));
         }
     }
 
     /// Joins all machines again.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
     /// Lets time pass.
@@ -212,18 +212,21 @@
     pub fn run_until(&mut self, limit: Duration, what: &str, done: impl Fn(&Group) -> bool) {
         let end = self.now + limit;
         while !done(self) {
-            assert!(self.now < end, "not in {limit:?}: {what}");
+            assert!(self.now < end, "not within {limit:?}: {what}");
             self.run(STEP);
         }
     }
 
     /// The leader that is sure of its quorum.
     pub fn leader(&self) -> Option<u8> {
-        let leads = |(_, machine): &(&u8, &Machine)| {
+        let is_leader = |(_, machine): &(&u8, &Machine)| {
             let node = machine.node.as_ref();
             node.is_some_and(|node| node.replica().is_leader_with_quorum(self.now))
         };
-        self.machines.iter().find(leads).map(|(index, _)| *index)
+        self.machines
+            .iter()
+            .find(is_leader)
+            .map(|(index, _)| *index)
     }
 
     /// The voters as the leader knows them.
@@ -231,7 +234,10 @@
         let Some(leader) = self.leader() else {
             return Vec::new();
         };
-        let node = self.machines[&leader].node.as_ref().expect("it leads");
+        let node = self.machines[&leader]
+            .node
+            .as_ref()
+            .expect("the leader runs");
         let voters = node.replica().membership().voters();
         voters.map(|voter| (voter.node.0 >> 16) as u8).collect()
     }
@@ -247,7 +253,7 @@
         {
             node.handle_request(now, token, request);
         }
-        self.drain(index);
+        self.process_outputs(index);
         token
     }
 
@@ -268,42 +274,48 @@
             self.run_until(Duration::from_secs(10), "a leader", |it| {
                 it.leader().is_some()
             });
-            let leader = self.leader().expect("there is one");
+            let leader = self.leader().expect("there is a leader");
             let token = self.set_zone_evacuated(leader, zone, evacuated);
-            self.run_until(Duration::from_secs(2), "an answer", |it| {
+            self.run_until(Duration::from_secs(2), "a response", |it| {
                 it.response(token).is_some()
             });
             if self.response(token) == Some(&ConfigurationResponse::ZoneCommandApplied) {
                 return;
             }
         }
-        panic!("the order is not acknowledged");
+        panic!("the zone command is not acknowledged");
     }
 
     /// The zones out of service, as a replica knows them.
     pub fn evacuated_zones_at(&self, index: u8) -> Vec<String> {
-        let node = self.machines[&index].node.as_ref().expect("it runs");
+        let node = self.machines[&index]
+            .node
+            .as_ref()
+            .expect("the machine runs");
         let zones = node.evacuations().evacuated_zones();
         zones.map(|record| record.zone.clone()).collect()
     }
 
     /// A replica.
     pub fn node(&self, index: u8) -> &ConfigurationNode {
-        self.machines[&index].node.as_ref().expect("it runs")
+        self.machines[&index]
+            .node
+            .as_ref()
+            .expect("the machine runs")
     }
 
     /// Hands a replica a message of another process.
     pub fn receive(&mut self, index: u8, from: u8, body: PassThroughBody) {
         let now = self.now;
-        let machine = self.machines.get_mut(&index).expect("it is known");
-        let node = machine.node.as_mut().expect("it runs");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
+        let node = machine.node.as_mut().expect("the machine runs");
         node.handle_message(now, address(from), body);
-        self.drain(index);
+        self.process_outputs(index);
     }
 
     /// The answer, if it has come.
     pub fn response(&self, token: u64) -> Option<&ConfigurationResponse> {
-        self.answers.get(&token)
+        self.responses.get(&token)
     }
 
     /// Replaces the configuration through the leader and waits until that is
@@ -312,7 +324,7 @@
         self.run_until(Duration::from_secs(5), "a leader", |it| {
             it.leader().is_some()
         });
-        let leader = self.leader().expect("there is one");
+        let leader = self.leader().expect("there is a leader");
         let request = ConfigurationRequest::Replace(configuration(version, routes));
         let token = self.request(leader, request);
         self.run_until(Duration::from_secs(2), "an acknowledgement", |it| {
@@ -328,9 +340,9 @@
         self.run_until(Duration::from_secs(5), "a leader", |it| {
             it.leader().is_some()
         });
-        let leader = self.leader().expect("there is one");
+        let leader = self.leader().expect("there is a leader");
         let token = self.request(leader, ConfigurationRequest::Read);
-        self.run_until(Duration::from_secs(2), "an answer", |it| {
+        self.run_until(Duration::from_secs(2), "a response", |it| {
             it.response(token).is_some()
         });
         match self.response(token) {
@@ -343,32 +355,32 @@
         let now = self.now;
         let indices: Vec<u8> = self.machines.keys().copied().collect();
         for index in indices {
-            let machine = self.machines.get_mut(&index).expect("it is known");
+            let machine = self.machines.get_mut(&index).expect("the machine exists");
             let is_due = |writes: &VecDeque<(Timestamp, PersistRequest)>| {
                 writes.front().is_some_and(|(at, _)| *at <= now)
             };
-            while machine.disk_answers && is_due(&machine.writes) {
-                let (_, request) = machine.writes.pop_front().expect("one is due");
+            while machine.disk_responds && is_due(&machine.writes) {
+                let (_, request) = machine.writes.pop_front().expect("an entry is due");
                 machine.disk.apply(&request);
                 if let Some(node) = &mut machine.node {
                     node.handle_persisted(now, request.ticket);
                 }
             }
-            self.drain(index);
+            self.process_outputs(index);
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         while self.messages.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, from, to, body) = self.messages.pop_front().expect("one is due");
-            if self.cut.contains(&(from, to)) {
+            let (_, from, to, body) = self.messages.pop_front().expect("an entry is due");
+            if self.cut_links.contains(&(from, to)) {
                 continue;
             }
             if let Some(node) = self.machines.get_mut(&to).and_then(|it| it.node.as_mut()) {
                 node.handle_message(now, address(from), body);
             }
-            self.drain(to);
+            self.process_outputs(to);
         }
     }
 
@@ -376,17 +388,17 @@
         let now = self.now;
         let indices: Vec<u8> = self.machines.keys().copied().collect();
         for index in indices {
-            let machine = self.machines.get_mut(&index).expect("it is known");
+            let machine = self.machines.get_mut(&index).expect("the machine exists");
             if let Some(node) = &mut machine.node
                 && node.poll_timeout() <= now
             {
                 node.handle_timeout(now);
             }
-            self.drain(index);
+            self.process_outputs(index);
         }
     }
 
-    fn drain(&mut self, index: u8) {
+    fn process_outputs(&mut self, index: u8) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&index) else {
             return;
@@ -398,17 +410,18 @@
             match output {
                 ConfigurationOutput::Send { to, body } => {
                     let to = to.ip().octets()[3];
-                    if to >= FIRST_OUTSIDE {
+                    if to >= FIRST_DAEMON {
                         self.sent_to_daemons.push((index, to, body));
                         continue;
                     }
-                    self.messages.push_back((now + DELAY, index, to, body));
+                    self.messages
+                        .push_back((now + MESSAGE_DELAY, index, to, body));
                 }
                 ConfigurationOutput::Persist(request) => {
-                    machine.writes.push_back((now + SYNC, request));
+                    machine.writes.push_back((now + WRITE_TIME, request));
                 }
                 ConfigurationOutput::Respond { token, response } => {
-                    self.answers.insert(token, response);
+                    self.responses.insert(token, response);
                 }
                 ConfigurationOutput::WriteFlowRecords(_)
                 | ConfigurationOutput::SaveDaemons(_)
--- a/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
@@ -25,7 +25,7 @@
     time: Duration,
 ) -> (Vec<Vec<u8>>, Vec<SocketAddrV4>) {
     let end = *now + time;
-    let (mut saved, mut told) = (Vec::new(), Vec::new());
+    let (mut saved, mut notified) = (Vec::new(), Vec::new());
     while *now < end {
         *now = *now + STEP;
         if node.poll_timeout() <= *now {
@@ -40,12 +40,12 @@
                 ConfigurationOutput::Send {
                     to,
                     body: PassThroughBody::GroupStatus(group),
-                } if group.has_leader => told.push(to),
+                } if group.has_leader => notified.push(to),
                 _ => {}
             }
         }
     }
-    (saved, told)
+    (saved, notified)
 }
 
 fn report() -> PassThroughBody {
@@ -64,7 +64,7 @@
     })
 }
 
-fn attach(incarnation: u64) -> PassThroughBody {
+fn subscribe(incarnation: u64) -> PassThroughBody {
     PassThroughBody::Subscribe(Subscribe {
         incarnation,
         wants_updates: true,
@@ -73,24 +73,24 @@
 }
 
 #[test]
-fn a_replica_that_starts_again_tells_its_daemons_where_the_group_is() {
+fn a_restarted_replica_notifies_its_daemons_where_the_group_is() {
     let mut now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
     run(&mut node, &mut now, Duration::from_secs(2));
-    node.handle_message(now, BALANCER, attach(1));
+    node.handle_message(now, BALANCER, subscribe(1));
     node.handle_message(now, AGENT, report());
     let (saved, _) = run(&mut node, &mut now, Duration::from_secs(6));
-    let saved = saved.last().expect("something is saved");
+    let saved = saved.last().expect("the daemons are saved");
     let mut node = start_replica(now, REPLICA, REPLICA);
     assert!(node.load_daemons(saved));
-    let (_, told) = run(&mut node, &mut now, Duration::from_secs(2));
-    let times = |daemon| told.iter().filter(|to| **to == daemon).count();
+    let (_, notified) = run(&mut node, &mut now, Duration::from_secs(2));
+    let times = |daemon| notified.iter().filter(|to| **to == daemon).count();
     assert_eq!(times(BALANCER), 1, "once, as soon as there is a leader");
     assert_eq!(times(AGENT), 1);
 }
 
 #[test]
-fn what_was_saved_stays_when_nobody_is_heard_any_more() {
+fn saved_daemons_stay_when_no_daemon_sends_messages_any_more() {
     let mut now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
     run(&mut node, &mut now, Duration::from_secs(3));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_left_out() {
+fn unreadable_saved_daemons_are_rejected() {
     let now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
     assert!(!node.load_daemons(&[0xFF; 9]));
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -84,7 +84,7 @@
     pub balancer_bytes: usize,
     /// Messages to the balancer that are under way, if they take time.
     delayed: VecDeque<(Timestamp, SocketAddrV4, PassThroughBody)>,
-    answer_delay: Duration,
+    reply_delay: Duration,
     /// Back ends acknowledge data at once.
     pub backends_ack_at_once: bool,
     /// By when the configuration wants requests to be answered, in milliseconds.
@@ -104,12 +104,12 @@
 }
 
 impl World {
-    pub fn new(agents: u8, capacity: u32) -> World {
-        World::with_services(agents, capacity, |_| SERVICE)
+    pub fn new(agents: u8, slots: u32) -> World {
+        World::with_services(agents, slots, |_| SERVICE)
     }
 
     /// A world whose route names [`SERVICE`], with agents of others beside.
-    pub fn with_services(agents: u8, capacity: u32, service_of: fn(u8) -> &'static str) -> World {
+    pub fn with_services(agents: u8, slots: u32, service_of: fn(u8) -> &'static str) -> World {
         let now = Timestamp::from_millis(1_000);
         let mut world = World {
             now,
@@ -129,7 +129,7 @@
             speculative_deliveries: 0,
             balancer_bytes: 0,
             delayed: VecDeque::new(),
-            answer_delay: Duration::ZERO,
+            reply_delay: Duration::ZERO,
             backends_ack_at_once: false,
             warm_up_rate: 0,
             latency_objective_millis: 0,
@@ -142,7 +142,7 @@
         world.confirm();
         for index in 1..=agents {
             world.start_agent(index);
-            world.register(index, capacity, false, 1);
+            world.register(index, slots, false, 1);
         }
         world.run(5 * MILLI);
         world
@@ -224,36 +224,39 @@
 
     /// The replica says that it has told of every agent that runs.
     pub fn notify_complete_directory(&mut self) {
-        let group = GroupStatus {
+        let status = GroupStatus {
             directory_revision: self.revision,
             has_leader: true,
             directory_is_complete: true,
             ..GroupStatus::default()
         };
-        let body = PassThroughBody::GroupStatus(group);
+        let body = PassThroughBody::GroupStatus(status);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
     /// The replica says that it may not know every agent that runs.
     pub fn notify_incomplete_directory(&mut self) {
-        let group = GroupStatus {
+        let status = GroupStatus {
             directory_revision: self.revision,
             has_leader: true,
             ..GroupStatus::default()
         };
-        let body = PassThroughBody::GroupStatus(group);
+        let body = PassThroughBody::GroupStatus(status);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
     /// A replica answers an agent's report.
-    pub fn acknowledge_report(&mut self, index: u8, had_former_life: bool) {
-        let group = GroupStatus {
-            knows_previous_incarnation: had_former_life,
+    pub fn acknowledge_report(&mut self, index: u8, knows_previous_incarnation: bool) {
+        let status = GroupStatus {
+            knows_previous_incarnation,
             has_report: true,
             ..GroupStatus::default()
         };
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(status));
     }
 
     /// Starts the balancer again, which forgets all flows. Agents report to it.
@@ -269,9 +272,9 @@
     }
 
     /// Starts an agent again, which forgets all flows of its back end.
-    pub fn restart_agent(&mut self, index: u8, capacity: u32) {
+    pub fn restart_agent(&mut self, index: u8, slots: u32) {
         self.start_agent(index);
-        self.register(index, capacity, false, 100);
+        self.register(index, slots, false, 100);
     }
 
     pub fn start_agent(&mut self, index: u8) {
@@ -305,35 +308,41 @@
     /// as leaving.
     pub fn restart_agent_with_draining(&mut self, index: u8) {
         let address = pack_address(agent_address(index));
-        let leaving = self.reports[&address].draining_backends.clone();
+        let draining_backends = self.reports[&address].draining_backends.clone();
         self.start_agent(index);
-        let group = GroupStatus {
-            draining_backends: leaving,
+        let status = GroupStatus {
+            draining_backends,
             ..GroupStatus::default()
         };
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(status));
     }
 
-    pub fn register(&mut self, index: u8, capacity: u32, draining: bool, call_number: u64) {
-        let call = Registration {
+    pub fn register(&mut self, index: u8, slots: u32, draining: bool, sequence: u64) {
+        let registration = Registration {
             id: format!("backend-{index}"),
             service: (self.service_of)(index).to_owned(),
             started_at_millis: None,
-            sequence: call_number,
-            slots: capacity,
+            sequence,
+            slots,
             draining,
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        self.send_registration(index, &call);
+        self.send_registration(index, &registration);
     }
 
     /// The back end beside an agent calls.
-    pub fn send_registration(&mut self, index: u8, call: &Registration) {
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        let taken = agent.handle_registration(self.now, call);
-        taken.expect("it is of the agent's service");
+    pub fn send_registration(&mut self, index: u8, registration: &Registration) {
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        let result = agent.handle_registration(self.now, registration);
+        result.expect("the registration is accepted");
     }
 
     pub fn run(&mut self, duration: Duration) {
@@ -345,7 +354,7 @@
 
     /// Messages of agents take so long to reach the balancer.
     pub fn delay_replies(&mut self, duration: Duration) {
-        self.answer_delay = duration;
+        self.reply_delay = duration;
     }
 
     fn deliver_delayed(&mut self) {
@@ -360,7 +369,7 @@
     }
 
     /// Lets time pass without anybody noticing it.
-    pub fn freeze_all(&mut self, duration: Duration) {
+    pub fn pause_all(&mut self, duration: Duration) {
         self.now = self.now + duration;
     }
 
@@ -373,7 +382,7 @@
         }
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for address in &addresses {
-            let agent = self.agents.get_mut(address).expect("known");
+            let agent = self.agents.get_mut(address).expect("the agent exists");
             if !self.frozen.contains(address) && agent.poll_timeout() <= now {
                 agent.handle_timeout(now);
             }
@@ -384,9 +393,9 @@
     /// Carries messages until nobody has more to say.
     pub fn settle(&mut self) {
         loop {
-            let mut quiet = true;
+            let mut is_quiet = true;
             while let Some(output) = self.balancer.poll_output() {
-                quiet = false;
+                is_quiet = false;
                 self.handle_output(BALANCER, output);
             }
             let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
@@ -399,11 +408,11 @@
                     .get_mut(&address)
                     .and_then(PassThroughAgent::poll_output)
                 {
-                    quiet = false;
+                    is_quiet = false;
                     self.handle_output(address, output);
                 }
             }
-            if quiet {
+            if is_quiet {
                 return;
             }
         }
@@ -418,9 +427,9 @@
         }
         match output {
             PassThroughOutput::Send { to, body }
-                if to == BALANCER && self.answer_delay > Duration::ZERO =>
+                if to == BALANCER && self.reply_delay > Duration::ZERO =>
             {
-                let arrives_at = now + self.answer_delay;
+                let arrives_at = now + self.reply_delay;
                 self.delayed.push_back((arrives_at, from, body));
             }
             PassThroughOutput::Send { to, body } if to == BALANCER => {
@@ -428,12 +437,13 @@
             }
             PassThroughOutput::Send { to, body } if to == REPLICA => {
                 if let PassThroughBody::Report(report) = body {
-                    self.pass_report(report);
+                    self.publish_report(report);
                 }
             }
             PassThroughOutput::Send { to, body } => {
                 self.flow_queries += usize::from(matches!(body, PassThroughBody::FlowQuery(_)));
-                self.speculative_deliveries += usize::from(from == BALANCER && is_try(&body));
+                self.speculative_deliveries +=
+                    usize::from(from == BALANCER && is_speculative(&body));
                 if self.frozen.contains(&to) {
                     return;
                 }
@@ -443,9 +453,9 @@
             }
             PassThroughOutput::ToCaller { packet, .. } => {
                 self.callers
-                    .push(TestCodec.view(&packet).expect("a packet"));
+                    .push(TestCodec.view(&packet).expect("a valid packet"));
             }
-            PassThroughOutput::ToBackend(packet) => self.reach_backend(from, &packet),
+            PassThroughOutput::ToBackend(packet) => self.deliver_to_backend(from, &packet),
             PassThroughOutput::Event(event) if event.kind == EventKind::FlowRefused => {
                 self.refusals.push(event.subject);
             }
@@ -462,10 +472,10 @@
     /// The replica tells a balancer of agents that may report no more.
     pub fn repeat_reports(&mut self) {
         let reports: Vec<Report> = self.reports.values().cloned().collect();
-        reports.into_iter().for_each(|it| self.pass_report(it));
+        reports.into_iter().for_each(|it| self.publish_report(it));
     }
 
-    pub fn pass_report(&mut self, report: Report) {
+    pub fn publish_report(&mut self, report: Report) {
         self.reports.insert(report.address, report.clone());
         let entry = DirectoryEntry {
             report,
@@ -489,12 +499,12 @@
 
     /// A back end answers opening packets, and returns packets of flows that it
     /// does not have.
-    pub fn reach_backend(&mut self, agent: SocketAddrV4, packet: &[u8]) {
+    pub fn deliver_to_backend(&mut self, agent: SocketAddrV4, packet: &[u8]) {
         if self.silent.contains(&agent) {
             return;
         }
-        let view = TestCodec.view(packet).expect("a packet");
-        let backend = self.backends.get_mut(&agent).expect("known");
+        let view = TestCodec.view(packet).expect("a valid packet");
+        let backend = self.backends.get_mut(&agent).expect("the agent exists");
         backend.received.push(view);
         if !view.is_syn() {
             if self.resetting.contains(&agent) && view.data_bytes > 0 {
@@ -528,18 +538,18 @@
             return;
         }
         backend.flows.insert(view.source);
-        let answer = PacketView {
+        let syn_ack = PacketView {
             syn: true,
             ack: true,
             sequence_number: first_sequence(agent),
             ..empty(view.destination, view.source)
         };
-        self.send_from_backend(agent, &answer);
+        self.send_from_backend(agent, &syn_ack);
     }
 
     pub fn send_from_backend(&mut self, agent: SocketAddrV4, view: &PacketView) {
         let now = self.now;
-        let agent = self.agents.get_mut(&agent).expect("known");
+        let agent = self.agents.get_mut(&agent).expect("the agent exists");
         agent.handle_backend_packet(now, &encode(view));
     }
 
@@ -547,7 +557,7 @@
     pub fn send_backend_data(&mut self, agent: SocketAddrV4, port: u16) {
         self.backends
             .get_mut(&agent)
-            .expect("known")
+            .expect("the agent exists")
             .flows
             .insert(caller(port));
         let data = PacketView {
@@ -560,10 +570,10 @@
         self.settle();
     }
 
-    pub fn open(&mut self, port: u16, copy: u32) {
+    pub fn open(&mut self, port: u16, retransmission: u32) {
         let packet = PacketView {
             syn: true,
-            ack_number: copy,
+            ack_number: retransmission,
             ..empty(caller(port), ROUTE)
         };
         self.balancer.handle_packet(self.now, &encode(&packet));
@@ -572,20 +582,27 @@
 
     /// Another balancer opens flows at an agent.
     pub fn fill_from_other_balancer(&mut self, index: u8, flows: u16) {
-        let elsewhere = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
+        let other_balancer = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
         for port in 1..=flows {
             let packet = PacketView {
                 syn: true,
                 ..empty(caller(30_000 + port), ROUTE)
             };
-            let carry = ForwardedPacket {
+            let forwarded = ForwardedPacket {
                 service: service_digest(SERVICE),
                 reason: ForwardReason::OpenQueued.into(),
                 packet: encode(&packet),
                 ..ForwardedPacket::default()
             };
-            let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-            agent.handle_message(self.now, elsewhere, PassThroughBody::ForwardedPacket(carry));
+            let agent = self
+                .agents
+                .get_mut(&agent_address(index))
+                .expect("the agent exists");
+            agent.handle_message(
+                self.now,
+                other_balancer,
+                PassThroughBody::ForwardedPacket(forwarded),
+            );
         }
         self.settle();
         self.callers.clear();
@@ -617,7 +634,7 @@
 
     /// The agent whose back end answered the caller's opening packet.
     pub fn accepted_by(&self, port: u16) -> Option<SocketAddrV4> {
-        let answer = self
+        let syn_ack = self
             .callers
             .iter()
             .rev()
@@ -625,7 +642,7 @@
         let agents = self.agents.keys();
         agents
             .copied()
-            .find(|agent| first_sequence(*agent) == answer.sequence_number)
+            .find(|agent| first_sequence(*agent) == syn_ack.sequence_number)
     }
 
     pub fn resets(&self) -> usize {
@@ -641,15 +658,15 @@
 
 /// Bytes of a datagram with this message.
 fn message_bytes(body: &PassThroughBody) -> usize {
-    const HEADS: usize = 28;
+    const HEADER_BYTES: usize = 28;
     let message = PassThroughMessage {
         body: Some(body.clone()),
     };
-    HEADS + message.encoded_len()
+    HEADER_BYTES + message.encoded_len()
 }
 
-fn is_try(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::ForwardedPacket(carry) if carry.reason() == ForwardReason::Try)
+fn is_speculative(body: &PassThroughBody) -> bool {
+    matches!(body, PassThroughBody::ForwardedPacket(forwarded) if forwarded.reason() == ForwardReason::Try)
 }
 
 fn new_balancer(
--- a/crates/petrellatch-core/tests/pass_through/zone_commands.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_commands.rs
@@ -14,10 +14,10 @@
 const AGENT: u8 = 120;
 const OTHER_AGENT: u8 = 121;
 
-fn founded(count: u8) -> Group {
+fn formed_group(count: u8) -> Group {
     let mut group = Group::start(count);
     group.replace(3, 1);
-    group.run_until(10 * SECOND, "all vote", |it| {
+    group.run_until(10 * SECOND, "all machines are voters", |it| {
         it.voters().len() == usize::from(count)
     });
     group
@@ -25,11 +25,11 @@
 
 fn leader(group: &mut Group) -> u8 {
     group.run_until(10 * SECOND, "a leader", |it| it.leader().is_some());
-    group.leader().expect("there is one")
+    group.leader().expect("there is a leader")
 }
 
 /// An agent of `zone` reports to a replica.
-fn report(group: &mut Group, replica: u8, agent: u8, zone: &str, known: u64) {
+fn report(group: &mut Group, replica: u8, agent: u8, zone: &str, known_index: u64) {
     let report = Report {
         address: pack_address(address(agent)),
         incarnation: 1,
@@ -37,7 +37,7 @@
         service: "desk".to_owned(),
         zone: zone.to_owned(),
         state: AgentState::Ready.into(),
-        evacuations_index: known,
+        evacuations_index: known_index,
         ..Report::default()
     };
     group.receive(replica, agent, PassThroughBody::Report(report));
@@ -45,7 +45,7 @@
 
 /// A group with one agent in each of two zones, and its leader, which has heard both.
 fn with_two_agents() -> (Group, u8) {
-    let mut group = founded(3);
+    let mut group = formed_group(3);
     let leader = leader(&mut group);
     group.run(SECOND);
     report(&mut group, leader, AGENT, "east", 0);
@@ -54,17 +54,17 @@
 }
 
 /// How often an agent was told of orders about zones since the last look.
-fn told(group: &mut Group, agent: u8) -> usize {
+fn take_notifications(group: &mut Group, agent: u8) -> usize {
     let sent = std::mem::take(&mut group.sent_to_daemons);
-    let tells = |(_, to, body): &&(u8, u8, PassThroughBody)| {
+    let is_notification = |(_, to, body): &&(u8, u8, PassThroughBody)| {
         *to == agent && matches!(body, PassThroughBody::GroupStatus(group) if group.zones.is_some())
     };
-    sent.iter().filter(tells).count()
+    sent.iter().filter(is_notification).count()
 }
 
 #[test]
-fn an_order_holds_at_all_replicas_beside_the_configuration() {
-    let mut group = founded(3);
+fn a_zone_command_applies_at_all_replicas_beside_the_configuration() {
+    let mut group = formed_group(3);
     group.set_zone_evacuated_and_wait("east", true);
     group.run(SECOND);
     for replica in 1..=3 {
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn an_acknowledged_order_survives_the_end_of_all_processes() {
-    let mut group = founded(3);
+fn an_acknowledged_command_survives_a_restart_of_all_processes() {
+    let mut group = formed_group(3);
     group.set_zone_evacuated_and_wait("east", true);
     for replica in 1..=3 {
         group.kill(replica);
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn an_acknowledged_order_survives_a_lost_disk_and_reaches_a_new_replica() {
-    let mut group = founded(5);
+fn an_acknowledged_command_survives_a_lost_disk_and_reaches_a_new_replica() {
+    let mut group = formed_group(5);
     group.set_zone_evacuated_and_wait("east", true);
     let first = leader(&mut group);
     // Many changes later the order is only in snapshots.
@@ -114,15 +114,17 @@
 }
 
 #[test]
-fn followers_name_the_leader_and_a_cut_off_leader_acknowledges_nothing() {
-    let mut group = founded(3);
+fn followers_name_the_leader_and_an_isolated_leader_acknowledges_nothing() {
+    let mut group = formed_group(3);
     let first = leader(&mut group);
-    let follower = (1..=3).find(|it| *it != first).expect("there are three");
+    let follower = (1..=3)
+        .find(|it| *it != first)
+        .expect("there are three machines");
     let token = group.set_zone_evacuated(follower, "east", true);
-    let elsewhere = ConfigurationResponse::NotLeader {
+    let not_leader = ConfigurationResponse::NotLeader {
         leader: address(first),
     };
-    assert_eq!(group.response(token), Some(&elsewhere));
+    assert_eq!(group.response(token), Some(&not_leader));
 
     group.cut_off(first);
     let token = group.set_zone_evacuated(first, "east", true);
@@ -140,8 +142,8 @@
 }
 
 #[test]
-fn repeats_change_nothing_and_of_two_quick_orders_the_later_one_holds() {
-    let mut group = founded(3);
+fn repeated_commands_change_nothing_and_the_last_of_several_quick_ones_applies() {
+    let mut group = formed_group(3);
     group.set_zone_evacuated_and_wait("east", true);
     let leader = leader(&mut group);
     let index = group.node(leader).evacuations().index();
@@ -165,7 +167,7 @@
 }
 
 #[test]
-fn the_last_zone_of_a_service_is_refused_and_nothing_is_done() {
+fn evacuating_the_last_zone_of_a_service_is_refused_without_effect() {
     let (mut group, leader) = with_two_agents();
     group.set_zone_evacuated_and_wait("east", true);
     let token = group.set_zone_evacuated(leader, "west", true);
@@ -182,9 +184,9 @@
 }
 
 #[test]
-fn the_leader_tells_agents_of_the_zone_until_they_know() {
+fn the_leader_notifies_agents_of_the_zone_until_they_acknowledge() {
     let (mut group, leader) = with_two_agents();
-    told(&mut group, AGENT);
+    take_notifications(&mut group, AGENT);
     group.set_zone_evacuated_and_wait("east", true);
     group.run(SECOND);
     let others = group
@@ -192,39 +194,43 @@
         .iter()
         .filter(|(_, to, _)| *to == OTHER_AGENT);
     let others = others.count();
-    let tellings = told(&mut group, AGENT);
+    let notifications = take_notifications(&mut group, AGENT);
     assert!(
-        (5..=8).contains(&tellings),
-        "told {tellings} times in a second"
+        (5..=8).contains(&notifications),
+        "{notifications} notifications in a second"
     );
-    assert_eq!(others, 0, "the other zone is not concerned");
+    assert_eq!(others, 0, "agents of the other zone are not notified");
     assert_eq!(group.node(leader).agents_behind(), 1);
 
-    let known = EvacuationsAck {
+    let known_index = EvacuationsAck {
         address: pack_address(address(AGENT)),
         index: group.node(leader).evacuations().index(),
     };
-    group.receive(leader, AGENT, PassThroughBody::EvacuationsAck(known));
+    group.receive(leader, AGENT, PassThroughBody::EvacuationsAck(known_index));
     group.run(SECOND);
-    assert_eq!(told(&mut group, AGENT), 0);
+    assert_eq!(take_notifications(&mut group, AGENT), 0);
     assert_eq!(group.node(leader).agents_behind(), 0);
 }
 
 #[test]
-fn an_agent_that_never_answers_is_told_again_when_it_reports() {
+fn an_agent_that_never_acknowledges_is_notified_again_when_it_reports() {
     let (mut group, leader) = with_two_agents();
     group.set_zone_evacuated_and_wait("east", true);
     group.run(4 * SECOND);
-    told(&mut group, AGENT);
+    take_notifications(&mut group, AGENT);
     group.run(SECOND / 2);
-    assert_eq!(told(&mut group, AGENT), 0, "it is given up");
+    assert_eq!(
+        take_notifications(&mut group, AGENT),
+        0,
+        "notifications have stopped"
+    );
     report(&mut group, leader, AGENT, "east", 0);
-    assert!(told(&mut group, AGENT) > 0);
+    assert!(take_notifications(&mut group, AGENT) > 0);
 }
 
 #[test]
-fn a_new_leader_tells_agents_that_it_does_not_know_to_know() {
-    let mut group = founded(3);
+fn a_new_leader_notifies_agents_that_have_not_acknowledged_to_it() {
+    let mut group = formed_group(3);
     let first = leader(&mut group);
     group.run(SECOND);
     for replica in 1..=3 {
@@ -233,9 +239,9 @@
     }
     group.set_zone_evacuated_and_wait("east", true);
     group.kill(first);
-    told(&mut group, AGENT);
+    take_notifications(&mut group, AGENT);
     let next = leader(&mut group);
     group.run(SECOND / 10);
     assert_ne!(next, first);
-    assert!(told(&mut group, AGENT) > 0);
+    assert!(take_notifications(&mut group, AGENT) > 0);
 }
--- a/crates/petrellatch-core/tests/pass_through/zone_losses.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_losses.rs
@@ -16,7 +16,7 @@
 }
 
 /// Whether the loss of any zone leaves a majority of the voters.
-fn bears_zone_loss(voters: &[u8]) -> bool {
+fn tolerates_zone_loss(voters: &[u8]) -> bool {
     ["a", "b", "c"].iter().all(|zone| {
         let in_zone = |it: &&u8| ZONES[usize::from(**it)] == *zone;
         let lost = voters.iter().filter(in_zone).count();
@@ -24,17 +24,17 @@
     })
 }
 
-fn founded() -> Group {
+fn formed_group() -> Group {
     let mut group = Group::start_in(ALL, ZONES.to_vec());
     group.replace(3, 1);
-    group.run_until(10 * SECOND, "all vote", |it| {
+    group.run_until(10 * SECOND, "all machines are voters", |it| {
         it.voters().len() == usize::from(ALL)
     });
     group
 }
 
 #[test]
-fn a_group_that_grows_has_most_voters_in_no_zone() {
+fn a_growing_group_has_a_majority_of_voters_in_no_zone() {
     let mut group = Group::start_in(ALL, ZONES.to_vec());
     group.replace(3, 1);
     let mut sizes = Vec::new();
@@ -45,21 +45,21 @@
         }
         // Of an even number half may be in the zone of the newest one.
         let is_odd = voters.len() % 2 == 1;
-        assert!(!is_odd || bears_zone_loss(&voters), "{voters:?}");
+        assert!(!is_odd || tolerates_zone_loss(&voters), "{voters:?}");
         group.run(Duration::from_millis(1));
     }
     assert_eq!(group.voters().len(), usize::from(ALL), "{sizes:?}");
 }
 
 #[test]
-fn a_zone_may_be_lost_after_another_one_has_come_back() {
-    let mut group = founded();
+fn a_zone_may_be_lost_after_another_one_has_returned() {
+    let mut group = formed_group();
     for machine in machines_in("a") {
         group.kill(machine);
     }
     group.run(20 * SECOND);
     let voters = group.voters();
-    assert!(bears_zone_loss(&voters), "{voters:?}");
+    assert!(tolerates_zone_loss(&voters), "{voters:?}");
     group.set_zone_evacuated_and_wait("a", true);
 
     for machine in machines_in("a") {
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn a_machine_that_is_replaced_for_good_leaves_the_group() {
-    let mut group = founded();
+fn a_replaced_machine_leaves_the_group() {
+    let mut group = formed_group();
     group.remove(4);
     // An empty one at another address; its zone is told like that of all.
     group.add_empty(4, vec![1, 2, 3]);
     group.run(15 * SECOND);
     let voters = group.voters();
     assert_eq!(voters.len(), usize::from(ALL), "{voters:?}");
-    assert!(bears_zone_loss(&voters), "{voters:?}");
+    assert!(tolerates_zone_loss(&voters), "{voters:?}");
 }
