--- a/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
+++ b/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that reach a balancer in a storm of them.
+//! Configuration changes that reach a balancer out of order, or get lost.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -84,7 +84,7 @@
     balancer.handle_message(now, REPLICA, PassThroughBody::GroupStatus(status));
 }
 
-/// Questions for what is missing of the configuration, and for news.
+/// Counts the balancer's polls for updates since the last call.
 fn count_polls(balancer: &mut Balancer) -> usize {
     let outputs = std::iter::from_fn(|| balancer.poll_output());
     let is_poll = |output: &PassThroughOutput| {
@@ -127,7 +127,7 @@
     let mut balancer = balancer();
     receive_group_status(&mut balancer, START, 9);
     assert_eq!(count_polls(&mut balancer), 1);
-    // Of the answer only the first change and the end arrive.
+    // Of the updates in reply, only the first change and the final status arrive.
     let replied_at = START + Duration::from_millis(3);
     balancer.handle_message(replied_at, REPLICA, part(3, 5));
     receive_group_status(&mut balancer, replied_at, 9);
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -1,4 +1,4 @@
-//! A balancer and agents, packet by packet.
+//! One balancer and its agents, packet by packet: new flows, lost flows and readiness.
 
 use std::time::Duration;
 
@@ -172,7 +172,7 @@
 #[test]
 fn a_flow_is_offered_once_although_all_agents_reply_late() {
     let mut world = World::new(6, 4);
-    // Every answer takes longer than the first limit.
+    // Every reply takes longer than the first reply timeout.
     world.delay_replies(150 * MILLI);
     for port in 1..=20 {
         world.open(port, 0);
@@ -241,13 +241,13 @@
     }
     world.open(1, 0);
     let refusal = world.refusals.pop().expect("all agents are full");
-    // Each is asked for a slot, and again whether it queues the flow.
+    // Each agent is offered the flow twice: for a free slot, and for its queue.
     assert!(
         refusal.contains(" asked=6 full=6 late=0 other=0"),
         "{refusal}"
     );
     let mut no_agents = World::new(0, 0);
-    // It has waited for its first directory.
+    // By now the balancer no longer waits for its first directory.
     no_agents.run(600 * MILLI);
     no_agents.open(1, 0);
     let refusal = no_agents.refusals.pop().expect("there is no agent");
@@ -257,8 +257,8 @@
 #[test]
 fn packets_of_a_lost_flow_are_not_spread_over_back_ends() {
     let mut world = World::new(6, 4);
-    // Both the flow's agent and its balancer have started again. The caller
-    // repeats its packet as callers do.
+    // Both the flow's agent and its balancer have restarted. The caller retransmits its
+    // packet.
     for _ in 0..8 {
         world.request(1, agent_address(9));
         world.run(1_600 * MILLI);
@@ -276,7 +276,7 @@
     world.request(1, agent_address(2));
     world.run(300 * MILLI);
     assert_eq!(world.data_packets_at(agent_address(2)), 0);
-    // The back end repeats what the caller has not acknowledged.
+    // The back end retransmits data that the caller has not acknowledged.
     world.send_backend_data(agent_address(2), 1);
     world.request(1, agent_address(2));
     assert_eq!(world.data_packets_at(agent_address(2)), 1);
--- a/crates/petrellatch-core/tests/pass_through/expected_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/expected_agents.rs
@@ -1,5 +1,4 @@
-//! Replicas that remember which agents there were: when a directory is whole after
-//! replicas have started again.
+//! When a directory is complete after replicas have restarted and loaded their saved agents.
 
 use std::time::Duration;
 
@@ -13,10 +12,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const AGENTS: u16 = 56;
-/// With so many agents all have reported by themselves after this.
+/// By this time after the start, all of this number of agents have reported by themselves.
 const ALL_REPORTED: Duration = Duration::from_millis(1_200);
 
-/// Starts all agents of a site that has lost its power, one shortly after the other.
+/// Restarts all agents of a site after a power loss, one shortly after the other.
 fn restart_agents(site: &mut Site, agents: u16) {
     for index in 1..=agents {
         site.start_agent(index, 1);
@@ -230,7 +229,7 @@
     );
 }
 
-/// Replicas and agents end and start at random.
+/// Stops or starts a random replica or agent.
 fn stop_or_start_at_random(site: &mut Site, random: &mut ChaCha8Rng, outage: bool) {
     let replica = REPLICAS[random.random_range(0..REPLICAS.len())];
     let index = random.random_range(1..=12);
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -1,5 +1,5 @@
-//! Several balancers with small links, the agents of one service, and callers that
-//! come back when they are refused.
+//! Test harness: several balancers with slow links, the agents of one service, and callers
+//! that retry when they are refused.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -24,24 +24,25 @@
 use super::codec::{TestCodec, empty, encode};
 use super::world::{REPLICA, SERVICE, WARM_UP_BOUNDS};
 
-/// A link of 3.7 Mbit/s, in bytes a second.
+/// Rate of a balancer's link, 3.7 Mbit/s, in bytes per second.
 pub const LINK_BYTES_PER_SECOND: u64 = 462_500;
-/// Slots of a back end, and its work on a request.
+/// Slots of a back end, and its processing time of a request.
 pub const SLOTS: u32 = 2;
 pub const PROCESSING_MICROS: u64 = 33_000;
-/// One way, in microseconds.
+/// One-way network delay.
 const ONE_WAY_MICROS: u64 = 500;
-/// Packets that would wait for longer at a link are lost.
+/// Packets that would wait longer at a link are lost, in microseconds.
 const MAX_LINK_WAIT: u64 = 1_000_000;
-/// Heads of IP and UDP.
+/// Headers of IP and UDP.
 const HEADER_BYTES: usize = 28;
-/// A refused caller is back after so long, so often.
+/// Delay after which a refused caller retries, in microseconds, and maximum number of
+/// retries.
 const RETRY_DELAY: u64 = 18_000;
 const MAX_RETRIES: u32 = 2;
-/// Callers send copies of an opening packet after so long.
+/// Times from the first SYN to its retransmissions, in microseconds.
 const SYN_RETRANSMISSIONS: [u64; 2] = [200_000, 600_000];
 const DEADLINE: u64 = 2_000_000;
-/// The address of priority 0 is the first, that of priority 1 the next one.
+/// Route addresses by priority.
 const ROUTES: [SocketAddrV4; 2] = [
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 80),
     SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 80),
@@ -73,7 +74,7 @@
     balancer: usize,
     priority: usize,
     is_accepted: bool,
-    /// Questions to agents for it.
+    /// Number of packets forwarded to agents to have the flow accepted.
     offers: u32,
 }
 
@@ -83,13 +84,13 @@
     queue: VecDeque<PacketView>,
 }
 
-/// What happened in a second.
+/// Counters of one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondStats {
     pub requests: [u32; 2],
     pub served: [u32; 2],
     pub refused: u32,
-    /// For the flows that were refused.
+    /// Offers of the flows that were refused.
     pub offers: u32,
     pub suspected: u32,
 }
@@ -100,13 +101,13 @@
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
     scheduled: HashMap<usize, Event>,
     balancers: Vec<PassThroughBalancer<TestCodec>>,
-    /// When the link of each balancer is free again, to it and from it.
+    /// When the link of each balancer is free again, inbound and outbound.
     links: Vec<[u64; 2]>,
     agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     back_ends: BTreeMap<SocketAddrV4, BackEnd>,
     attempts: HashMap<SocketAddrV4, Attempt>,
     next_caller: u32,
-    /// Requests a second of each priority.
+    /// Requests per second of each priority.
     rates: [f64; 2],
     pub seconds: Vec<SecondStats>,
 }
@@ -143,12 +144,13 @@
         fleet
     }
 
-    /// What all back ends can do, in requests a second.
+    /// Maximum rate of all back ends together, in requests per second.
     pub fn max_request_rate(&self) -> f64 {
         self.agents.len() as f64 * f64::from(SLOTS) * 1e6 / PROCESSING_MICROS as f64
     }
 
-    /// Callers send so many requests a second of each priority, for some seconds.
+    /// Runs for some seconds, in which callers send this rate of requests per second of each
+    /// priority.
     pub fn run(&mut self, rates: [f64; 2], seconds: u64) {
         self.rates = rates;
         let end = self.now + seconds * 1_000_000;
@@ -169,7 +171,7 @@
         }
     }
 
-    /// All that happened in some seconds since the start.
+    /// Sum of the counters over some seconds since the start.
     pub fn sum(&self, seconds: std::ops::Range<usize>) -> SecondStats {
         let mut sum = SecondStats::default();
         for second in &self.seconds[seconds] {
@@ -200,7 +202,7 @@
         self.scheduled.insert(key, event);
     }
 
-    /// Sends bytes over the link of a balancer: zero for to it, one for from it.
+    /// Sends bytes over the link of a balancer; direction 0 is inbound, 1 is outbound.
     fn send_over_link(&mut self, balancer: usize, direction: usize, bytes: usize, event: Event) {
         let free_at = &mut self.links[balancer][direction];
         let starts = (*free_at).max(self.now);
@@ -279,7 +281,7 @@
         self.start_attempt(at, 0, priority);
     }
 
-    /// A caller comes, or is back at another balancer.
+    /// Starts the first attempt of a caller, or a retry at another balancer.
     fn start_attempt(&mut self, first_at: u64, retries: u32, priority: usize) {
         self.next_caller += 1;
         let flow = SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + self.next_caller), 9000);
--- a/crates/petrellatch-core/tests/pass_through/formation.rs
+++ b/crates/petrellatch-core/tests/pass_through/formation.rs
@@ -1,4 +1,5 @@
-//! The group founds itself, grows, replaces machines and takes disks back.
+//! The group forms, grows, replaces machines, readmits returning ones and elects leaders
+//! after restarts.
 
 use std::time::Duration;
 
@@ -153,7 +154,7 @@
         group.run(SECOND);
         group.restart(1);
         group.restart(2);
-        // Whoever stood for election before this had no quorum.
+        // Elections before this had no quorum.
         group.run(Duration::from_millis(200 + u64::from(round) * 20));
         group.restart(3);
         let start = group.now;
@@ -180,7 +181,7 @@
             group.kill(index);
         }
         group.run(SECOND);
-        // Two voters ask a third one at the same time as it starts.
+        // Two voters request the vote of a third one just as it starts.
         group.restart(1);
         group.restart(2);
         group.run(Duration::from_millis(400));
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -1,4 +1,4 @@
-//! A group of configuration replicas with a simulated network and disks.
+//! Test harness: a group of configuration replicas with a simulated network and disks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,14 +15,14 @@
 };
 use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, RouteShare, ServiceRecord};
 
-/// Time that a message takes.
+/// Delay of a message.
 const MESSAGE_DELAY: Duration = Duration::from_millis(1);
-/// Time that a write takes.
+/// Time that a write and its sync take.
 const WRITE_TIME: Duration = Duration::from_millis(5);
 /// Granularity of the virtual clock.
 const STEP: Duration = Duration::from_millis(1);
 
-/// Machines from this number on are no replicas.
+/// Machines from this number on are daemons, not replicas.
 pub const FIRST_DAEMON: u8 = 100;
 
 /// Address of machine number `index`.
@@ -60,7 +60,7 @@
     disk_responds: bool,
 }
 
-/// The group and its world.
+/// The replicas of a group, with their network and disks.
 pub struct Group {
     pub now: Timestamp,
     machines: BTreeMap<u8, Machine>,
@@ -69,10 +69,9 @@
     responses: BTreeMap<u64, ConfigurationResponse>,
     next_token: u64,
     next_incarnation: u64,
-    /// What replicas sent to others than replicas: the sender, the receiver's
-    /// number and the message.
+    /// Messages of replicas to daemons: the sender, the receiver and the message.
     pub sent_to_daemons: Vec<(u8, u8, PassThroughBody)>,
-    /// Of machine number `n` is element `n`; empty if all are in one.
+    /// Zone of machine number `n` at index `n`; empty if all are in one zone.
     zones: Vec<&'static str>,
 }
 
@@ -86,8 +85,8 @@
         Group::start_in(count, Vec::new())
     }
 
-    /// The same with machine number `n` in the zone `zones[n]`, one of which may be lost
-    /// at once, or two machines.
+    /// Like [`Group::start`], with machine number `n` in the zone `zones[n]`. The group
+    /// tolerates the loss of one zone, or of two machines.
     pub fn start_in(count: u8, zones: Vec<&'static str>) -> Group {
         let mut group = Group {
             now: Timestamp::ZERO,
@@ -130,7 +129,7 @@
         self.restart(index);
     }
 
-    /// Starts the process of a machine again, from its disk.
+    /// Restarts the process of a machine, from its disk.
     pub fn restart(&mut self, index: u8) {
         let now = self.now;
         let machine = self.machines.get_mut(&index).expect("the machine exists");
@@ -154,19 +153,19 @@
         machine.node = Some(ConfigurationNode::new(now, settings, start));
     }
 
-    /// Ends a process at once; writes that are not synced are lost.
+    /// Kills a process; writes that are not synced are lost.
     pub fn kill(&mut self, index: u8) {
         let machine = self.machines.get_mut(&index).expect("the machine exists");
         machine.node = None;
         machine.writes.clear();
     }
 
-    /// Takes a machine away for good.
+    /// Removes a machine for good.
     pub fn remove(&mut self, index: u8) {
         self.machines.remove(&index);
     }
 
-    /// Ends a process and empties its disk; it starts as another replica.
+    /// Kills a process and empties its disk; it restarts as another replica.
     pub fn wipe(&mut self, index: u8) {
         self.kill(index);
         self.next_incarnation += 1;
@@ -176,7 +175,7 @@
         machine.incarnation = incarnation;
     }
 
-    /// Lets a disk answer or not.
+    /// Sets whether a disk completes writes.
     pub fn set_disk_responds(&mut self, index: u8, responds: bool) {
         self.machines
             .get_mut(&index)
@@ -184,7 +183,7 @@
             .disk_responds = responds;
     }
 
-    /// Cuts one machine off from all others.
+    /// Isolates one machine from all others.
     pub fn cut_off(&mut self, index: u8) {
         for other in self.machines.keys() {
             self.cut_links.insert((index, *other));
@@ -192,7 +191,7 @@
         }
     }
 
-    /// Joins all machines again.
+    /// Reconnects all machines.
     pub fn heal(&mut self) {
         self.cut_links.clear();
     }
@@ -217,7 +216,7 @@
         }
     }
 
-    /// The leader that is sure of its quorum.
+    /// The leader that has contact with a quorum.
     pub fn leader(&self) -> Option<u8> {
         let is_leader = |(_, machine): &(&u8, &Machine)| {
             let node = machine.node.as_ref();
@@ -229,7 +228,7 @@
             .map(|(index, _)| *index)
     }
 
-    /// The voters as the leader knows them.
+    /// The voters according to the leader; none without a leader.
     pub fn voters(&self) -> Vec<u8> {
         let Some(leader) = self.leader() else {
             return Vec::new();
@@ -242,7 +241,7 @@
         voters.map(|voter| (voter.node.0 >> 16) as u8).collect()
     }
 
-    /// Asks a machine; returns the token of the answer.
+    /// Sends a request to a machine; returns the token of the response.
     pub fn request(&mut self, index: u8, request: ConfigurationRequest) -> u64 {
         self.next_token += 1;
         let (now, token) = (self.now, self.next_token);
@@ -257,7 +256,7 @@
         token
     }
 
-    /// Orders a zone out of service, or back.
+    /// Requests the evacuation or restoration of a zone; returns the token of the response.
     pub fn set_zone_evacuated(&mut self, index: u8, zone: &str, evacuated: bool) -> u64 {
         let request = ConfigurationRequest::SetZoneEvacuated {
             zone: zone.to_owned(),
@@ -268,7 +267,8 @@
         self.request(index, request)
     }
 
-    /// Orders a zone through the leader, again until that is acknowledged.
+    /// Evacuates or restores a zone through the leader, and retries until that is
+    /// acknowledged.
     pub fn set_zone_evacuated_and_wait(&mut self, zone: &str, evacuated: bool) {
         for _ in 0..10 {
             self.run_until(Duration::from_secs(10), "a leader", |it| {
@@ -286,7 +286,7 @@
         panic!("the zone command is not acknowledged");
     }
 
-    /// The zones out of service, as a replica knows them.
+    /// The evacuated zones, as a replica knows them.
     pub fn evacuated_zones_at(&self, index: u8) -> Vec<String> {
         let node = self.machines[&index]
             .node
@@ -296,7 +296,7 @@
         zones.map(|record| record.zone.clone()).collect()
     }
 
-    /// A replica.
+    /// The node of a running replica.
     pub fn node(&self, index: u8) -> &ConfigurationNode {
         self.machines[&index]
             .node
@@ -304,7 +304,7 @@
             .expect("the machine runs")
     }
 
-    /// Hands a replica a message of another process.
+    /// Delivers a message of another process to a replica.
     pub fn receive(&mut self, index: u8, from: u8, body: PassThroughBody) {
         let now = self.now;
         let machine = self.machines.get_mut(&index).expect("the machine exists");
@@ -313,7 +313,7 @@
         self.process_outputs(index);
     }
 
-    /// The answer, if it has come.
+    /// The response, if it has arrived.
     pub fn response(&self, token: u64) -> Option<&ConfigurationResponse> {
         self.responses.get(&token)
     }
--- a/crates/petrellatch-core/tests/pass_through/replica.rs
+++ b/crates/petrellatch-core/tests/pass_through/replica.rs
@@ -1,4 +1,4 @@
-//! One replica of the group that holds the configuration, by itself.
+//! Test support: a single replica of the group that holds the configuration.
 
 use std::net::SocketAddrV4;
 
@@ -9,8 +9,7 @@
     ConfigurationNode, ConfigurationNodeSettings, node_id_of_address,
 };
 
-/// Starts the replica at `address` of a group that the replica at `founder`
-/// founded alone.
+/// Starts the replica at `address` of a group whose only founder is the replica at `founder`.
 pub fn start_replica(
     now: Timestamp,
     address: SocketAddrV4,
@@ -19,7 +18,7 @@
     start_replica_with(now, address, founder, ConfigurationNodeSettings::default())
 }
 
-/// The same with settings.
+/// Like [`start_replica`], with settings.
 pub fn start_replica_with(
     now: Timestamp,
     address: SocketAddrV4,
--- a/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
@@ -1,5 +1,5 @@
-//! Daemons that find the group after a loss of power, although none of the
-//! replicas that their settings name runs yet.
+//! Daemons find the group after a power loss, although none of the replicas in their settings
+//! runs yet: replicas notify the daemons that they saved.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -17,8 +17,8 @@
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const STEP: Duration = Duration::from_millis(5);
 
-/// What a replica that is alone in its group does for so long: what it asks to
-/// be saved, and to whom it tells where the group is.
+/// Runs the only replica of a group for this time. Returns what it requested to be saved, and the
+/// receivers of its group status.
 fn run(
     node: &mut ConfigurationNode,
     now: &mut Timestamp,
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -1,4 +1,4 @@
-//! One balancer and its agents, between stand-ins of callers and back ends.
+//! Test harness: one balancer and its agents, with simulated callers and back ends.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -23,7 +23,7 @@
 
 pub const SERVICE: &str = "desk";
 pub const OTHER_SERVICE: &str = "files";
-/// As wide as nobody notices.
+/// Bounds so wide that the warm-up limit has no effect on tests.
 pub const WARM_UP_BOUNDS: WarmUpBounds = WarmUpBounds {
     excess: 1.5,
     slack: 5.0,
@@ -37,7 +37,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, index), 7000)
 }
 
-/// Ports from this one on belong to a caller each; those below to one caller.
+/// Each port from this one on has a caller address of its own; the ports below share one.
 pub const FIRST_OWN_PORT: u16 = 40_000;
 
 pub fn caller(port: u16) -> SocketAddrV4 {
@@ -48,7 +48,8 @@
     SocketAddrV4::new(ip, port)
 }
 
-/// A back end as its agent sees it.
+/// A simulated back end: the packets that it received, and the callers of the flows that it
+/// owns.
 #[derive(Default)]
 pub struct Backend {
     pub received: Vec<PacketView>,
@@ -63,43 +64,42 @@
     pub backends: BTreeMap<SocketAddrV4, Backend>,
     pub callers: Vec<PacketView>,
     pub frozen: Vec<SocketAddrV4>,
-    /// Agents whose back ends return all opening packets.
+    /// Agents whose back ends return all SYNs.
     pub returning_syns: Vec<SocketAddrV4>,
     /// Agents whose back ends reset flows at their first request.
     pub resetting: Vec<SocketAddrV4>,
-    /// Agents whose back ends do nothing.
+    /// Agents whose back ends don't react to packets.
     pub silent: Vec<SocketAddrV4>,
     pub revision: u64,
-    /// Questions for unknown flows.
+    /// Number of flow queries sent to agents.
     pub flow_queries: usize,
-    /// What the balancer logged of refused flows.
+    /// Log texts of the balancer about refused flows.
     pub refusals: Vec<String>,
-    /// What the balancer logged of policies that leave nobody.
+    /// Log texts of the balancer about policies that leave no eligible back end.
     pub without_eligible: Vec<String>,
-    /// What the balancer logged of searches without a verdict.
+    /// Log texts of the balancer about inconclusive searches.
     pub inconclusive_searches: Vec<String>,
-    /// Packets that the balancer sent to agents to try.
+    /// Number of packets that the balancer forwarded for speculative delivery.
     pub speculative_deliveries: usize,
-    /// Bytes of messages of and to the balancer.
+    /// Bytes of messages from and to the balancer.
     pub balancer_bytes: usize,
-    /// Messages to the balancer that are under way, if they take time.
+    /// Messages to the balancer in transit, if replies are delayed.
     delayed: VecDeque<(Timestamp, SocketAddrV4, PassThroughBody)>,
     reply_delay: Duration,
-    /// Back ends acknowledge data at once.
+    /// Whether back ends acknowledge data at once.
     pub backends_ack_at_once: bool,
-    /// By when the configuration wants requests to be answered, in milliseconds.
+    /// Latency objective of the route, in milliseconds.
     pub latency_objective_millis: u32,
-    /// What the configuration says that a cold back end bears, in requests in
-    /// 1,000 s.
+    /// Configured rate limit of a cold back end, in requests per 1,000 s.
     pub warm_up_rate: u32,
     /// The service of each agent.
     service_of: fn(u8) -> &'static str,
     /// The zone of each agent that starts from now on.
     pub zone_of: fn(u8) -> &'static str,
     version: u64,
-    /// What the replica knows: the latest report of each agent.
+    /// The latest report of each agent, as the simulated replica knows it.
     reports: BTreeMap<u64, Report>,
-    /// Services of the route, with their weights; none if it is dropped.
+    /// Services of the route, with their weights; empty if the route is removed.
     shares: Vec<(&'static str, u32)>,
 }
 
@@ -108,7 +108,7 @@
         World::with_services(agents, slots, |_| SERVICE)
     }
 
-    /// A world whose route names [`SERVICE`], with agents of others beside.
+    /// A world whose route names [`SERVICE`], with agents of other services as well.
     pub fn with_services(agents: u8, slots: u32, service_of: fn(u8) -> &'static str) -> World {
         let now = Timestamp::from_millis(1_000);
         let mut world = World {
@@ -148,21 +148,21 @@
         world
     }
 
-    /// Starts the balancer again, which forgets all flows, and confirms to it what
-    /// is newest. Agents report to it.
+    /// Restarts the balancer, which loses all flows, and confirms the newest versions to it.
+    /// Agents report to it.
     pub fn start_balancer_with(&mut self, confirmed: VersionConfirmed) {
         self.balancer = new_balancer(self.now, None);
         self.confirm_with(confirmed);
         self.run(600 * MILLI);
     }
 
-    /// Starts the balancer again, and does not confirm to it what is newest.
+    /// Restarts the balancer without a confirmation of the newest version.
     pub fn start_balancer(&mut self) {
         self.balancer = new_balancer(self.now, None);
         self.run(600 * MILLI);
     }
 
-    /// Makes the balancer current with one route.
+    /// Brings the balancer up to date with one route.
     pub fn confirm(&mut self) {
         let confirmed = VersionConfirmed {
             confirmation_id: 7,
@@ -173,7 +173,7 @@
         self.confirm_with(confirmed);
     }
 
-    /// A newer version in which the route names these services, or is dropped.
+    /// Confirms a newer version in which the route names these services, or is removed.
     pub fn change_route(&mut self, shares: &[(&'static str, u32)]) {
         self.version += 1;
         self.shares = shares.to_vec();
@@ -222,7 +222,7 @@
         assert!(self.balancer.is_ready(self.now));
     }
 
-    /// The replica says that it has told of every agent that runs.
+    /// The replica reports that its directory is complete.
     pub fn notify_complete_directory(&mut self) {
         let status = GroupStatus {
             directory_revision: self.revision,
@@ -234,7 +234,7 @@
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// The replica says that it may not know every agent that runs.
+    /// The replica reports that its directory may be incomplete.
     pub fn notify_incomplete_directory(&mut self) {
         let status = GroupStatus {
             directory_revision: self.revision,
@@ -245,7 +245,7 @@
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// A replica answers an agent's report.
+    /// The replica acknowledges an agent's report.
     pub fn acknowledge_report(&mut self, index: u8, knows_previous_incarnation: bool) {
         let status = GroupStatus {
             knows_previous_incarnation,
@@ -259,19 +259,19 @@
         agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(status));
     }
 
-    /// Starts the balancer again, which forgets all flows. Agents report to it.
+    /// Restarts the balancer, which loses all flows. Agents report to it.
     pub fn restart_balancer(&mut self) {
         self.restart_balancer_with_link(None);
     }
 
-    /// The same with a link of so many bytes a second.
+    /// Like [`World::restart_balancer`], with a link of this rate.
     pub fn restart_balancer_with_link(&mut self, link_bytes_per_second: Option<u64>) {
         self.balancer = new_balancer(self.now, link_bytes_per_second);
         self.confirm();
         self.run(600 * MILLI);
     }
 
-    /// Starts an agent again, which forgets all flows of its back end.
+    /// Restarts an agent, which loses all flows of its back end.
     pub fn restart_agent(&mut self, index: u8, slots: u32) {
         self.start_agent(index);
         self.register(index, slots, false, 100);
@@ -304,8 +304,8 @@
         self.backends.entry(address).or_default();
     }
 
-    /// Starts an agent again. A replica tells it which back ends its former life reported
-    /// as leaving.
+    /// Restarts an agent. The replica sends it the back ends that its previous incarnation
+    /// reported as draining.
     pub fn restart_agent_with_draining(&mut self, index: u8) {
         let address = pack_address(agent_address(index));
         let draining_backends = self.reports[&address].draining_backends.clone();
@@ -335,7 +335,7 @@
         self.send_registration(index, &registration);
     }
 
-    /// The back end beside an agent calls.
+    /// Delivers a registration of the back end to its agent.
     pub fn send_registration(&mut self, index: u8, registration: &Registration) {
         let agent = self
             .agents
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Messages of agents take so long to reach the balancer.
+    /// Delays the messages of agents to the balancer by this time.
     pub fn delay_replies(&mut self, duration: Duration) {
         self.reply_delay = duration;
     }
@@ -368,7 +368,7 @@
         }
     }
 
-    /// Lets time pass without anybody noticing it.
+    /// Lets time pass while all processes are paused.
     pub fn pause_all(&mut self, duration: Duration) {
         self.now = self.now + duration;
     }
@@ -390,7 +390,7 @@
         self.settle();
     }
 
-    /// Carries messages until nobody has more to say.
+    /// Delivers messages until no process has any output.
     pub fn settle(&mut self) {
         loop {
             let mut is_quiet = true;
@@ -469,7 +469,7 @@
         }
     }
 
-    /// The replica tells a balancer of agents that may report no more.
+    /// The replica sends the balancer all agents again, also those that may report no more.
     pub fn repeat_reports(&mut self) {
         let reports: Vec<Report> = self.reports.values().cloned().collect();
         reports.into_iter().for_each(|it| self.publish_report(it));
@@ -497,8 +497,8 @@
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// A back end answers opening packets, and returns packets of flows that it
-    /// does not have.
+    /// Delivers a packet to a back end, which accepts SYNs, and returns packets of flows that
+    /// it does not own.
     pub fn deliver_to_backend(&mut self, agent: SocketAddrV4, packet: &[u8]) {
         if self.silent.contains(&agent) {
             return;
@@ -553,7 +553,7 @@
         agent.handle_backend_packet(now, &encode(view));
     }
 
-    /// The back end beside an agent sends data on a flow that it has.
+    /// An agent's back end sends data on a flow, which it owns from now on.
     pub fn send_backend_data(&mut self, agent: SocketAddrV4, port: u16) {
         self.backends
             .get_mut(&agent)
@@ -608,7 +608,7 @@
         self.callers.clear();
     }
 
-    /// The caller sends data on a flow that this agent's back end answered.
+    /// The caller sends data on a flow that this agent's back end accepted.
     pub fn request(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             ack: true,
@@ -620,7 +620,7 @@
         self.settle();
     }
 
-    /// The caller ends a flow that this agent's back end answered.
+    /// The caller closes a flow that this agent's back end accepted.
     pub fn close_flow(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             ack: true,
@@ -632,7 +632,7 @@
         self.settle();
     }
 
-    /// The agent whose back end answered the caller's opening packet.
+    /// The agent whose back end accepted the caller's SYN.
     pub fn accepted_by(&self, port: u16) -> Option<SocketAddrV4> {
         let syn_ack = self
             .callers
@@ -649,7 +649,7 @@
         self.callers.iter().filter(|view| view.rst).count()
     }
 
-    /// Packets with data that reached the back end beside this agent.
+    /// Number of packets with data that reached this agent's back end.
     pub fn data_packets_at(&self, agent: SocketAddrV4) -> usize {
         let received = self.backends[&agent].received.iter();
         received.filter(|view| view.data_bytes > 0).count()
@@ -684,7 +684,7 @@
     PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts)
 }
 
-/// Each back end numbers its bytes from another place.
+/// First sequence number of a back end; each has a different one.
 pub fn first_sequence(agent: SocketAddrV4) -> u32 {
     u32::from(agent.ip().octets()[3]) << 24
 }
--- a/crates/petrellatch-core/tests/pass_through/zone_commands.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_commands.rs
@@ -1,4 +1,4 @@
-//! Orders about zones: what is acknowledged holds, and agents learn of it.
+//! Zone commands: acknowledged ones are never lost, and agents are notified of them.
 
 use std::time::Duration;
 
@@ -28,7 +28,8 @@
     group.leader().expect("there is a leader")
 }
 
-/// An agent of `zone` reports to a replica.
+/// An agent of `zone`, which knows the zone commands up to `known_index`, reports to a
+/// replica.
 fn report(group: &mut Group, replica: u8, agent: u8, zone: &str, known_index: u64) {
     let report = Report {
         address: pack_address(address(agent)),
@@ -43,7 +44,7 @@
     group.receive(replica, agent, PassThroughBody::Report(report));
 }
 
-/// A group with one agent in each of two zones, and its leader, which has heard both.
+/// A group with one agent in each of two zones, and its leader, to which both have reported.
 fn with_two_agents() -> (Group, u8) {
     let mut group = formed_group(3);
     let leader = leader(&mut group);
@@ -53,7 +54,7 @@
     (group, leader)
 }
 
-/// How often an agent was told of orders about zones since the last look.
+/// Counts the notifications of zone commands to an agent since the last call.
 fn take_notifications(group: &mut Group, agent: u8) -> usize {
     let sent = std::mem::take(&mut group.sent_to_daemons);
     let is_notification = |(_, to, body): &&(u8, u8, PassThroughBody)| {
@@ -99,7 +100,7 @@
     let mut group = formed_group(5);
     group.set_zone_evacuated_and_wait("east", true);
     let first = leader(&mut group);
-    // Many changes later the order is only in snapshots.
+    // After this many changes the command is only in snapshots.
     for version in 10..1_300 {
         group.replace(version, 1);
     }
@@ -178,7 +179,7 @@
     let refused = ConfigurationResponse::ZoneCommandRefused(refusal);
     assert_eq!(group.response(token), Some(&refused));
     assert_eq!(group.evacuated_zones_at(leader), ["east"]);
-    // It is no longer the last one.
+    // Once the other zone is restored, it is no longer the last one.
     group.set_zone_evacuated_and_wait("east", false);
     group.set_zone_evacuated_and_wait("west", true);
 }
--- a/crates/petrellatch-core/tests/pass_through/zone_losses.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_losses.rs
@@ -1,4 +1,4 @@
-//! The loss of a zone never takes the majority of the replicas.
+//! The loss of a zone never takes a majority of the replicas.
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
         if sizes.last() != Some(&voters.len()) {
             sizes.push(voters.len());
         }
-        // Of an even number half may be in the zone of the newest one.
+        // Of an even number of voters, half may be in the zone of the newest one.
         let is_odd = voters.len() % 2 == 1;
         assert!(!is_odd || tolerates_zone_loss(&voters), "{voters:?}");
         group.run(Duration::from_millis(1));
@@ -78,7 +78,7 @@
 fn a_replaced_machine_leaves_the_group() {
     let mut group = formed_group();
     group.remove(4);
-    // An empty one at another address; its zone is told like that of all.
+    // An empty machine takes its place; it announces its zone like all others.
     group.add_empty(4, vec![1, 2, 3]);
     group.run(15 * SECOND);
     let voters = group.voters();
