--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -132,13 +132,13 @@
 }
 
 #[derive(Debug)]
-struct AgentRecord {
+struct AgentEntry {
     last_seen_at: Timestamp,
     record: Option<StoredFlowRecord>,
     incomplete: Option<IncompleteChange>,
 }
 
-impl AgentRecord {
+impl AgentEntry {
     fn note_seen(&mut self, now: Timestamp) -> &mut Self {
         self.last_seen_at = now;
         self
@@ -156,7 +156,7 @@
 pub(crate) struct FlowRecordStore {
     max_bytes: usize,
     ttl: Duration,
-    agents: BTreeMap<u64, AgentRecord>,
+    agents: BTreeMap<u64, AgentEntry>,
     bytes: usize,
     refused: u64,
     /// Encoded changes that are not in the file yet.
@@ -166,8 +166,8 @@
     must_replace: bool,
     is_writing: bool,
     last_write_failed: bool,
-    save_at: Timestamp,
-    saved_at: Timestamp,
+    next_write_at: Timestamp,
+    written_at: Timestamp,
 }
 
 impl FlowRecordStore {
@@ -186,22 +186,22 @@
             must_replace: false,
             is_writing: false,
             last_write_failed: false,
-            save_at: now + SAVE_INTERVAL,
-            saved_at: now,
+            next_write_at: now + SAVE_INTERVAL,
+            written_at: now,
         }
     }
 
     pub(crate) fn stats(&self, now: Timestamp) -> FlowRecordStoreStats {
-        let record = self
+        let records = self
             .agents
             .values()
             .filter_map(|agent| agent.record.as_ref());
         FlowRecordStoreStats {
-            records: record.clone().count(),
-            flows: record.map(|record| record.flows.len()).sum(),
+            records: records.clone().count(),
+            flows: records.map(|record| record.flows.len()).sum(),
             bytes: self.bytes,
             refused: self.refused,
-            write_age: now.saturating_since(self.saved_at),
+            write_age: now.saturating_since(self.written_at),
         }
     }
 
@@ -317,9 +317,9 @@
         &mut self,
         now: Timestamp,
         agent: u64,
-        change: impl FnOnce(&mut AgentRecord) -> T,
+        change: impl FnOnce(&mut AgentEntry) -> T,
     ) -> T {
-        let known = self.agents.entry(agent).or_insert(AgentRecord {
+        let known = self.agents.entry(agent).or_insert(AgentEntry {
             last_seen_at: now,
             record: None,
             incomplete: None,
@@ -401,7 +401,7 @@
     /// Removes agents that have sent no message for the lifetime of a record.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         let ttl = self.ttl;
-        let is_expired = |known: &AgentRecord| now.saturating_since(known.last_seen_at) >= ttl;
+        let is_expired = |known: &AgentEntry| now.saturating_since(known.last_seen_at) >= ttl;
         let agents = self.agents.iter();
         let expired = agents.filter(|(_, known)| is_expired(known));
         let expired: Vec<u64> = expired.map(|(agent, _)| *agent).collect();
@@ -423,15 +423,15 @@
     }
 
     pub(crate) fn poll_timeout(&self) -> Timestamp {
-        self.save_at
+        self.next_write_at
     }
 
     /// The next write, if it is due, none is in progress and something has changed.
     pub(crate) fn poll_write(&mut self, now: Timestamp) -> Option<FlowRecordWrite> {
-        if now < self.save_at {
+        if now < self.next_write_at {
             return None;
         }
-        self.save_at = now + SAVE_INTERVAL;
+        self.next_write_at = now + SAVE_INTERVAL;
         let has_changed = self.must_replace || !self.unsaved.is_empty();
         if self.is_writing || !has_changed {
             return None;
@@ -464,13 +464,13 @@
     pub(crate) fn note_written(&mut self, now: Timestamp, succeeded: bool) -> bool {
         self.is_writing = false;
         if succeeded {
-            self.saved_at = now;
+            self.written_at = now;
             self.last_write_failed = false;
             return false;
         }
         // The file may contain a part of the failed write.
         self.must_replace = true;
-        self.save_at = now + RETRY_INTERVAL;
+        self.next_write_at = now + RETRY_INTERVAL;
         !std::mem::replace(&mut self.last_write_failed, true)
     }
 }
