--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -232,7 +232,8 @@
         self.state.evacuations()
     }
 
-    /// Number of elections since the start that this replica stood for and lost for a reason.
+    /// Number of elections since the start that this replica lost as a candidate, for this
+    /// reason.
     pub fn elections_lost(&self, reason: ElectionLoss) -> u64 {
         self.elections_lost.get(&reason).copied().unwrap_or(0)
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
@@ -34,7 +34,7 @@
     PutPolicy {
         /// The policy.
         policy: PlacementPolicy,
-        /// Log index of the policies that the change is based on; none if it applies to any.
+        /// Log index of the policies that the change is based on; `None` to change any policies.
         base_index: Option<u64>,
     },
     /// Remove a placement policy.
@@ -92,7 +92,7 @@
     PolicyChanged {
         /// Log index of the policies.
         index: u64,
-        /// Whether it had an effect; otherwise the policies were so already.
+        /// Whether it had an effect; otherwise the policies already were as requested.
         changed: bool,
     },
     /// The policy, or a change of the policies, is refused.
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -29,7 +29,7 @@
 /// Slots of a back end, and its processing time of a request.
 pub const SLOTS: u32 = 2;
 pub const PROCESSING_MICROS: u64 = 33_000;
-/// One-way network delay.
+/// One-way network delay, in microseconds.
 const ONE_WAY_MICROS: u64 = 500;
 /// Packets that would wait longer at a link are lost, in microseconds.
 const MAX_LINK_WAIT: u64 = 1_000_000;
@@ -41,6 +41,7 @@
 const MAX_RETRIES: u32 = 2;
 /// Times from the first SYN to its retransmissions, in microseconds.
 const SYN_RETRANSMISSIONS: [u64; 2] = [200_000, 600_000];
+/// Deadline of a request from its first attempt, in microseconds.
 const DEADLINE: u64 = 2_000_000;
 /// Route addresses by priority.
 const ROUTES: [SocketAddrV4; 2] = [
--- a/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
@@ -17,8 +17,8 @@
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const STEP: Duration = Duration::from_millis(5);
 
-/// Runs the only replica of a group for this time. Returns what it requested to be saved, and the
-/// receivers of its group status.
+/// Runs the only replica of a group for this time. Returns what it requested to be saved, and
+/// the receivers of its group status.
 fn run(
     node: &mut ConfigurationNode,
     now: &mut Timestamp,
@@ -39,8 +39,8 @@
                 ConfigurationOutput::SaveDaemons(bytes) => saved.push(bytes),
                 ConfigurationOutput::Send {
                     to,
-                    body: PassThroughBody::GroupStatus(group),
-                } if group.has_leader => notified.push(to),
+                    body: PassThroughBody::GroupStatus(status),
+                } if status.has_leader => notified.push(to),
                 _ => {}
             }
         }
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -666,7 +666,10 @@
 }
 
 fn is_speculative(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::ForwardedPacket(forwarded) if forwarded.reason() == ForwardReason::Try)
+    matches!(
+        body,
+        PassThroughBody::ForwardedPacket(forwarded) if forwarded.reason() == ForwardReason::Try
+    )
 }
 
 fn new_balancer(
