--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -193,11 +193,11 @@
             latency_objective_millis: self.latency_objective_millis,
             ..RouteRecord::default()
         };
-        let is_dropped = self.shares.is_empty();
+        let is_removed = self.shares.is_empty();
         let change = ConfigurationChange {
             base_version: 0,
             version: self.version,
-            put: if is_dropped { Vec::new() } else { vec![route] },
+            put: if is_removed { Vec::new() } else { vec![route] },
             removed: Vec::new(),
             annotation: None,
             put_services: vec![ServiceRecord {
@@ -570,6 +570,7 @@
         self.settle();
     }
 
+    /// The caller sends its SYN, or the retransmission of this number.
     pub fn open(&mut self, port: u16, retransmission: u32) {
         let packet = PacketView {
             syn: true,
--- a/crates/petrellatch-core/tests/pass_through/zone_commands.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_commands.rs
@@ -203,11 +203,11 @@
     assert_eq!(others, 0, "agents of the other zone are not notified");
     assert_eq!(group.node(leader).agents_behind(), 1);
 
-    let known_index = EvacuationsAck {
+    let ack = EvacuationsAck {
         address: pack_address(address(AGENT)),
         index: group.node(leader).evacuations().index(),
     };
-    group.receive(leader, AGENT, PassThroughBody::EvacuationsAck(known_index));
+    group.receive(leader, AGENT, PassThroughBody::EvacuationsAck(ack));
     group.run(SECOND);
     assert_eq!(take_notifications(&mut group, AGENT), 0);
     assert_eq!(group.node(leader).agents_behind(), 0);
