--- a/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/policy_changes.rs
@@ -1,4 +1,4 @@
-//! Placement policies, from the request of an operator to the answer and to balancers.
+//! Placement policies: requests of operators, their responses, and updates for balancers.
 
 use petrellatch_proto::pass_through::{PlacementPolicy, PolicyChange};
 
@@ -9,13 +9,13 @@
 use crate::pass_through::policies::policy_check::{self, ExplainedPolicy};
 
 impl ConfigurationNode {
-    /// The placement policies as far as they are applied here.
+    /// The placement policies, as far as the log is applied here.
     pub fn policies(&self) -> &PlacementPolicies {
         self.state.policies()
     }
 
-    /// Puts a change into the log once its policy has passed all checks. Repeated changes
-    /// go there as well: only what the log says is known to hold for good.
+    /// Proposes a change to the log once its policy has passed all checks. Repeated changes
+    /// are proposed as well: only an applied log entry shows that the result is committed.
     pub(super) fn handle_policy_change(
         &mut self,
         now: Timestamp,
@@ -23,7 +23,7 @@
         change: PolicyChange,
     ) {
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
         if policy_size(&change) > MAX_POLICY_BYTES {
@@ -31,7 +31,7 @@
             return;
         }
         if let Some(policy) = &change.put
-            && let Err(refusal) = policy_check::check(policy, &self.followers.backends(now))
+            && let Err(refusal) = policy_check::check(policy, &self.daemons.backends(now))
         {
             self.refuse_policy(token, refusal);
             return;
@@ -40,27 +40,29 @@
         match self.replica.propose(now, command) {
             Ok(_) => {
                 let deadline = now + self.settings.request_timeout;
-                self.policy_changes.add(change.change_id, token, deadline);
+                self.pending_policy_changes
+                    .add(change.change_id, token, deadline);
             }
-            Err(_) => self.respond_elsewhere(token),
+            Err(_) => self.respond_not_leader(token),
         }
     }
 
-    /// Checks a policy without effect, on the back ends that this replica hears of.
+    /// Checks a policy against the back ends that agents have reported to this replica,
+    /// without storing it.
     pub(super) fn handle_policy_check(
         &mut self,
         now: Timestamp,
         token: u64,
         policy: &PlacementPolicy,
     ) {
-        match policy_check::check(policy, &self.followers.backends(now)) {
+        match policy_check::check(policy, &self.daemons.backends(now)) {
             Ok(()) => self.respond(token, ConfigurationResponse::PolicyValid),
             Err(refusal) => self.respond(token, ConfigurationResponse::PolicyRefused(refusal)),
         }
     }
 
-    /// Tells what the policy of a service decides for each of its back ends. Only the
-    /// leader hears all agents.
+    /// Explains what the policy of a service decides for each of its back ends. Only the
+    /// leader receives the reports of all agents.
     pub(super) fn handle_policy_explanation(
         &mut self,
         now: Timestamp,
@@ -68,7 +70,7 @@
         service: String,
     ) {
         if self.replica.role() != Role::Leader {
-            self.respond_elsewhere(token);
+            self.respond_not_leader(token);
             return;
         }
         let policy = self.policies().for_service(&service).cloned();
@@ -79,7 +81,7 @@
             backends: Vec::new(),
         };
         if let Some(policy) = policy {
-            let backends = self.followers.backends(now);
+            let backends = self.daemons.backends(now);
             match policy_check::explain(now, &explained.service, &policy, &backends) {
                 Ok(backends) => explained.backends = backends,
                 Err(error) => {
@@ -98,7 +100,8 @@
         self.respond(token, ConfigurationResponse::PolicyRefused(refusal));
     }
 
-    /// A change was applied: whoever waits for it is answered, and balancers are told.
+    /// Handles an applied change: responds to the request, and schedules updates for
+    /// balancers.
     pub(super) fn note_policy_change(
         &mut self,
         change: &PolicyChange,
@@ -111,9 +114,9 @@
                 None => format!("removed={} index={index}", change.removed),
             };
             self.emit_event(EventKind::PolicyChanged, subject);
-            self.zone_news.note_balancers();
+            self.update_notifier.note_balancers_due();
         }
-        let Some(token) = self.policy_changes.take(change.change_id) else {
+        let Some(token) = self.pending_policy_changes.take(change.change_id) else {
             return;
         };
         match outcome {
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -1,12 +1,12 @@
-//! Zones that operators took out of service.
+//! Zones that operators have evacuated, that is, taken out of service.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use petrellatch_proto::pass_through::{ZoneCommand, ZoneStatus, ZoneStatuses};
 
-/// The latest order about each zone, as of an index of the log. There are as many
-/// records as zones that were ever ordered about.
+/// Latest zone command for each zone, as of an index of the replicated log. There is one
+/// status per zone that ever had a command.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     index: u64,
@@ -14,58 +14,58 @@
 }
 
 impl Evacuations {
-    /// Index of the latest order that changed something; zero if there was none.
+    /// Log index of the latest zone command that had an effect; zero if there was none.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether a zone is out of service.
+    /// Whether a zone is evacuated.
     pub fn contains(&self, zone: &str) -> bool {
-        self.zones.get(zone).is_some_and(|record| record.evacuated)
+        self.zones.get(zone).is_some_and(|status| status.evacuated)
     }
 
-    /// The zones out of service, by name.
+    /// The evacuated zones, sorted by name.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &ZoneStatus> {
-        self.zones.values().filter(|record| record.evacuated)
+        self.zones.values().filter(|status| status.evacuated)
     }
 
-    /// Index of the latest order about a zone; zero if there was none.
+    /// Log index of the latest command for a zone; zero if there was none.
     pub(crate) fn index_of(&self, zone: &str) -> u64 {
-        self.zones.get(zone).map_or(0, |record| record.index)
+        self.zones.get(zone).map_or(0, |status| status.index)
     }
 
-    /// Applies an order. A repeated one keeps what the first one noted. Returns
-    /// whether it changed something.
-    pub(crate) fn apply(&mut self, index: u64, order: &ZoneCommand) -> bool {
-        if self.contains(&order.zone) == order.evacuated {
+    /// Applies a zone command. A repeated command has no effect, so the status keeps the
+    /// values of the first one. Returns whether something has changed.
+    pub(crate) fn apply(&mut self, index: u64, command: &ZoneCommand) -> bool {
+        if self.contains(&command.zone) == command.evacuated {
             return false;
         }
         self.index = index;
-        let record = ZoneStatus {
-            zone: order.zone.clone(),
-            evacuated: order.evacuated,
-            command_id: order.command_id,
+        let status = ZoneStatus {
+            zone: command.zone.clone(),
+            evacuated: command.evacuated,
+            command_id: command.command_id,
             index,
-            issued_at_millis: order.issued_at_millis,
+            issued_at_millis: command.issued_at_millis,
         };
-        self.zones.insert(order.zone.clone(), record);
+        self.zones.insert(command.zone.clone(), status);
         true
     }
 
-    /// Takes what another process told, if that is newer. Returns whether it is.
-    pub(crate) fn take_newer(&mut self, told: &ZoneStatuses) -> bool {
-        let is_newer = told.index > self.index;
+    /// Takes over the state of another process if that is newer. Returns whether it is.
+    pub(crate) fn take_newer(&mut self, statuses: &ZoneStatuses) -> bool {
+        let is_newer = statuses.index > self.index;
         if is_newer {
-            *self = Evacuations::from_message(told);
+            *self = Evacuations::from_message(statuses);
         }
         is_newer
     }
 
-    pub(crate) fn from_message(told: &ZoneStatuses) -> Evacuations {
-        let zones = told.zones.iter();
-        let zones = zones.map(|record| (record.zone.clone(), record.clone()));
+    pub(crate) fn from_message(statuses: &ZoneStatuses) -> Evacuations {
+        let zones = statuses.zones.iter();
+        let zones = zones.map(|status| (status.zone.clone(), status.clone()));
         Evacuations {
-            index: told.index,
+            index: statuses.index,
             zones: zones.collect(),
         }
     }
@@ -77,9 +77,10 @@
         }
     }
 
-    /// What somebody who knows the orders up to `known` has to be told, if anything.
-    pub(crate) fn updates_since(&self, known: u64) -> Option<ZoneStatuses> {
-        (self.index > known).then(|| self.to_message())
+    /// The message for a receiver that knows the zone commands up to log index `known`; none
+    /// if it is up to date.
+    pub(crate) fn updates_since(&self, known_index: u64) -> Option<ZoneStatuses> {
+        (self.index > known_index).then(|| self.to_message())
     }
 }
 
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -1,4 +1,4 @@
-//! A group of configuration replicas with a simulated network and disks.
+//! Test harness: a group of configuration replicas with a simulated network and disks.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,15 +15,15 @@
 };
 use petrellatch_proto::pass_through::{PassThroughBody, RouteRecord, RouteShare, ServiceRecord};
 
-/// Time that a message takes.
-const DELAY: Duration = Duration::from_millis(1);
-/// Time that a write takes.
-const SYNC: Duration = Duration::from_millis(5);
+/// Delay of a message.
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
+/// Time that a write and its sync take.
+const WRITE_TIME: Duration = Duration::from_millis(5);
 /// Granularity of the virtual clock.
 const STEP: Duration = Duration::from_millis(1);
 
-/// Machines from this number on are no replicas.
-pub const FIRST_OUTSIDE: u8 = 100;
+/// Machines from this number on are daemons, not replicas.
+pub const FIRST_DAEMON: u8 = 100;
 
 /// Address of machine number `index`.
 pub fn address(index: u8) -> SocketAddrV4 {
@@ -48,7 +48,7 @@
         warm_up_millirequests_per_second: 0,
     }];
     let routes = (0..routes).map(route).collect();
-    Configuration::new(version, routes, services, Vec::new()).expect("it is valid")
+    Configuration::new(version, routes, services, Vec::new()).expect("the configuration is valid")
 }
 
 struct Machine {
@@ -57,22 +57,21 @@
     incarnation: Incarnation,
     seeds: Vec<u8>,
     writes: VecDeque<(Timestamp, PersistRequest)>,
-    disk_answers: bool,
+    disk_responds: bool,
 }
 
-/// The group and its world.
+/// The replicas of a group, with their network and disks.
 pub struct Group {
     pub now: Timestamp,
     machines: BTreeMap<u8, Machine>,
     messages: VecDeque<(Timestamp, u8, u8, PassThroughBody)>,
-    cut: BTreeSet<(u8, u8)>,
-    answers: BTreeMap<u64, ConfigurationResponse>,
+    cut_links: BTreeSet<(u8, u8)>,
+    responses: BTreeMap<u64, ConfigurationResponse>,
     next_token: u64,
     next_incarnation: u64,
-    /// What replicas sent to others than replicas: the sender, the receiver's
-    /// number and the message.
+    /// Messages of replicas to daemons: the sender, the receiver and the message.
     pub sent_to_daemons: Vec<(u8, u8, PassThroughBody)>,
-    /// Of machine number `n` is element `n`; empty if all are in one.
+    /// Zone of machine number `n` at index `n`; empty if all are in one zone.
     zones: Vec<&'static str>,
 }
 
@@ -86,15 +85,15 @@
         Group::start_in(count, Vec::new())
     }
 
-    /// The same with machine number `n` in the zone `zones[n]`, one of which may be lost
-    /// at once, or two machines.
+    /// Like [`Group::start`], with machine number `n` in the zone `zones[n]`. The group
+    /// tolerates the loss of one zone, or of two machines.
     pub fn start_in(count: u8, zones: Vec<&'static str>) -> Group {
         let mut group = Group {
             now: Timestamp::ZERO,
             machines: BTreeMap::new(),
             messages: VecDeque::new(),
-            cut: BTreeSet::new(),
-            answers: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            responses: BTreeMap::new(),
             next_token: 0,
             next_incarnation: 5_000,
             sent_to_daemons: Vec::new(),
@@ -124,16 +123,16 @@
             incarnation,
             seeds,
             writes: VecDeque::new(),
-            disk_answers: true,
+            disk_responds: true,
         };
         self.machines.insert(index, machine);
         self.restart(index);
     }
 
-    /// Starts the process of a machine again, from its disk.
+    /// Restarts the process of a machine, from its disk.
     pub fn restart(&mut self, index: u8) {
         let now = self.now;
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         let founders = machine.seeds.iter().map(|seed| ReplicaId {
             node: node_id_of_address(address(*seed)),
             incarnation: founder(*seed),
@@ -154,47 +153,47 @@
         machine.node = Some(ConfigurationNode::new(now, settings, start));
     }
 
-    /// Ends a process at once; writes that are not synced are lost.
+    /// Kills a process; writes that are not synced are lost.
     pub fn kill(&mut self, index: u8) {
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         machine.node = None;
         machine.writes.clear();
     }
 
-    /// Takes a machine away for good.
+    /// Removes a machine for good.
     pub fn remove(&mut self, index: u8) {
         self.machines.remove(&index);
     }
 
-    /// Ends a process and empties its disk; it starts as another replica.
+    /// Kills a process and empties its disk; it restarts as another replica.
     pub fn wipe(&mut self, index: u8) {
         self.kill(index);
         self.next_incarnation += 1;
         let incarnation = Incarnation(self.next_incarnation);
-        let machine = self.machines.get_mut(&index).expect("it is known");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
         machine.disk = PersistentState::default();
         machine.incarnation = incarnation;
     }
 
-    /// Lets a disk answer or not.
-    pub fn set_disk_responds(&mut self, index: u8, answers: bool) {
+    /// Sets whether a disk completes writes.
+    pub fn set_disk_responds(&mut self, index: u8, responds: bool) {
         self.machines
             .get_mut(&index)
-            .expect("it is known")
-            .disk_answers = answers;
+            .expect("the machine exists")
+            .disk_responds = responds;
     }
 
-    /// Cuts one machine off from all others.
+    /// Isolates one machine from all others.
     pub fn cut_off(&mut self, index: u8) {
         for other in self.machines.keys() {
-            self.cut.insert((index, *other));
-            self.cut.insert((*other, index));
+            self.cut_links.insert((index, *other));
+            self.cut_links.insert((*other, index));
         }
     }
 
-    /// Joins all machines again.
+    /// Reconnects all machines.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
     }
 
     /// Lets time pass.
@@ -212,31 +211,37 @@
     pub fn run_until(&mut self, limit: Duration, what: &str, done: impl Fn(&Group) -> bool) {
         let end = self.now + limit;
         while !done(self) {
-            assert!(self.now < end, "not in {limit:?}: {what}");
+            assert!(self.now < end, "not within {limit:?}: {what}");
             self.run(STEP);
         }
     }
 
-    /// The leader that is sure of its quorum.
+    /// The leader that has contact with a quorum.
     pub fn leader(&self) -> Option<u8> {
-        let leads = |(_, machine): &(&u8, &Machine)| {
+        let is_leader = |(_, machine): &(&u8, &Machine)| {
             let node = machine.node.as_ref();
             node.is_some_and(|node| node.replica().is_leader_with_quorum(self.now))
         };
-        self.machines.iter().find(leads).map(|(index, _)| *index)
+        self.machines
+            .iter()
+            .find(is_leader)
+            .map(|(index, _)| *index)
     }
 
-    /// The voters as the leader knows them.
+    /// The voters according to the leader; none without a leader.
     pub fn voters(&self) -> Vec<u8> {
         let Some(leader) = self.leader() else {
             return Vec::new();
         };
-        let node = self.machines[&leader].node.as_ref().expect("it leads");
+        let node = self.machines[&leader]
+            .node
+            .as_ref()
+            .expect("the leader runs");
         let voters = node.replica().membership().voters();
         voters.map(|voter| (voter.node.0 >> 16) as u8).collect()
     }
 
-    /// Asks a machine; returns the token of the answer.
+    /// Sends a request to a machine; returns the token of the response.
     pub fn request(&mut self, index: u8, request: ConfigurationRequest) -> u64 {
         self.next_token += 1;
         let (now, token) = (self.now, self.next_token);
@@ -247,63 +252,70 @@
         {
             node.handle_request(now, token, request);
         }
-        self.drain(index);
+        self.process_outputs(index);
         token
     }
 
-    /// Orders a zone out of service, or back.
+    /// Requests the evacuation or restoration of a zone; returns the token of the response.
     pub fn set_zone_evacuated(&mut self, index: u8, zone: &str, evacuated: bool) -> u64 {
         let request = ConfigurationRequest::SetZoneEvacuated {
             zone: zone.to_owned(),
             evacuated,
             allow_last: false,
-            ordered_at_millis: 1_700_000_000_000,
+            issued_at_millis: 1_700_000_000_000,
         };
         self.request(index, request)
     }
 
-    /// Orders a zone through the leader, again until that is acknowledged.
+    /// Evacuates or restores a zone through the leader, and retries until that is
+    /// acknowledged.
     pub fn set_zone_evacuated_and_wait(&mut self, zone: &str, evacuated: bool) {
         for _ in 0..10 {
             self.run_until(Duration::from_secs(10), "a leader", |it| {
                 it.leader().is_some()
             });
-            let leader = self.leader().expect("there is one");
+            let leader = self.leader().expect("there is a leader");
             let token = self.set_zone_evacuated(leader, zone, evacuated);
-            self.run_until(Duration::from_secs(2), "an answer", |it| {
+            self.run_until(Duration::from_secs(2), "a response", |it| {
                 it.response(token).is_some()
             });
             if self.response(token) == Some(&ConfigurationResponse::ZoneCommandApplied) {
                 return;
             }
         }
-        panic!("the order is not acknowledged");
+        panic!("the zone command is not acknowledged");
     }
 
-    /// The zones out of service, as a replica knows them.
+    /// The evacuated zones, as a replica knows them.
     pub fn evacuated_zones_at(&self, index: u8) -> Vec<String> {
-        let node = self.machines[&index].node.as_ref().expect("it runs");
+        let node = self.machines[&index]
+            .node
+            .as_ref()
+            .expect("the machine runs");
         let zones = node.evacuations().evacuated_zones();
         zones.map(|record| record.zone.clone()).collect()
     }
 
-    /// A replica.
+    /// The node of a running replica.
     pub fn node(&self, index: u8) -> &ConfigurationNode {
-        self.machines[&index].node.as_ref().expect("it runs")
+        self.machines[&index]
+            .node
+            .as_ref()
+            .expect("the machine runs")
     }
 
-    /// Hands a replica a message of another process.
+    /// Delivers a message of another process to a replica.
     pub fn receive(&mut self, index: u8, from: u8, body: PassThroughBody) {
         let now = self.now;
-        let machine = self.machines.get_mut(&index).expect("it is known");
-        let node = machine.node.as_mut().expect("it runs");
+        let machine = self.machines.get_mut(&index).expect("the machine exists");
+        let node = machine.node.as_mut().expect("the machine runs");
         node.handle_message(now, address(from), body);
-        self.drain(index);
+        self.process_outputs(index);
     }
 
-    /// The answer, if it has come.
+    /// The response, if it has arrived.
     pub fn response(&self, token: u64) -> Option<&ConfigurationResponse> {
-        self.answers.get(&token)
+        self.responses.get(&token)
     }
 
     /// Replaces the configuration through the leader and waits until that is
@@ -312,7 +324,7 @@
         self.run_until(Duration::from_secs(5), "a leader", |it| {
             it.leader().is_some()
         });
-        let leader = self.leader().expect("there is one");
+        let leader = self.leader().expect("there is a leader");
         let request = ConfigurationRequest::Replace(configuration(version, routes));
         let token = self.request(leader, request);
         self.run_until(Duration::from_secs(2), "an acknowledgement", |it| {
@@ -328,9 +340,9 @@
         self.run_until(Duration::from_secs(5), "a leader", |it| {
             it.leader().is_some()
         });
-        let leader = self.leader().expect("there is one");
+        let leader = self.leader().expect("there is a leader");
         let token = self.request(leader, ConfigurationRequest::Read);
-        self.run_until(Duration::from_secs(2), "an answer", |it| {
+        self.run_until(Duration::from_secs(2), "a response", |it| {
             it.response(token).is_some()
         });
         match self.response(token) {
@@ -343,32 +355,32 @@
         let now = self.now;
         let indices: Vec<u8> = self.machines.keys().copied().collect();
         for index in indices {
-            let machine = self.machines.get_mut(&index).expect("it is known");
+            let machine = self.machines.get_mut(&index).expect("the machine exists");
             let is_due = |writes: &VecDeque<(Timestamp, PersistRequest)>| {
                 writes.front().is_some_and(|(at, _)| *at <= now)
             };
-            while machine.disk_answers && is_due(&machine.writes) {
-                let (_, request) = machine.writes.pop_front().expect("one is due");
+            while machine.disk_responds && is_due(&machine.writes) {
+                let (_, request) = machine.writes.pop_front().expect("an entry is due");
                 machine.disk.apply(&request);
                 if let Some(node) = &mut machine.node {
                     node.handle_persisted(now, request.ticket);
                 }
             }
-            self.drain(index);
+            self.process_outputs(index);
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         while self.messages.front().is_some_and(|(at, ..)| *at <= now) {
-            let (_, from, to, body) = self.messages.pop_front().expect("one is due");
-            if self.cut.contains(&(from, to)) {
+            let (_, from, to, body) = self.messages.pop_front().expect("an entry is due");
+            if self.cut_links.contains(&(from, to)) {
                 continue;
             }
             if let Some(node) = self.machines.get_mut(&to).and_then(|it| it.node.as_mut()) {
                 node.handle_message(now, address(from), body);
             }
-            self.drain(to);
+            self.process_outputs(to);
         }
     }
 
@@ -376,17 +388,17 @@
         let now = self.now;
         let indices: Vec<u8> = self.machines.keys().copied().collect();
         for index in indices {
-            let machine = self.machines.get_mut(&index).expect("it is known");
+            let machine = self.machines.get_mut(&index).expect("the machine exists");
             if let Some(node) = &mut machine.node
                 && node.poll_timeout() <= now
             {
                 node.handle_timeout(now);
             }
-            self.drain(index);
+            self.process_outputs(index);
         }
     }
 
-    fn drain(&mut self, index: u8) {
+    fn process_outputs(&mut self, index: u8) {
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&index) else {
             return;
@@ -398,17 +410,18 @@
             match output {
                 ConfigurationOutput::Send { to, body } => {
                     let to = to.ip().octets()[3];
-                    if to >= FIRST_OUTSIDE {
+                    if to >= FIRST_DAEMON {
                         self.sent_to_daemons.push((index, to, body));
                         continue;
                     }
-                    self.messages.push_back((now + DELAY, index, to, body));
+                    self.messages
+                        .push_back((now + MESSAGE_DELAY, index, to, body));
                 }
                 ConfigurationOutput::Persist(request) => {
-                    machine.writes.push_back((now + SYNC, request));
+                    machine.writes.push_back((now + WRITE_TIME, request));
                 }
                 ConfigurationOutput::Respond { token, response } => {
-                    self.answers.insert(token, response);
+                    self.responses.insert(token, response);
                 }
                 ConfigurationOutput::WriteFlowRecords(_)
                 | ConfigurationOutput::SaveDaemons(_)
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -1,4 +1,4 @@
-//! One balancer and its agents, between stand-ins of callers and back ends.
+//! Test harness: one balancer and its agents, with simulated callers and back ends.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -23,7 +23,7 @@
 
 pub const SERVICE: &str = "desk";
 pub const OTHER_SERVICE: &str = "files";
-/// As wide as nobody notices.
+/// Bounds so wide that the warm-up limit has no effect on tests.
 pub const WARM_UP_BOUNDS: WarmUpBounds = WarmUpBounds {
     excess: 1.5,
     slack: 5.0,
@@ -37,7 +37,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, index), 7000)
 }
 
-/// Ports from this one on belong to a caller each; those below to one caller.
+/// Each port from this one on has a caller address of its own; the ports below share one.
 pub const FIRST_OWN_PORT: u16 = 40_000;
 
 pub fn caller(port: u16) -> SocketAddrV4 {
@@ -48,7 +48,8 @@
     SocketAddrV4::new(ip, port)
 }
 
-/// A back end as its agent sees it.
+/// A simulated back end: the packets that it received, and the callers of the flows that it
+/// owns.
 #[derive(Default)]
 pub struct Backend {
     pub received: Vec<PacketView>,
@@ -63,53 +64,52 @@
     pub backends: BTreeMap<SocketAddrV4, Backend>,
     pub callers: Vec<PacketView>,
     pub frozen: Vec<SocketAddrV4>,
-    /// Agents whose back ends return all opening packets.
+    /// Agents whose back ends return all SYNs.
     pub returning_syns: Vec<SocketAddrV4>,
     /// Agents whose back ends reset flows at their first request.
     pub resetting: Vec<SocketAddrV4>,
-    /// Agents whose back ends do nothing.
+    /// Agents whose back ends don't react to packets.
     pub silent: Vec<SocketAddrV4>,
     pub revision: u64,
-    /// Questions for unknown flows.
+    /// Number of flow queries sent to agents.
     pub flow_queries: usize,
-    /// What the balancer logged of refused flows.
+    /// Log texts of the balancer about refused flows.
     pub refusals: Vec<String>,
-    /// What the balancer logged of policies that leave nobody.
+    /// Log texts of the balancer about policies that leave no eligible back end.
     pub without_eligible: Vec<String>,
-    /// What the balancer logged of searches without a verdict.
+    /// Log texts of the balancer about inconclusive searches.
     pub inconclusive_searches: Vec<String>,
-    /// Packets that the balancer sent to agents to try.
+    /// Number of packets that the balancer forwarded for speculative delivery.
     pub speculative_deliveries: usize,
-    /// Bytes of messages of and to the balancer.
+    /// Bytes of messages from and to the balancer.
     pub balancer_bytes: usize,
-    /// Messages to the balancer that are under way, if they take time.
+    /// Messages to the balancer in transit, if replies are delayed.
     delayed: VecDeque<(Timestamp, SocketAddrV4, PassThroughBody)>,
-    answer_delay: Duration,
-    /// Back ends acknowledge data at once.
+    reply_delay: Duration,
+    /// Whether back ends acknowledge data at once.
     pub backends_ack_at_once: bool,
-    /// By when the configuration wants requests to be answered, in milliseconds.
+    /// Latency objective of the route, in milliseconds.
     pub latency_objective_millis: u32,
-    /// What the configuration says that a cold back end bears, in requests in
-    /// 1,000 s.
+    /// Configured rate limit of a cold back end, in requests per 1,000 s.
     pub warm_up_rate: u32,
     /// The service of each agent.
     service_of: fn(u8) -> &'static str,
     /// The zone of each agent that starts from now on.
     pub zone_of: fn(u8) -> &'static str,
     version: u64,
-    /// What the replica knows: the latest report of each agent.
+    /// The latest report of each agent, as the simulated replica knows it.
     reports: BTreeMap<u64, Report>,
-    /// Services of the route, with their weights; none if it is dropped.
+    /// Services of the route, with their weights; empty if the route is removed.
     shares: Vec<(&'static str, u32)>,
 }
 
 impl World {
-    pub fn new(agents: u8, capacity: u32) -> World {
-        World::with_services(agents, capacity, |_| SERVICE)
+    pub fn new(agents: u8, slots: u32) -> World {
+        World::with_services(agents, slots, |_| SERVICE)
     }
 
-    /// A world whose route names [`SERVICE`], with agents of others beside.
-    pub fn with_services(agents: u8, capacity: u32, service_of: fn(u8) -> &'static str) -> World {
+    /// A world whose route names [`SERVICE`], with agents of other services as well.
+    pub fn with_services(agents: u8, slots: u32, service_of: fn(u8) -> &'static str) -> World {
         let now = Timestamp::from_millis(1_000);
         let mut world = World {
             now,
@@ -129,7 +129,7 @@
             speculative_deliveries: 0,
             balancer_bytes: 0,
             delayed: VecDeque::new(),
-            answer_delay: Duration::ZERO,
+            reply_delay: Duration::ZERO,
             backends_ack_at_once: false,
             warm_up_rate: 0,
             latency_objective_millis: 0,
@@ -142,27 +142,27 @@
         world.confirm();
         for index in 1..=agents {
             world.start_agent(index);
-            world.register(index, capacity, false, 1);
+            world.register(index, slots, false, 1);
         }
         world.run(5 * MILLI);
         world
     }
 
-    /// Starts the balancer again, which forgets all flows, and confirms to it what
-    /// is newest. Agents report to it.
+    /// Restarts the balancer, which loses all flows, and confirms the newest versions to it.
+    /// Agents report to it.
     pub fn start_balancer_with(&mut self, confirmed: VersionConfirmed) {
         self.balancer = new_balancer(self.now, None);
         self.confirm_with(confirmed);
         self.run(600 * MILLI);
     }
 
-    /// Starts the balancer again, and does not confirm to it what is newest.
+    /// Restarts the balancer without a confirmation of the newest version.
     pub fn start_balancer(&mut self) {
         self.balancer = new_balancer(self.now, None);
         self.run(600 * MILLI);
     }
 
-    /// Makes the balancer current with one route.
+    /// Brings the balancer up to date with one route.
     pub fn confirm(&mut self) {
         let confirmed = VersionConfirmed {
             confirmation_id: 7,
@@ -173,7 +173,7 @@
         self.confirm_with(confirmed);
     }
 
-    /// A newer version in which the route names these services, or is dropped.
+    /// Confirms a newer version in which the route names these services, or is removed.
     pub fn change_route(&mut self, shares: &[(&'static str, u32)]) {
         self.version += 1;
         self.shares = shares.to_vec();
@@ -193,11 +193,11 @@
             latency_objective_millis: self.latency_objective_millis,
             ..RouteRecord::default()
         };
-        let is_dropped = self.shares.is_empty();
+        let is_removed = self.shares.is_empty();
         let change = ConfigurationChange {
             base_version: 0,
             version: self.version,
-            put: if is_dropped { Vec::new() } else { vec![route] },
+            put: if is_removed { Vec::new() } else { vec![route] },
             removed: Vec::new(),
             annotation: None,
             put_services: vec![ServiceRecord {
@@ -222,56 +222,59 @@
         assert!(self.balancer.is_ready(self.now));
     }
 
-    /// The replica says that it has told of every agent that runs.
+    /// The replica reports that its directory is complete.
     pub fn notify_complete_directory(&mut self) {
-        let group = GroupStatus {
+        let status = GroupStatus {
             directory_revision: self.revision,
             has_leader: true,
             directory_is_complete: true,
             ..GroupStatus::default()
         };
-        let body = PassThroughBody::GroupStatus(group);
+        let body = PassThroughBody::GroupStatus(status);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// The replica says that it may not know every agent that runs.
+    /// The replica reports that its directory may be incomplete.
     pub fn notify_incomplete_directory(&mut self) {
-        let group = GroupStatus {
+        let status = GroupStatus {
             directory_revision: self.revision,
             has_leader: true,
             ..GroupStatus::default()
         };
-        let body = PassThroughBody::GroupStatus(group);
+        let body = PassThroughBody::GroupStatus(status);
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// A replica answers an agent's report.
-    pub fn acknowledge_report(&mut self, index: u8, had_former_life: bool) {
-        let group = GroupStatus {
-            knows_previous_incarnation: had_former_life,
+    /// The replica acknowledges an agent's report.
+    pub fn acknowledge_report(&mut self, index: u8, knows_previous_incarnation: bool) {
+        let status = GroupStatus {
+            knows_previous_incarnation,
             has_report: true,
             ..GroupStatus::default()
         };
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(status));
     }
 
-    /// Starts the balancer again, which forgets all flows. Agents report to it.
+    /// Restarts the balancer, which loses all flows. Agents report to it.
     pub fn restart_balancer(&mut self) {
         self.restart_balancer_with_link(None);
     }
 
-    /// The same with a link of so many bytes a second.
+    /// Like [`World::restart_balancer`], with a link of this rate.
     pub fn restart_balancer_with_link(&mut self, link_bytes_per_second: Option<u64>) {
         self.balancer = new_balancer(self.now, link_bytes_per_second);
         self.confirm();
         self.run(600 * MILLI);
     }
 
-    /// Starts an agent again, which forgets all flows of its back end.
-    pub fn restart_agent(&mut self, index: u8, capacity: u32) {
+    /// Restarts an agent, which loses all flows of its back end.
+    pub fn restart_agent(&mut self, index: u8, slots: u32) {
         self.start_agent(index);
-        self.register(index, capacity, false, 100);
+        self.register(index, slots, false, 100);
     }
 
     pub fn start_agent(&mut self, index: u8) {
@@ -301,39 +304,45 @@
         self.backends.entry(address).or_default();
     }
 
-    /// Starts an agent again. A replica tells it which back ends its former life reported
-    /// as leaving.
+    /// Restarts an agent. The replica sends it the back ends that its previous incarnation
+    /// reported as draining.
     pub fn restart_agent_with_draining(&mut self, index: u8) {
         let address = pack_address(agent_address(index));
-        let leaving = self.reports[&address].draining_backends.clone();
+        let draining_backends = self.reports[&address].draining_backends.clone();
         self.start_agent(index);
-        let group = GroupStatus {
-            draining_backends: leaving,
+        let status = GroupStatus {
+            draining_backends,
             ..GroupStatus::default()
         };
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(group));
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        agent.handle_message(self.now, REPLICA, PassThroughBody::GroupStatus(status));
     }
 
-    pub fn register(&mut self, index: u8, capacity: u32, draining: bool, call_number: u64) {
-        let call = Registration {
+    pub fn register(&mut self, index: u8, slots: u32, draining: bool, sequence: u64) {
+        let registration = Registration {
             id: format!("backend-{index}"),
             service: (self.service_of)(index).to_owned(),
             started_at_millis: None,
-            sequence: call_number,
-            slots: capacity,
+            sequence,
+            slots,
             draining,
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        self.send_registration(index, &call);
+        self.send_registration(index, &registration);
     }
 
-    /// The back end beside an agent calls.
-    pub fn send_registration(&mut self, index: u8, call: &Registration) {
-        let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-        let taken = agent.handle_registration(self.now, call);
-        taken.expect("it is of the agent's service");
+    /// Delivers a registration of the back end to its agent.
+    pub fn send_registration(&mut self, index: u8, registration: &Registration) {
+        let agent = self
+            .agents
+            .get_mut(&agent_address(index))
+            .expect("the agent exists");
+        let result = agent.handle_registration(self.now, registration);
+        result.expect("the registration is accepted");
     }
 
     pub fn run(&mut self, duration: Duration) {
@@ -343,9 +352,9 @@
         }
     }
 
-    /// Messages of agents take so long to reach the balancer.
+    /// Delays the messages of agents to the balancer by this time.
     pub fn delay_replies(&mut self, duration: Duration) {
-        self.answer_delay = duration;
+        self.reply_delay = duration;
     }
 
     fn deliver_delayed(&mut self) {
@@ -359,8 +368,8 @@
         }
     }
 
-    /// Lets time pass without anybody noticing it.
-    pub fn freeze_all(&mut self, duration: Duration) {
+    /// Lets time pass while all processes are paused.
+    pub fn pause_all(&mut self, duration: Duration) {
         self.now = self.now + duration;
     }
 
@@ -373,7 +382,7 @@
         }
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for address in &addresses {
-            let agent = self.agents.get_mut(address).expect("known");
+            let agent = self.agents.get_mut(address).expect("the agent exists");
             if !self.frozen.contains(address) && agent.poll_timeout() <= now {
                 agent.handle_timeout(now);
             }
@@ -381,12 +390,12 @@
         self.settle();
     }
 
-    /// Carries messages until nobody has more to say.
+    /// Delivers messages until no process has any output.
     pub fn settle(&mut self) {
         loop {
-            let mut quiet = true;
+            let mut is_quiet = true;
             while let Some(output) = self.balancer.poll_output() {
-                quiet = false;
+                is_quiet = false;
                 self.handle_output(BALANCER, output);
             }
             let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
@@ -399,11 +408,11 @@
                     .get_mut(&address)
                     .and_then(PassThroughAgent::poll_output)
                 {
-                    quiet = false;
+                    is_quiet = false;
                     self.handle_output(address, output);
                 }
             }
-            if quiet {
+            if is_quiet {
                 return;
             }
         }
@@ -418,9 +427,9 @@
         }
         match output {
             PassThroughOutput::Send { to, body }
-                if to == BALANCER && self.answer_delay > Duration::ZERO =>
+                if to == BALANCER && self.reply_delay > Duration::ZERO =>
             {
-                let arrives_at = now + self.answer_delay;
+                let arrives_at = now + self.reply_delay;
                 self.delayed.push_back((arrives_at, from, body));
             }
             PassThroughOutput::Send { to, body } if to == BALANCER => {
@@ -428,12 +437,13 @@
             }
             PassThroughOutput::Send { to, body } if to == REPLICA => {
                 if let PassThroughBody::Report(report) = body {
-                    self.pass_report(report);
+                    self.publish_report(report);
                 }
             }
             PassThroughOutput::Send { to, body } => {
                 self.flow_queries += usize::from(matches!(body, PassThroughBody::FlowQuery(_)));
-                self.speculative_deliveries += usize::from(from == BALANCER && is_try(&body));
+                self.speculative_deliveries +=
+                    usize::from(from == BALANCER && is_speculative(&body));
                 if self.frozen.contains(&to) {
                     return;
                 }
@@ -443,9 +453,9 @@
             }
             PassThroughOutput::ToCaller { packet, .. } => {
                 self.callers
-                    .push(TestCodec.view(&packet).expect("a packet"));
+                    .push(TestCodec.view(&packet).expect("a valid packet"));
             }
-            PassThroughOutput::ToBackend(packet) => self.reach_backend(from, &packet),
+            PassThroughOutput::ToBackend(packet) => self.deliver_to_backend(from, &packet),
             PassThroughOutput::Event(event) if event.kind == EventKind::FlowRefused => {
                 self.refusals.push(event.subject);
             }
@@ -459,13 +469,13 @@
         }
     }
 
-    /// The replica tells a balancer of agents that may report no more.
+    /// The replica sends the balancer all agents again, also those that may report no more.
     pub fn repeat_reports(&mut self) {
         let reports: Vec<Report> = self.reports.values().cloned().collect();
-        reports.into_iter().for_each(|it| self.pass_report(it));
+        reports.into_iter().for_each(|it| self.publish_report(it));
     }
 
-    pub fn pass_report(&mut self, report: Report) {
+    pub fn publish_report(&mut self, report: Report) {
         self.reports.insert(report.address, report.clone());
         let entry = DirectoryEntry {
             report,
@@ -487,14 +497,14 @@
         self.balancer.handle_message(self.now, REPLICA, body);
     }
 
-    /// A back end answers opening packets, and returns packets of flows that it
-    /// does not have.
-    pub fn reach_backend(&mut self, agent: SocketAddrV4, packet: &[u8]) {
+    /// Delivers a packet to a back end, which accepts SYNs, and returns packets of flows that
+    /// it does not own.
+    pub fn deliver_to_backend(&mut self, agent: SocketAddrV4, packet: &[u8]) {
         if self.silent.contains(&agent) {
             return;
         }
-        let view = TestCodec.view(packet).expect("a packet");
-        let backend = self.backends.get_mut(&agent).expect("known");
+        let view = TestCodec.view(packet).expect("a valid packet");
+        let backend = self.backends.get_mut(&agent).expect("the agent exists");
         backend.received.push(view);
         if !view.is_syn() {
             if self.resetting.contains(&agent) && view.data_bytes > 0 {
@@ -528,26 +538,26 @@
             return;
         }
         backend.flows.insert(view.source);
-        let answer = PacketView {
+        let syn_ack = PacketView {
             syn: true,
             ack: true,
             sequence_number: first_sequence(agent),
             ..empty(view.destination, view.source)
         };
-        self.send_from_backend(agent, &answer);
+        self.send_from_backend(agent, &syn_ack);
     }
 
     pub fn send_from_backend(&mut self, agent: SocketAddrV4, view: &PacketView) {
         let now = self.now;
-        let agent = self.agents.get_mut(&agent).expect("known");
+        let agent = self.agents.get_mut(&agent).expect("the agent exists");
         agent.handle_backend_packet(now, &encode(view));
     }
 
-    /// The back end beside an agent sends data on a flow that it has.
+    /// An agent's back end sends data on a flow, which it owns from now on.
     pub fn send_backend_data(&mut self, agent: SocketAddrV4, port: u16) {
         self.backends
             .get_mut(&agent)
-            .expect("known")
+            .expect("the agent exists")
             .flows
             .insert(caller(port));
         let data = PacketView {
@@ -560,10 +570,11 @@
         self.settle();
     }
 
-    pub fn open(&mut self, port: u16, copy: u32) {
+    /// The caller sends its SYN, or the retransmission of this number.
+    pub fn open(&mut self, port: u16, retransmission: u32) {
         let packet = PacketView {
             syn: true,
-            ack_number: copy,
+            ack_number: retransmission,
             ..empty(caller(port), ROUTE)
         };
         self.balancer.handle_packet(self.now, &encode(&packet));
@@ -572,26 +583,33 @@
 
     /// Another balancer opens flows at an agent.
     pub fn fill_from_other_balancer(&mut self, index: u8, flows: u16) {
-        let elsewhere = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
+        let other_balancer = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 98), 7000);
         for port in 1..=flows {
             let packet = PacketView {
                 syn: true,
                 ..empty(caller(30_000 + port), ROUTE)
             };
-            let carry = ForwardedPacket {
+            let forwarded = ForwardedPacket {
                 service: service_digest(SERVICE),
                 reason: ForwardReason::OpenQueued.into(),
                 packet: encode(&packet),
                 ..ForwardedPacket::default()
             };
-            let agent = self.agents.get_mut(&agent_address(index)).expect("known");
-            agent.handle_message(self.now, elsewhere, PassThroughBody::ForwardedPacket(carry));
+            let agent = self
+                .agents
+                .get_mut(&agent_address(index))
+                .expect("the agent exists");
+            agent.handle_message(
+                self.now,
+                other_balancer,
+                PassThroughBody::ForwardedPacket(forwarded),
+            );
         }
         self.settle();
         self.callers.clear();
     }
 
-    /// The caller sends data on a flow that this agent's back end answered.
+    /// The caller sends data on a flow that this agent's back end accepted.
     pub fn request(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             ack: true,
@@ -603,7 +621,7 @@
         self.settle();
     }
 
-    /// The caller ends a flow that this agent's back end answered.
+    /// The caller closes a flow that this agent's back end accepted.
     pub fn close_flow(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             ack: true,
@@ -615,9 +633,9 @@
         self.settle();
     }
 
-    /// The agent whose back end answered the caller's opening packet.
+    /// The agent whose back end accepted the caller's SYN.
     pub fn accepted_by(&self, port: u16) -> Option<SocketAddrV4> {
-        let answer = self
+        let syn_ack = self
             .callers
             .iter()
             .rev()
@@ -625,14 +643,14 @@
         let agents = self.agents.keys();
         agents
             .copied()
-            .find(|agent| first_sequence(*agent) == answer.sequence_number)
+            .find(|agent| first_sequence(*agent) == syn_ack.sequence_number)
     }
 
     pub fn resets(&self) -> usize {
         self.callers.iter().filter(|view| view.rst).count()
     }
 
-    /// Packets with data that reached the back end beside this agent.
+    /// Number of packets with data that reached this agent's back end.
     pub fn data_packets_at(&self, agent: SocketAddrV4) -> usize {
         let received = self.backends[&agent].received.iter();
         received.filter(|view| view.data_bytes > 0).count()
@@ -641,15 +659,18 @@
 
 /// Bytes of a datagram with this message.
 fn message_bytes(body: &PassThroughBody) -> usize {
-    const HEADS: usize = 28;
+    const HEADER_BYTES: usize = 28;
     let message = PassThroughMessage {
         body: Some(body.clone()),
     };
-    HEADS + message.encoded_len()
+    HEADER_BYTES + message.encoded_len()
 }
 
-fn is_try(body: &PassThroughBody) -> bool {
-    matches!(body, PassThroughBody::ForwardedPacket(carry) if carry.reason() == ForwardReason::Try)
+fn is_speculative(body: &PassThroughBody) -> bool {
+    matches!(
+        body,
+        PassThroughBody::ForwardedPacket(forwarded) if forwarded.reason() == ForwardReason::Try
+    )
 }
 
 fn new_balancer(
@@ -667,7 +688,7 @@
     PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts)
 }
 
-/// Each back end numbers its bytes from another place.
+/// First sequence number of a back end; each has a different one.
 pub fn first_sequence(agent: SocketAddrV4) -> u32 {
     u32::from(agent.ip().octets()[3]) << 24
 }
