--- a/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
@@ -63,7 +63,8 @@
             };
             self.send(from, PassThroughBody::Subscribe(message));
         } else if status.version > self.routes.version() {
-            // A part of an earlier response was lost.
+            // The response to an earlier request is not complete yet. If a part was lost, the
+            // poll after the fetch interval makes the replica send it again.
             self.subscribe_at = self.subscribe_at.min(self.next_fetch_at);
         } else if directory_is_outdated && self.is_up_to_date {
             // The reply to the next poll contains it.
--- a/crates/petrellatch-core/src/pass_through/balancer/load_shedding.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/load_shedding.rs
@@ -4,15 +4,15 @@
 
 use super::*;
 
-/// Number of agents that a flow is offered to for a free slot, before it is offered to
-/// their admission queues.
+/// Maximum number of agents that a flow is offered to for a free slot, before it is offered
+/// to admission queues.
 const MAX_OFFERS: usize = 4;
-/// Number of agents that a flow is offered to for their admission queues.
+/// Maximum number of agents that a flow is offered to for their admission queues.
 pub(super) const MAX_QUEUE_OFFERS: usize = 4;
 
-/// Number of agents that a flow is offered to while its service is overloaded; those that
-/// declined recently are excluded. Two would double the messages for flows that are
-/// refused.
+/// Maximum number of agents that a flow is offered to while its service is overloaded;
+/// agents that declined recently are excluded. Two would double the messages for flows that
+/// are refused.
 const OFFERS_UNDER_OVERLOAD: usize = 1;
 
 /// A new flow that was offered to agents.
@@ -63,7 +63,7 @@
     }
 
     /// The maximum number of offers for a flow, in each of the two rounds (free slots, then
-    /// admission queues).
+    /// admission queues). Offers that timed out are not counted.
     pub(super) fn offer_limit(&mut self, now: Timestamp, flow: FlowId) -> usize {
         let Some(cached) = self.flow_cache.get_mut(flow) else {
             return 0;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Starts a backoff for the class of a flow that found no capacity.
+    /// Starts a backoff for the class of a flow that found no capacity, unless the flow
+    /// arrived before the end of the latest backoff.
     fn start_backoff(&mut self, now: Timestamp, flow: OfferedFlow) {
         let OfferedFlow {
             class,
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -149,7 +149,8 @@
     /// The latest relayed queries, with their agents in the order of the indexes that
     /// aggregated replies use.
     relayed_queries: VecDeque<(u64, Vec<SocketAddrV4>)>,
-    /// Packets that wait until the balancer is up to date, with their arrival times.
+    /// Packets that wait until the balancer is up to date, and SYNs that wait for the first
+    /// agent of their service, with their arrival times.
     buffered: VecDeque<(Timestamp, Vec<u8>)>,
     /// Offers, in order of time, with the times at which their replies are overdue.
     pending_offers: VecDeque<(Timestamp, FlowId, SocketAddrV4)>,
@@ -166,11 +167,14 @@
     confirmed_version: Option<u64>,
     is_up_to_date: bool,
     up_to_date_since: Timestamp,
+    /// Time of the next poll of replicas.
     subscribe_at: Timestamp,
-    /// Number of polls while the balancer was not up to date.
+    /// Number of polls while the balancer was not up to date, or parts of a change were
+    /// missing.
     confirmation_attempts: u32,
     /// The leader that the latest confirmation request went to.
     confirmation_leader: Option<SocketAddrV4>,
+    /// Time of the latest poll of replicas.
     subscribed_at: Timestamp,
     /// When the latest message of an agent or replica came.
     last_message_at: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/balancer/new_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/new_flows.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// Handles a SYN that was buffered for `waited`.
+    /// Handles a SYN that was buffered for `waited`; zero if it was not buffered.
     pub(super) fn handle_syn(
         &mut self,
         now: Timestamp,
@@ -158,8 +158,8 @@
         self.send(agent, PassThroughBody::ForwardedPacket(forwarded));
     }
 
-    /// Offers a flow to admission queues, as no agent has a free slot. Refuses the flow if that
-    /// was done before and no reply is pending.
+    /// Offers a flow to admission queues, as no agent has a free slot. Does nothing while a
+    /// reply is pending, and refuses the flow if it was offered to queues before.
     fn offer_to_queues(&mut self, now: Timestamp, flow: FlowId) {
         let Some(cached) = self.flow_cache.get_mut(flow) else {
             return;
--- a/crates/petrellatch-core/src/pass_through/balancer/searches.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/searches.rs
@@ -255,9 +255,9 @@
         message: &FlowsNotOwned,
     ) {
         self.note_seen(now, from, None);
-        let certain = message.not_owned.iter().map(|flow| (flow, true));
-        let uncertain = message.possibly_owned.iter().map(|flow| (flow, false));
-        for (flow, is_certain) in certain.chain(uncertain) {
+        let not_owned = message.not_owned.iter().map(|flow| (flow, true));
+        let possibly_owned = message.possibly_owned.iter().map(|flow| (flow, false));
+        for (flow, is_certain) in not_owned.chain(possibly_owned) {
             let flow = FlowId::from(*flow);
             if let Some(search) = self.searches.get_mut(flow) {
                 search.note_not_owned(from, is_certain);
@@ -329,7 +329,7 @@
         let mut service = None;
         if let Some(cached) = self.flow_cache.get_mut(flow) {
             if cached.owner.is_some_and(|owner| owner != from) {
-                // A speculative delivery from before the owner was found.
+                // The packet was delivered there speculatively before the owner was found.
                 return;
             }
             service = Some(cached.service);
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Ends a flow whose owner no longer has it, so that no back end owns it. If the caller
+    /// Ends a flow whose back end no longer owns it, so that no back end does. If the caller
     /// waits for a response, the flow is reset, with the caller's last acknowledgement number
     /// that this balancer knows.
     fn end_orphaned_flow(&mut self, from: SocketAddrV4, returned: &ReturnedPacket) {
@@ -384,6 +384,7 @@
         let message = if is_shared { 0 } else { QUERY_BYTES };
         return agents * (message + FLOW_BYTES);
     }
+    // Aggregated replies contain sets of agents, as bits; two bits per agent are assumed.
     let reply = agents * 2 / 8;
     let message = match is_shared {
         true => 0,
--- a/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/agent_directory.rs
@@ -24,8 +24,8 @@
 
 /// How long an agent is ranked last after its back end returned a SYN, or after it
 /// declined because its zone is evacuated and this balancer doesn't know that yet. A
-/// back end that only lacks capacity needs some 50 ms for a request; one that has ended
-/// is silent to its agent for seconds.
+/// back end that only lacked capacity completes a request in some 50 ms, well within this
+/// time; one that has ended is silent to its agent for seconds.
 const DEPRIORITIZED_TIME: Duration = Duration::from_millis(250);
 /// Upper bound of the pseudorandom cost that spreads flows over agents of the same
 /// cost, as a fraction of the service's mean processing time. It is less than the cost
@@ -39,15 +39,17 @@
 /// Cost of an agent whose back end is ejected because it fails requests, in
 /// milliseconds. Only suspected agents rank lower.
 const EJECTED_COST: f64 = 900_000.0;
-/// Fraction of a service's back ends that may be ejected. If more fail, the fault is
-/// elsewhere, and the others could not take over their flows.
+/// Maximum fraction of the back ends that may get a flow whose ejections are respected.
+/// If more of them fail, the fault is elsewhere, and the others could not take over their
+/// flows.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
 /// How long an agent is suspected after it left one offer without a reply. The time
-/// doubles with each further offer, up to [`MAX_SUSPICION`].
+/// doubles with each consecutive one, up to [`MAX_SUSPICION`].
 const INITIAL_SUSPICION: Duration = Duration::from_millis(250);
 const MAX_SUSPICION: Duration = Duration::from_secs(2);
 /// An agent is removed if neither the balancer nor a replica has received anything
-/// from it for this time. It is checked only when a replica sends an update.
+/// from it for this time. This is checked only when a replica's directory or a change of
+/// it arrives, so that no agent is removed while the replicas are unreachable.
 const AGENT_TTL: Duration = Duration::from_secs(8);
 
 /// How long a replica's statement that its directory is complete stays valid. Replicas
@@ -86,7 +88,7 @@
 pub(crate) enum Exclusion {
     /// This flow was offered to it before.
     WasOffered,
-    /// It declined another flow a moment ago, as it had no capacity.
+    /// It recently declined another flow for lack of capacity.
     DeclinedRecently,
 }
 
@@ -103,7 +105,8 @@
 }
 
 impl AgentCounts {
-    /// Agents that may take new flows.
+    /// Number of agents that may take new flows, at most: an agent that is both draining and
+    /// in an evacuated zone is counted in both numbers, so that the larger one is subtracted.
     pub(crate) fn serving(&self) -> usize {
         self.agents
             .saturating_sub(self.draining.max(self.evacuated))
@@ -506,7 +509,7 @@
         let tie_millis =
             default_processing_millis(service_load.processing_millis()) * TIE_BREAK_FRACTION;
         let mut serving = 0;
-        let mut failing = 0;
+        let mut ejected = 0;
         let mut groups: WeightGroups<BestAgents> = WeightGroups::default();
         for (address, agent) in &self.agents {
             let is_evacuated = self.evacuated.contains(&agent.zone);
@@ -518,7 +521,7 @@
             };
             serving += 1;
             let is_ejected = agent.is_ejected(now);
-            failing += usize::from(is_ejected);
+            ejected += usize::from(is_ejected);
             let group = groups.add(weight);
             if let Some(exclusion) = exclusion_of(*address) {
                 group.offered += usize::from(exclusion == Exclusion::WasOffered);
@@ -531,7 +534,7 @@
             let penalty = if is_ejected { EJECTED_COST } else { 0.0 };
             group.best.note(*address, cost + penalty);
         }
-        let ignore_ejection = failing > (serving as f64 * MAX_EJECTED_FRACTION) as usize;
+        let ignore_ejection = ejected > (serving as f64 * MAX_EJECTED_FRACTION) as usize;
         let point = flow_digest(flow, GROUP_SALT) as f64 / u64::MAX as f64;
         let best = groups.select(point, |group: &BestAgents| {
             let best = group.best(ignore_ejection);
--- a/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
@@ -180,13 +180,14 @@
     /// Mean number of slots that the open flows, the flows offered since the load message
     /// and a new one keep busy. `relative_processing` is the back end's processing time
     /// relative to the service's. As the demand of a flow is not known when it starts, a new
-    /// flow counts with the service's mean.
+    /// flow counts with the service's mean, and the open flows together count with at least
+    /// that mean each.
     fn expected_demand(&self, relative_processing: f64, service_load: &ServiceLoad) -> f64 {
-        let new_flow = service_load.flow_demand() * relative_processing;
+        let flow_demand = service_load.flow_demand() * relative_processing;
         let reported = f64::from(self.load.demand_millislots) / 1_000.0;
         let offered = f64::from(self.flows_since_report);
         let flows = f64::from(self.load.open_flows) + offered;
-        (reported + offered * new_flow).max(flows * new_flow) + new_flow
+        (reported + offered * flow_demand).max(flows * flow_demand) + flow_demand
     }
 
     /// Estimated in-flight requests: those of the latest load message and the flows offered
--- a/crates/petrellatch-core/src/pass_through/choice/reply_timeout.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/reply_timeout.rs
@@ -36,8 +36,8 @@
         });
     }
 
-    /// Whether replies arrive about as fast as they should. Otherwise a missing reply says
-    /// nothing about the agent.
+    /// Whether the timeout is less than twice its minimum, as most replies arrive fast.
+    /// Otherwise a missing reply says nothing about the agent.
     pub(crate) fn is_short(&self) -> bool {
         self.timeout() < 2 * MIN_TIMEOUT
     }
--- a/crates/petrellatch-core/src/pass_through/choice/service_load.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_load.rs
@@ -4,8 +4,9 @@
 
 use petrellatch_proto::pass_through::LoadMessage;
 
-/// Weight of one load message in the means over a service. Each new flow brings one, so
-/// that a hundred messages cover all back ends of a service of some dozens.
+/// Weight of one load message in the means over a service. Agents send one in reply to
+/// each offer, so that a hundred messages cover all back ends of a service with some dozens
+/// of them.
 const LOAD_WEIGHT: f64 = 1.0 / 128.0;
 /// Weight of one request in the fraction of requests on old flows.
 const REQUEST_WEIGHT: f64 = 1.0 / 256.0;
@@ -13,8 +14,8 @@
 /// closed it by then, and load messages from its start are out of date.
 const OLD_FLOW_AGE: Duration = Duration::from_secs(1);
 
-/// With this fraction of the requests on old flows, most load arises later in a flow's
-/// life than at its start, so that only the demand of the open flows counts.
+/// If at least this fraction of the requests is on old flows, most load arises later in a
+/// flow's lifetime than at its start, so that only the demand of the open flows counts.
 const LONG_LIVED_FRACTION: f64 = 0.5;
 
 /// Means over the back ends and requests of a service.
--- a/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
@@ -43,8 +43,8 @@
 /// service counts as overloaded. It is more than one, since in a large service a single
 /// agent may have a queue while others have none.
 const MIN_QUEUED_RUN: u32 = 3;
-/// The same for a service with few agents, after a short backoff since which no flow was
-/// accepted: the service is likely still overloaded.
+/// The same for a service with few agents, after a backoff of less than half of
+/// [`MAX_BACKOFF`] since which no flow was accepted: the service is likely still overloaded.
 const QUEUED_RUN_AFTER_BACKOFF: u32 = 2;
 /// Highest number of agents for which [`QUEUED_RUN_AFTER_BACKOFF`] applies.
 const MAX_SMALL_SERVICE: usize = 64;
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FlowClass {
     pub(crate) service: u64,
-    /// The caller has already waited for its latency objective.
+    /// The caller has already waited for as long as its latency objective.
     pub(crate) is_late: bool,
     /// Zero is the highest priority.
     pub(crate) priority: u32,
@@ -88,7 +88,8 @@
 struct OverloadBackoff {
     length: Duration,
     until: Timestamp,
-    /// Until then the reply to the trial flow is expected.
+    /// Until then the reply to the offer of the trial flow is awaited, and other flows are
+    /// shed.
     trial_until: Timestamp,
     /// Whether a flow was accepted after the backoff.
     is_over: bool,
@@ -116,7 +117,7 @@
     /// The shortest expected wait that agents of a service reported since its latest
     /// backoff.
     expected_waits: BTreeMap<u64, Duration>,
-    /// The highest priority of which flows are shed, and a route of such a flow.
+    /// The highest priority of which flows are shed, and a route of such a flow, by service.
     levels: BTreeMap<u64, (u32, SocketAddrV4)>,
 }
 
@@ -165,8 +166,8 @@
         self.recent_declines.push_back((now, agent));
     }
 
-    /// Notes after which time an agent that declined expects a free slot for this balancer;
-    /// zero if that is not known.
+    /// Notes the time after which an agent that declined expects a free slot for this
+    /// balancer; zero if that is not known.
     pub(crate) fn note_expected_wait(&mut self, service: u64, expected_wait: Duration) {
         if !expected_wait.is_zero() {
             let shortest = self.expected_waits.entry(service).or_insert(expected_wait);
@@ -175,7 +176,8 @@
     }
 
     /// Notes that a flow that arrived at `created_at` found no capacity. `agents` is the number
-    /// of the service's agents. Returns whether a backoff starts.
+    /// of the service's agents. Returns whether a backoff starts; none does if the flow
+    /// arrived before the end of the latest one.
     pub(crate) fn note_all_full(
         &mut self,
         now: Timestamp,
@@ -189,6 +191,8 @@
             .get(&class)
             .filter(|it| now < it.until + OVERLOAD_TTL);
         let expected_wait = self.expected_waits.get(&class.service);
+        // Each agent expects a free slot within this wait, so that the service has `agents`
+        // free slots in that time.
         let initial_length = expected_wait.map_or(DEFAULT_BACKOFF, |expected_wait| {
             *expected_wait / agents.max(1) as u32
         });
--- a/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration_state.rs
@@ -18,7 +18,7 @@
 pub(crate) struct AppliedChange {
     /// Identifier of the change.
     pub(crate) id: u64,
-    /// The change; `None` if it had no effect, as it was based on another version.
+    /// The change; `None` if it had no effect, mostly as it was based on another version.
     pub(crate) change: Option<ConfigurationChange>,
 }
 
--- a/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/pending_replacements.rs
@@ -11,6 +11,7 @@
 #[derive(Debug)]
 struct PendingReplacement {
     configuration: Configuration,
+    /// Tokens of the requests, with their deadlines.
     tokens: Vec<(u64, Timestamp)>,
 }
 
@@ -42,13 +43,13 @@
         last.map(|(_, pending)| &pending.configuration)
     }
 
-    pub(crate) fn note_proposed(&mut self, change: u64) {
-        self.proposed = Some(change);
+    pub(crate) fn note_proposed(&mut self, change_id: u64) {
+        self.proposed = Some(change_id);
     }
 
     /// Notes that a proposed change was applied or lost.
-    pub(crate) fn note_finished(&mut self, change: u64) {
-        if self.proposed == Some(change) {
+    pub(crate) fn note_finished(&mut self, change_id: u64) {
+        if self.proposed == Some(change_id) {
             self.proposed = None;
         }
     }
--- a/crates/petrellatch-core/src/pass_through/routes/route_table.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/route_table.rs
@@ -162,11 +162,11 @@
         }
         for ServiceRecord {
             service,
-            warm_up_millirequests_per_second: cold_millirequests_per_second,
+            warm_up_millirequests_per_second,
         } in &change.put_services
         {
             self.warm_up_rates
-                .insert(service_digest(service), *cold_millirequests_per_second);
+                .insert(service_digest(service), *warm_up_millirequests_per_second);
         }
         self.version = change.version;
         true
--- a/crates/petrellatch-core/tests/pass_through/late_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_callers.rs
@@ -1,5 +1,5 @@
-//! Late callers, which have waited for their latency objective, for example after an outage.
-//! They get the slots that newer callers leave free.
+//! Late callers, which have already waited for as long as their latency objective, for example
+//! because of an outage. They get the slots that newer callers leave free.
 
 use std::time::Duration;
 
--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -17,7 +17,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// The balancer of a [`World`], with agents whose replies the test sends.
-struct LoadShedding {
+struct LoadSheddingTest {
     world: World,
     next_caller: u32,
     offers: Vec<(SocketAddrV4, FlowId)>,
@@ -25,9 +25,9 @@
     events: Vec<EventKind>,
 }
 
-impl LoadShedding {
-    fn new() -> LoadShedding {
-        LoadShedding {
+impl LoadSheddingTest {
+    fn new() -> LoadSheddingTest {
+        LoadSheddingTest {
             world: World::new(AGENTS, 2),
             next_caller: 0,
             offers: Vec::new(),
@@ -158,7 +158,7 @@
 /// one flow that no agent has capacity for, the next ones must be refused without an offer.
 #[test]
 fn flows_of_an_overloaded_service_are_shed_without_an_offer() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     assert_eq!(test.open(), 1);
     test.decline_all(DeclineReason::Full, 0);
     assert_eq!(test.resets, 1);
@@ -171,7 +171,7 @@
 /// 10 ms.
 #[test]
 fn a_backoff_follows_the_reported_expected_waits() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     test.open();
     test.decline_all(DeclineReason::Full, 80_000);
     assert_eq!(test.count_offers(9), 0);
@@ -183,7 +183,7 @@
 /// agent accepts it.
 #[test]
 fn an_accepted_trial_flow_ends_a_backoff() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     test.open();
     test.decline_all(DeclineReason::Full, 0);
     test.wait(25 * MILLI);
@@ -196,7 +196,7 @@
 /// within 100 ms.
 #[test]
 fn returning_capacity_is_found_within_100_ms() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     for _ in 0..300 {
         test.open();
         test.decline_all(DeclineReason::Full, 1_000_000);
@@ -215,7 +215,8 @@
     assert!(test.events.contains(&EventKind::PressureEnded));
 }
 
-/// A release, an evacuated zone, or failed machines are not lack of capacity.
+/// Declines because of a rolling update, an evacuated zone, or failed machines don't mean
+/// lack of capacity.
 #[test]
 fn declines_for_other_reasons_start_no_backoff() {
     for reason in [
@@ -225,7 +226,7 @@
         DeclineReason::Returned,
         DeclineReason::Failing,
     ] {
-        let mut test = LoadShedding::new();
+        let mut test = LoadSheddingTest::new();
         test.open();
         test.decline_all(reason, 0);
         test.open();
@@ -241,7 +242,7 @@
 /// queued ones would wait in vain.
 #[test]
 fn flows_queued_at_warm_back_ends_start_a_backoff() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     for _ in 0..3 {
         assert_eq!(test.open(), 1);
         test.queue(warm());
@@ -263,7 +264,7 @@
         ..warm()
     };
     for load in [cold, just_started] {
-        let mut test = LoadShedding::new();
+        let mut test = LoadSheddingTest::new();
         for _ in 0..50 {
             assert_eq!(test.open(), 1);
             test.queue(load);
@@ -275,7 +276,7 @@
 /// In a large service one agent may have a queue while others have free slots.
 #[test]
 fn flows_queued_between_accepted_ones_start_no_backoff() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     for _ in 0..10 {
         for _ in 0..2 {
             assert_eq!(test.open(), 1);
@@ -290,7 +291,7 @@
 /// No agent replies for two seconds, which is not lack of capacity.
 #[test]
 fn missing_replies_start_no_backoff() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     for _ in 0..200 {
         test.open();
         test.wait(10 * MILLI);
@@ -303,7 +304,7 @@
 /// have capacity.
 #[test]
 fn an_idle_agent_that_declines_gets_no_offer_for_a_while() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     test.open();
     test.decline_all(DeclineReason::Full, 0);
     test.wait(25 * MILLI);
@@ -331,7 +332,7 @@
 /// agent.
 #[test]
 fn agents_are_not_suspected_if_all_replies_are_late() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     for _ in 0..40 {
         test.open();
         test.wait(10 * MILLI);
@@ -360,7 +361,7 @@
 /// nothing about the capacity of others, so that the flow must be offered to another one.
 #[test]
 fn under_overload_a_flow_of_a_silent_agent_is_offered_to_another() {
-    let mut test = LoadShedding::new();
+    let mut test = LoadSheddingTest::new();
     test.open();
     test.decline_all(DeclineReason::Full, 0);
     test.wait(25 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -7,7 +7,7 @@
 use super::world::{MILLI, OTHER_SERVICE, SERVICE, World};
 
 const SLOTS: u32 = 4;
-/// Numbers of agents below and above 64, up to which a search queries all agents at once.
+/// Numbers of agents. A search queries up to 64 agents at once, and more in two steps.
 const SIZES: [u8; 3] = [5, 65, 200];
 
 /// Every fifth agent belongs to the other service.
@@ -104,10 +104,10 @@
         world.notify_complete_directory();
         world.request(1, agent);
         world.run(500 * MILLI);
-        assert_eq!(world.resets(), 0, "dropped, {agents} agents");
+        assert_eq!(world.resets(), 0, "removed, {agents} agents");
         world.change_route(&[(OTHER_SERVICE, 1)]);
         restart_balancer_and_repeat(&mut world, agent);
-        assert_is_served(&world, agent, &format!("back, {agents} agents"));
+        assert_is_served(&world, agent, &format!("added again, {agents} agents"));
     }
 }
 
--- a/crates/petrellatch-core/tests/pass_through/overload.rs
+++ b/crates/petrellatch-core/tests/pass_through/overload.rs
@@ -23,7 +23,8 @@
     load_factor: f64,
     /// Fraction of the possible requests that were served during overload.
     served: f64,
-    /// Fraction of the requests that were served from one second after the overload on.
+    /// Fraction of the requests that were served in the second that starts one second after
+    /// the overload.
     after: f64,
     refused: f64,
     /// Offers and replies for refused flows during overload.
@@ -34,10 +35,11 @@
 fn run_overload(balancers: usize, agents: u16, load_factor: f64) -> OverloadResult {
     let mut fleet = Fleet::new(balancers, agents);
     let capacity = fleet.max_request_rate();
-    let both = |share: f64| [capacity * share * 0.3, capacity * share * 0.7];
-    fleet.run(both(NORMAL_LOAD), BEFORE);
-    fleet.run(both(load_factor), OVERLOADED);
-    fleet.run(both(NORMAL_LOAD), AFTER);
+    // 30 % of the requests have the higher one of two priorities.
+    let rates = |factor: f64| [capacity * factor * 0.3, capacity * factor * 0.7];
+    fleet.run(rates(NORMAL_LOAD), BEFORE);
+    fleet.run(rates(load_factor), OVERLOADED);
+    fleet.run(rates(NORMAL_LOAD), AFTER);
     let overload = fleet.sum(1..4);
     let after = fleet.sum(5..6);
     let total = |counts: [u32; 2]| f64::from(counts[0] + counts[1]);
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -245,7 +245,7 @@
             send_policies(&mut world, change, &[policy("half", &eligible, "1.0")]);
         }
         if change == 30 {
-            // One agent stops to report, so that its state becomes outdated.
+            // One agent stops reporting, so that its state becomes outdated.
             world.frozen = vec![agent_address(8)];
         }
         for _ in 0..2 {
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Number of agents that the replica knows, by the report interval that it sends to a
-    /// balancer.
+    /// Number of agents that the replica knows. It follows from the report interval in a reply
+    /// to a balancer, which is as long as 50 reports per second from all agents allow.
     fn known_agents(&mut self) -> u32 {
         let poll = Subscribe {
             wants_updates: true,
@@ -251,7 +251,8 @@
                 self.balancer.handle_timeout(now);
             }
             self.exchange();
-            // A message arrives all the time, so that the balancer doesn't notice silence.
+            // A message arrives in each step, so that the balancer doesn't poll more replicas
+            // because of silence.
             let agent = agent_address(1);
             let body = PassThroughBody::FlowsOwned(Default::default());
             self.balancer.handle_message(now, agent, body);
--- a/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/uneven_backends.rs
@@ -57,7 +57,8 @@
     for port in 50_001..50_004 {
         world.open(port, 0);
     }
-    // There, even the third one gets its response after 20 ms, at the other after 60 ms.
+    // At the fast back end even the third caller gets its response after 20 ms, at the slow one
+    // after 60 ms.
     assert_eq!(placed_at(&world, 50_001..50_004, FAST), 3);
 }
 
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
@@ -37,7 +37,7 @@
     loaded_agent
 }
 
-/// Offers flows for ten seconds, by priorities and their numbers of flows per second.
+/// Offers flows for ten seconds. `rates` has priorities with their flows per second.
 fn offer(rates: &[(u32, u32)]) -> BTreeMap<u32, Outcome> {
     let mut loaded_agent = idle_agent();
     loaded_agent.offer_template.deadline_millis = 0;
@@ -51,7 +51,7 @@
             .front()
             .is_some_and(|(ends_at, _)| *ends_at <= millis)
         {
-            let (_, flow) = in_progress.pop_front().expect("seen");
+            let (_, flow) = in_progress.pop_front().expect("a request in progress");
             loaded_agent.respond(flow);
         }
         for (priority, rate) in rates {
