--- a/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/control_updates.rs
@@ -35,7 +35,7 @@
         self.preferred_replicas
             .note_reply(now, from, status.has_leader);
         if !status.has_leader {
-            // Another replica replaces it as a preferred one.
+            // The next poll goes to another preferred replica instead of this one.
             self.subscribe_at = self.subscribe_at.min(now + REPAIR_INTERVAL);
         } else if !self.is_up_to_date && self.known_replicas.leader() != self.confirmation_leader {
             // A new leader can confirm the newest version.
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -81,7 +81,8 @@
     pub link_bytes_per_second: Option<u64>,
 }
 
-/// Counters of a balancer since its start.
+/// Counters of a balancer since its start. They are logged under the names of the fields when
+/// the balancer stops.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PassThroughBalancerCounters {
     /// Packets that could not be parsed.
--- a/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
@@ -186,7 +186,7 @@
         agents: usize,
         route: SocketAddrV4,
     ) -> bool {
-        let known = self
+        let latest = self
             .backoffs
             .get(&class)
             .filter(|it| now < it.until + OVERLOAD_TTL);
@@ -196,7 +196,7 @@
         let initial_length = expected_wait.map_or(DEFAULT_BACKOFF, |expected_wait| {
             *expected_wait / agents.max(1) as u32
         });
-        let length = match known {
+        let length = match latest {
             Some(backoff) if created_at < backoff.until => return false,
             Some(backoff) if backoff.accepted >= RESET_AFTER_ACCEPTED => initial_length,
             Some(backoff) if backoff.accepted >= SHORTEN_AFTER_ACCEPTED => {
--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -227,9 +227,9 @@
         // eligible, like a policy that fails for a back end.
         let policy = self.compiled.as_ref().ok()?;
         let stamp = InputStamp::of(policy, now, agent);
-        let known = self.results.get(&address);
-        if let Some(known) = known.filter(|known| known.stamp == stamp) {
-            return known.weight;
+        let cached = self.results.get(&address);
+        if let Some(cached) = cached.filter(|cached| cached.stamp == stamp) {
+            return cached.weight;
         }
         self.evaluations += 1;
         let service = ServiceView {
--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration: all routes, under a version number that the operator's interface
-//! chooses.
+//! The configuration: all routes, under a version number that the sender of the
+//! configuration chooses.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +18,7 @@
     pub routes: BTreeMap<u64, RouteRecord>,
     /// Settings of services, by name. Services without settings are omitted.
     pub services: BTreeMap<String, ServiceRecord>,
-    /// Opaque data of the operator's interface.
+    /// Opaque data that the API translator stores with the configuration as a whole.
     pub annotation: Vec<u8>,
 }
 
--- a/crates/petrellatch-core/tests/pass_through/load_shedding.rs
+++ b/crates/petrellatch-core/tests/pass_through/load_shedding.rs
@@ -81,7 +81,7 @@
         self.offers.len() - before
     }
 
-    /// Declines all offers, including those that are made meanwhile.
+    /// Declines all offers, including those that the balancer makes because of the declines.
     fn decline_all(&mut self, reason: DeclineReason, expected_wait_micros: u32) {
         while let Some((agent, flow)) = self.offers.pop() {
             let declined = Declined {
