--- a/crates/petrellatch-core/src/pass_through/admission/priorities.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/priorities.rs
@@ -18,8 +18,8 @@
 use std::collections::BTreeMap;
 
 /// Starvation limit: number of slots that go to more urgent flows while a less urgent class
-/// waits, before that class gets the next one. Some of its flows have expired by then, so the
-/// class gets at least a twentieth of the slots.
+/// waits, before that class gets the next one. That would be a ninth of the slots, but some of
+/// the class's flows expire meanwhile, so it gets at least a twentieth.
 const MAX_PASSED_OVER: u32 = 8;
 
 /// How often queued flows were passed over, by priority. Zero is the most urgent one.
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -21,10 +21,10 @@
 /// back. Delayed registrations of a previous incarnation arrive within a moment, and the
 /// current one registers about every second.
 const EARLIER_START_TIMEOUT: Duration = Duration::from_secs(3);
-/// Number of deregistered incarnations that are kept, so that a delayed registration doesn't
+/// Maximum number of deregistered incarnations that are kept, so that a delayed registration doesn't
 /// bring one of them back.
 const MAX_DEREGISTERED: usize = 16;
-/// Number of draining and deregistered incarnations in a report to the replica group.
+/// Maximum number of draining and deregistered incarnations in a report to the replica group.
 const MAX_DRAINING_REPORTED: usize = 4;
 /// A back end that hasn't answered a SYN for this long may have restarted, and be cold, when it
 /// sends its next packet. A running one answers or returns a SYN at once.
@@ -405,7 +405,7 @@
         self.was_replaced
     }
 
-    /// Whether the back end still warms up, as it registered.
+    /// Whether the back end still warms up, according to its last registration.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         let cold = |current: &Current| now < current.cold_until;
         self.current.as_ref().is_some_and(cold)
@@ -421,8 +421,8 @@
         self.may_have_restarted = true;
     }
 
-    /// Whether the back end may be warming up: it has registered so, hasn't registered yet, or
-    /// may have restarted since.
+    /// Whether the back end may be warming up: its last registration says so, it hasn't
+    /// registered yet, or it may have restarted since.
     pub fn may_be_cold(&self, now: Timestamp) -> bool {
         let may_have_restarted = self.may_have_restarted || self.is_unanswered(now);
         self.current.is_none() || self.is_cold(now) || may_have_restarted
--- a/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/caller_packets.rs
@@ -170,7 +170,8 @@
         self.outputs.push_back(PassThroughOutput::ToBackend(packet));
     }
 
-    /// Expected wait of a balancer for a slot, if a new flow is declined for this reason.
+    /// Expected wait of a balancer for a slot, if a new flow is declined for this reason; zero
+    /// unless the back end is full and its processing time is known.
     fn expected_wait(&self, now: Timestamp, reason: DeclineReason) -> Duration {
         let processing_time = match reason {
             DeclineReason::Full => self.processing_time.known_mean(),
--- a/crates/petrellatch-core/src/pass_through/agent/flow_recording.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/flow_recording.rs
@@ -27,8 +27,8 @@
         self.recovery_outcome
     }
 
-    /// Sends changes to the record replicas. They keep the previous incarnation's record until
-    /// its recovery has ended.
+    /// Sends changes to the record replicas. None are sent before the recovery of the previous
+    /// incarnation's record has ended: the replicas must keep that record until then.
     pub(super) fn record_flows(&mut self, now: Timestamp) {
         if self.recovery.is_some() {
             return;
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -113,7 +113,7 @@
     pub returned: u64,
     /// Orphaned flows whose callers were reset at once, because they awaited a response.
     pub told_at_once: u64,
-    /// Orphaned flows that were reported to a balancer that forwarded a packet of the flow or
+    /// Orphaned flows that were reported to a balancer that forwarded a request of the flow or
     /// sent a query for it.
     pub told_when_asked: u64,
     /// Orphaned flows whose callers awaited no response, and were reset at a limited rate.
@@ -306,7 +306,7 @@
     }
 
     /// Handles a registration of the back end. It may be acknowledged once this returns: every
-    /// later admission follows it.
+    /// later decision about a new flow takes it into account.
     ///
     /// # Errors
     ///
@@ -381,9 +381,9 @@
         self.serve_queue(now);
     }
 
-    /// Handles the status of a replica. A report is sent at once if it names new replicas:
-    /// otherwise, balancers that poll these would learn of this agent only with its next
-    /// regular report, seconds later.
+    /// Handles the status of a replica. If it names replicas that this agent didn't know, a
+    /// report is sent at once: otherwise, balancers that poll these replicas would learn of
+    /// this agent only after its next regular report, seconds later.
     fn handle_group_status(&mut self, now: Timestamp, from: SocketAddrV4, group: &GroupStatus) {
         self.handle_zones(from, group.zones.as_ref());
         let known = self.known_replicas.all();
@@ -399,7 +399,7 @@
         if group.agent_is_saved {
             self.saved_by.insert(from);
         }
-        match has_new_replicas || self.owes_report(now, group) {
+        match has_new_replicas || self.needs_report(now, group) {
             true => self.report(now),
             false => self.report_if_changed(now),
         }
--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -17,9 +17,9 @@
 const FIRST_REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of reports at that interval.
 const FIRST_REPORTS: u64 = 10;
-/// Minimum interval between reports of a new agent, which most replicas haven't saved: if they
-/// restarted, they would take their directories for complete without it. The interval grows
-/// with the number of agents, to bound the load on replicas.
+/// Minimum interval between reports of a new agent, which most replicas haven't saved. If they
+/// restarted before they did, they would consider their directories complete without this
+/// agent. The interval grows with the number of agents, to bound the load on replicas.
 const NEW_AGENT_REPORT_INTERVAL: Duration = Duration::from_millis(60);
 /// Number of reports that a new agent sends in the time between two regular reports.
 pub(crate) const NEW_AGENT_REPORTS: u32 = 300;
@@ -99,8 +99,8 @@
         saved.count() * 2 > replicas.len()
     }
 
-    /// Whether a replica asks for a report and the last one isn't recent.
-    pub(super) fn owes_report(&self, now: Timestamp, group: &GroupStatus) -> bool {
+    /// Whether a replica requests a report, and the last one was not sent just before.
+    pub(super) fn needs_report(&self, now: Timestamp, group: &GroupStatus) -> bool {
         let is_recent = now.saturating_since(self.reported_at) < RECENT_REPORT;
         group.wants_report && !is_recent
     }
--- a/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
@@ -23,7 +23,7 @@
 /// the back end more than twice.
 const PROBE_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Maximum number of restart probes for one flow record. A probe is inconclusive if the back
-/// end neither returns packets nor sends any.
+/// end neither returns packets nor sends any, and may then be repeated.
 const MAX_RECORD_PROBES: u32 = 5;
 
 /// Previous incarnations of an agent's back end, and their flows.
@@ -49,7 +49,8 @@
     probe: Option<RestartProbe>,
     probe_count: u32,
     next_probe_at: Timestamp,
-    /// Whether the back end returned all probe packets. The flows that are left have none.
+    /// Whether the back end returned all probe packets. The flows still in the record are then
+    /// those without a probe packet.
     probes_returned: bool,
 }
 
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Whether it may come from another incarnation than an earlier registration. It may also
-    /// be a delayed one.
+    /// Whether it may come from another incarnation than an earlier registration. A delayed
+    /// registration looks the same.
     fn may_be_other_incarnation(&self, earlier: &SeenRegistration) -> bool {
         self.incarnation_digest != earlier.incarnation_digest || self.sequence <= earlier.sequence
     }
@@ -127,7 +128,8 @@
         flows.any(|flow| flow.id == id && flow.owns_ack(acknowledged))
     }
 
-    /// Starts a restart probe unless one is in progress, or there were too many.
+    /// Starts a restart probe unless one is in progress, all probe packets were returned, or the
+    /// limits on the number and interval of probes don't allow it.
     fn start_probe(&mut self, now: Timestamp, probe_packets: Vec<(FlowId, Vec<u8>)>) {
         let may_start = self.probe_count < MAX_RECORD_PROBES && now >= self.next_probe_at;
         if self.probe.is_some() || self.probes_returned || !may_start {
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -49,7 +49,7 @@
         self.report_if_changed(now);
         self.announce_owned_flows();
         self.has_no_open_flows = self.flows.unclosed() == 0 && self.all_flows_are_known(now);
-        // Balancers await replies of an agent whose back end may have flows.
+        // If the back end may have open flows, balancers go on waiting for replies of this agent.
         self.final_report = Some(FinalReport {
             sequence: self.report_number + 1,
             until: stop_at.min(now + FINAL_REPORT_TIMEOUT),
--- a/crates/petrellatch-core/src/pass_through/link/link_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/link/link_queue.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkClass {
     /// Sent before all others: flow queries, and messages that keep the balancer up to date.
-    /// Their own budgets are small compared to the link.
+    /// Other limits keep this traffic small compared to the link's speed.
     Control,
     /// Packets of a flow, sent in order and in turn with other flows. Flows with little to send
     /// go before those with much.
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -44,10 +44,10 @@
 
     /// Offers one more flow.
     fn offer(&mut self) {
-        let taken = self
+        let admitted = self
             .loaded
             .request(OBJECTIVE_MILLIS, ForwardReason::OpenQueued);
-        self.in_flight.extend(taken);
+        self.in_flight.extend(admitted);
         self.collect_replies();
     }
 
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Runs for a time, in which the back end responds to a round of requests after each
-    /// processing time if it `works`.
+    /// Runs for a time. If the back end `responds`, it does so after each processing time, to
+    /// one request per slot.
     fn run(&mut self, millis: u64, responds: bool) {
         for passed in 1..=millis {
             self.loaded.now = self.loaded.now + MILLI;
@@ -129,7 +129,7 @@
     let queued_again = full.replies.queued.len() - queued;
     assert!(
         (15..=30).contains(&queued_again),
-        "{queued_again} are queued when half of the fraction is assumed"
+        "{queued_again} are queued with half of the initial assumed fraction"
     );
 }
 
--- a/crates/petrellatch-core/tests/pass_through/cold_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/cold_backends.rs
@@ -23,7 +23,7 @@
     world
 }
 
-fn register(world: &mut World, id: &str, sequence: u64, cold: Duration) {
+fn register(world: &mut World, id: &str, sequence: u64, cold_for: Duration) {
     let registration = Registration {
         id: id.to_owned(),
         service: SERVICE.to_owned(),
@@ -31,7 +31,7 @@
         sequence,
         slots: SLOTS,
         draining: false,
-        cold_for: cold,
+        cold_for,
         ..Registration::default()
     };
     world.send_registration(1, &registration);
@@ -56,7 +56,7 @@
 }
 
 /// Maximum number of arrivals within any second.
-fn most_in_a_second(times: &[Duration]) -> usize {
+fn max_in_a_second(times: &[Duration]) -> usize {
     let within = |first: &Duration| {
         let end = *first + SECOND;
         times
@@ -72,8 +72,8 @@
     let mut world = world();
     register(&mut world, "one", 1, 4 * SECOND);
     let times = arrivals(&mut world, 1_000, 3 * SECOND);
-    let most = most_in_a_second(&times);
-    assert!(most <= BOUND, "{most} in a second");
+    let max = max_in_a_second(&times);
+    assert!(max <= BOUND, "{max} in a second");
     assert!(
         times.len() >= 40,
         "too few flows were admitted: {}",
@@ -108,8 +108,8 @@
     world.send_backend_data(agent_address(1), 900);
     world.run(50 * MILLI);
     let times = arrivals(&mut world, 3_000, 3 * SECOND / 2);
-    let most = most_in_a_second(&times);
-    assert!((1..=BOUND).contains(&most), "{most} in a second");
+    let max = max_in_a_second(&times);
+    assert!((1..=BOUND).contains(&max), "{max} in a second");
 }
 
 #[test]
@@ -122,8 +122,8 @@
     arrivals(&mut world, 2_000, SECOND);
     world.silent.clear();
     let times = arrivals(&mut world, 3_000, SECOND);
-    let most = most_in_a_second(&times);
-    assert!((1..=BOUND).contains(&most), "{most} in a second");
+    let max = max_in_a_second(&times);
+    assert!((1..=BOUND).contains(&max), "{max} in a second");
     register(&mut world, "two", 1, Duration::ZERO);
     let times = arrivals(&mut world, 5_000, SECOND);
     assert!(times.len() > 200, "{}", times.len());
@@ -154,8 +154,8 @@
         world.run(5 * MILLI);
     }
     let times = arrivals(&mut world, 3_000, SECOND);
-    let most = most_in_a_second(&times);
-    assert!((1..=BOUND).contains(&most), "{most} in a second");
+    let max = max_in_a_second(&times);
+    assert!((1..=BOUND).contains(&max), "{max} in a second");
     register(&mut world, "one", 2, Duration::ZERO);
     let times = arrivals(&mut world, 5_000, SECOND);
     assert!(times.len() > 200, "{}", times.len());
--- a/crates/petrellatch-core/tests/pass_through/failing_backends.rs
+++ b/crates/petrellatch-core/tests/pass_through/failing_backends.rs
@@ -2,6 +2,7 @@
 
 use super::world::{FIRST_OWN_PORT, MILLI, World, agent_address};
 
+/// Index of the agent whose back end fails its requests.
 const FAILING: u8 = 1;
 
 /// A caller opens a flow and sends a request. Returns the agent that admitted it.
@@ -16,7 +17,7 @@
     agent.ip().octets()[3]
 }
 
-/// Number of the callers' flows that an agent admitted.
+/// Number of flows that an agent admitted, of those of `callers` callers.
 fn admitted_flows(world: &mut World, first: u16, callers: u16, agent: u8) -> usize {
     let agents = (first..first + callers).map(|port| send_request(world, port));
     agents.filter(|it| *it == agent).count()
--- a/crates/petrellatch-core/tests/pass_through/final_reports.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -40,10 +40,10 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = stopping
+        let accepted = stopping
             .agent
             .handle_registration(stopping.now, &registration);
-        taken.expect("it is of the agent's service");
+        accepted.expect("the registration is for the agent's service");
         stopping.run(100 * MILLI);
         stopping.acknowledge(0);
         stopping
@@ -106,7 +106,8 @@
         }
     }
 
-    /// The replica acknowledges the report with this sequence number.
+    /// The replica acknowledges the report with this sequence number; zero stands for the
+    /// latest one.
     fn acknowledge(&mut self, number: u64) {
         let group = GroupStatus {
             replicas: vec![pack_address(REPLICA)],
@@ -121,10 +122,11 @@
     }
 
     fn final_reports(&self) -> Vec<u64> {
-        let last = self.reports.iter();
-        let last =
-            last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
-        last.map(|report| report.sequence).collect()
+        let reports = self.reports.iter();
+        let is_final =
+            |it: &&Report| it.state() == AgentState::Unavailable && it.next_report_millis == 0;
+        let reports = reports.filter(is_final);
+        reports.map(|report| report.sequence).collect()
     }
 }
 
@@ -172,12 +174,12 @@
         assert!(stopping.agent.is_stopped());
         assert!(
             stopping.final_reports().len() >= 3,
-            "after {acknowledged_after}"
+            "first report acknowledged after {acknowledged_after} ms"
         );
         let is_logged = stopping.events.contains(&EventKind::BackendSilent);
         assert!(
             is_logged,
-            "the silence is logged, after {acknowledged_after}"
+            "the silence is not logged; first report acknowledged after {acknowledged_after} ms"
         );
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
@@ -1,5 +1,5 @@
 //! Distribution of long-lived flows over back ends of two speeds: 2,000 flows whose request
-//! rate oscillates by 0.55, so that the back ends are half busy on average.
+//! rate oscillates by 55 % of its mean, so that the back ends are half busy on average.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::f64::consts::TAU;
@@ -12,14 +12,18 @@
 
 const SLOTS: u32 = 3;
 const AGENTS: u8 = 8;
+/// Speeds of the back ends, as factors on the request rate that a slot processes.
 const FAST: f64 = 1.2;
 const SLOW: f64 = 0.55;
 /// Number of slow back ends, which are those of the first agents.
 const SLOW_BACKENDS: u8 = 2;
+/// Processing time of a request at speed 1.
 const PROCESSING_TIME: Duration = Duration::from_millis(34);
 /// Mean interval between requests of a flow.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
+/// Amplitude of the request rate's oscillation, as a fraction of its mean.
 const OSCILLATION: f64 = 0.55;
+/// Period of the oscillation in seconds.
 const OSCILLATION_PERIOD: f64 = 15.0;
 
 /// A back end that processes as many requests at once as it has slots.
--- a/crates/petrellatch-core/tests/pass_through/queueing.rs
+++ b/crates/petrellatch-core/tests/pass_through/queueing.rs
@@ -34,7 +34,7 @@
 }
 
 impl LoadedAgent {
-    /// An agent whose back end has responded to some requests after `work` each.
+    /// An agent whose back end has responded to some requests, after `processing_time` each.
     pub fn new(processing_time: Duration) -> LoadedAgent {
         let mut loaded = LoadedAgent::without_responses();
         for _ in 0..30 {
@@ -77,8 +77,8 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = agent.handle_registration(now, &registration);
-        taken.expect("it is of the agent's service");
+        let accepted = agent.handle_registration(now, &registration);
+        accepted.expect("the registration is for the agent's service");
         LoadedAgent {
             now,
             agent,
@@ -193,14 +193,14 @@
 
     /// Offers flows until one isn't admitted at once. Returns the number of admitted ones.
     pub fn fill(&mut self, objective_millis: u32) -> u32 {
-        let mut taken = 0;
+        let mut admitted = 0;
         while self
             .request(objective_millis, ForwardReason::OpenQueued)
             .is_some()
         {
-            taken += 1;
+            admitted += 1;
         }
-        taken
+        admitted
     }
 }
 
@@ -216,9 +216,9 @@
         (50, 0, 6),
     ] {
         let mut loaded = LoadedAgent::new(Duration::from_millis(processing_millis));
-        let taken = loaded.fill(objective_millis);
+        let admitted = loaded.fill(objective_millis);
         assert_eq!(
-            taken, expected,
+            admitted, expected,
             "{processing_millis} ms of processing, objective {objective_millis} ms"
         );
     }
--- a/crates/petrellatch-core/tests/pass_through/restart_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/restart_world.rs
@@ -51,7 +51,8 @@
     pub now: Timestamp,
     pub agent: PassThroughAgent<TestCodec>,
     pub backend: Option<BackendIncarnation>,
-    pub incarnations: u64,
+    /// Number of incarnations of the back end so far.
+    pub incarnation_count: u64,
     /// Whether the back end is frozen, so that packets for it are held.
     pub frozen: bool,
     pub held_packets: VecDeque<PacketView>,
@@ -69,7 +70,7 @@
     /// Whether all incarnations have the same name.
     pub keeps_name: bool,
     next_sequence: u32,
-    incarnation: u64,
+    agent_incarnation: u64,
 }
 
 pub fn flow_id(port: u16) -> FlowId {
@@ -79,7 +80,7 @@
     }
 }
 
-/// The caller's port of a flow that is not owned.
+/// The caller's port of the flow of a returned packet.
 pub fn caller_port(returned: &ReturnedPacket) -> u16 {
     FlowId::from(returned.flow).caller.port()
 }
@@ -118,7 +119,7 @@
             now,
             agent: new_agent(now),
             backend: None,
-            incarnations: 0,
+            incarnation_count: 0,
             frozen: false,
             held_packets: VecDeque::new(),
             callers: BTreeMap::new(),
@@ -130,7 +131,7 @@
             reports_start_time,
             keeps_name,
             next_sequence: 0,
-            incarnation: now.as_micros(),
+            agent_incarnation: now.as_micros(),
         };
         world.restart_backend();
         world
@@ -138,14 +139,16 @@
 
     /// The back end restarts, without any flow.
     pub fn restart_backend(&mut self) {
-        self.incarnations += 1;
+        self.incarnation_count += 1;
         let number = match self.keeps_name {
             true => 1,
-            false => self.incarnations,
+            false => self.incarnation_count,
         };
         self.backend = Some(BackendIncarnation {
             id: format!("backend-{number}"),
-            started_at_millis: self.reports_start_time.then_some(self.incarnations * 1_000),
+            started_at_millis: self
+                .reports_start_time
+                .then_some(self.incarnation_count * 1_000),
             registrations: 0,
             flows: BTreeMap::new(),
         });
@@ -153,6 +156,7 @@
         self.frozen = false;
     }
 
+    /// The incarnation of the back end that runs.
     pub fn incarnation(&self) -> BackendIncarnation {
         self.backend.clone().expect("a back end runs")
     }
@@ -179,8 +183,8 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = self.agent.handle_registration(self.now, &registration);
-        taken.expect("it is of the agent's service");
+        let accepted = self.agent.handle_registration(self.now, &registration);
+        accepted.expect("the registration is for the agent's service");
         self.settle();
     }
 
@@ -281,10 +285,10 @@
         self.settle();
     }
 
-    /// The agent restarts, with empty state.
+    /// The agent restarts, without any state.
     pub fn restart_agent(&mut self) {
         self.agent = new_agent(self.now);
-        self.incarnation = self.now.as_micros();
+        self.agent_incarnation = self.now.as_micros();
     }
 
     /// The flow record of an incarnation, with a probe packet for each flow.
@@ -320,7 +324,7 @@
     /// A replica sends a flow record to the agent.
     pub fn recover(&mut self, record: FlowRecordResponse) {
         let record = FlowRecordResponse {
-            incarnation: self.incarnation,
+            incarnation: self.agent_incarnation,
             ..record
         };
         let body = PassThroughBody::FlowRecordResponse(record);
