--- a/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
@@ -237,9 +237,9 @@
             return;
         };
         let age = now.saturating_since(recovered.recovered_at).as_millis();
-        let mut taken = 0;
+        let mut taken_over = 0;
         for flow in &recovered.flow_record.flows {
-            taken += u64::from(self.flows.take_over(now, *flow));
+            taken_over += u64::from(self.flows.take_over(now, *flow));
         }
         for packet in &recovered.flow_record.probe_packets {
             if let Some(view) = self.codec.view(packet) {
@@ -247,11 +247,11 @@
                     .note_probe_packet(view.flow_from_caller(), packet);
             }
         }
-        self.counters.taken_over += taken;
+        self.counters.taken_over += taken_over;
         let backend = recovered.flow_record.backend_incarnation;
         let recorded = recovered.flow_record.flows.len();
         let subject =
-            format!("backend={backend:x} flows={taken} recorded={recorded} record_age={age}");
+            format!("backend={backend:x} flows={taken_over} recorded={recorded} record_age={age}");
         self.emit_event(EventKind::FlowsTakenOver, subject);
     }
 
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -150,25 +150,25 @@
 #[test]
 fn slots_go_to_the_most_urgent_then_to_flows_in_time_then_to_the_oldest() {
     let mut full = FullAgent::new();
-    let mut expected = Vec::new();
+    let mut offered = Vec::new();
     for (priority, age_millis) in [(2, 500), (2, 600), (2, 0), (1, 600), (1, 10), (1, 20)] {
         full.loaded.offer_template.priority = priority;
         full.loaded.offer_template.syn_age_millis = age_millis;
         full.offer();
-        expected.push(full.loaded.latest_caller());
+        offered.push(full.loaded.latest_caller());
     }
     // The back end responds to one request after the other. The flow that filled the queue was
     // queued first.
     let before = full.in_flight.len() + 1;
     let mut responded = 0;
-    while full.in_flight.len() < before + expected.len() {
+    while full.in_flight.len() < before + offered.len() {
         full.loaded.respond(full.in_flight[responded]);
         responded += 1;
         full.collect_replies();
     }
     let order = &full.in_flight[before..];
     let position = |flow: &SocketAddrV4| order.iter().position(|it| it == flow);
-    let positions: Vec<Option<usize>> = expected.iter().map(position).collect();
-    let wanted = [5, 4, 3, 2, 1, 0].map(Some);
-    assert_eq!(positions, wanted);
+    let positions: Vec<Option<usize>> = offered.iter().map(position).collect();
+    let expected_positions = [5, 4, 3, 2, 1, 0].map(Some);
+    assert_eq!(positions, expected_positions);
 }
--- a/crates/petrellatch-core/tests/pass_through/final_reports.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -29,7 +29,7 @@
 impl StoppingAgent {
     /// An agent whose back end has started with it, after a replica has acknowledged a report.
     fn new() -> StoppingAgent {
-        let mut stopping = StoppingAgent::without_back_end();
+        let mut stopping = StoppingAgent::without_backend();
         let registration = Registration {
             id: "backend".to_owned(),
             service: SERVICE.to_owned(),
@@ -50,7 +50,7 @@
     }
 
     /// An agent whose back end doesn't register.
-    fn without_back_end() -> StoppingAgent {
+    fn without_backend() -> StoppingAgent {
         let now = Timestamp::from_millis(1_000);
         let settings = PassThroughAgentSettings {
             address: agent_address(1),
@@ -165,7 +165,7 @@
 #[test]
 fn a_back_end_that_never_registered_is_reported_as_silent_before_the_stop() {
     for acknowledged_after in [5, 25, 45, 65, 85, 105, 205, 245] {
-        let mut stopping = StoppingAgent::without_back_end();
+        let mut stopping = StoppingAgent::without_backend();
         stopping.run(acknowledged_after * MILLI);
         stopping.acknowledge(0);
         stopping.run(1_000 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
@@ -171,16 +171,16 @@
 fn a_back_end_that_becomes_five_times_slower_gets_hardly_any_new_flows() {
     let mut loaded = LoadedWorld::new();
     loaded.open(1_000);
-    let changed = 5;
+    let slowed = 5;
     loaded
         .backends
-        .get_mut(&agent_address(changed))
+        .get_mut(&agent_address(slowed))
         .expect("known")
         .speed = FAST / 5.0;
     loaded.open(100);
-    let before = loaded.flows_at(changed);
+    let before = loaded.flows_at(slowed);
     loaded.open(400);
-    let more = loaded.flows_at(changed) - before;
+    let more = loaded.flows_at(slowed) - before;
     println!("{before} {more}");
     // The back end has more than its share already, so it may get hardly any.
     assert!(more <= 10, "{more} of 400 new flows came");
--- a/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
+++ b/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_agent_waits_for_a_sign_of_its_back_end_before_it_stops() {
+fn an_agent_stops_only_once_it_knows_whether_its_back_end_runs() {
     for agents in [46, 163] {
         let mut world = world_after_power_loss(agents);
         let agent = agent_address(1);
