--- a/crates/petrellatch-core/tests/pass_through/final_reports.rs
+++ b/crates/petrellatch-core/tests/pass_through/final_reports.rs
@@ -29,7 +29,7 @@
 impl StoppingAgent {
     /// An agent whose back end has started with it, after a replica has acknowledged a report.
     fn new() -> StoppingAgent {
-        let mut stopping = StoppingAgent::without_back_end();
+        let mut stopping = StoppingAgent::without_backend();
         let registration = Registration {
             id: "backend".to_owned(),
             service: SERVICE.to_owned(),
@@ -40,17 +40,17 @@
             cold_for: Duration::ZERO,
             ..Registration::default()
         };
-        let taken = stopping
+        let accepted = stopping
             .agent
             .handle_registration(stopping.now, &registration);
-        taken.expect("it is of the agent's service");
+        accepted.expect("the registration is for the agent's service");
         stopping.run(100 * MILLI);
         stopping.acknowledge(0);
         stopping
     }
 
     /// An agent whose back end doesn't register.
-    fn without_back_end() -> StoppingAgent {
+    fn without_backend() -> StoppingAgent {
         let now = Timestamp::from_millis(1_000);
         let settings = PassThroughAgentSettings {
             address: agent_address(1),
@@ -106,7 +106,8 @@
         }
     }
 
-    /// The replica acknowledges the report with this sequence number.
+    /// The replica acknowledges the report with this sequence number; zero stands for the
+    /// latest one.
     fn acknowledge(&mut self, number: u64) {
         let group = GroupStatus {
             replicas: vec![pack_address(REPLICA)],
@@ -121,10 +122,11 @@
     }
 
     fn final_reports(&self) -> Vec<u64> {
-        let last = self.reports.iter();
-        let last =
-            last.filter(|it| it.state() == AgentState::Unavailable && it.next_report_millis == 0);
-        last.map(|report| report.sequence).collect()
+        let reports = self.reports.iter();
+        let is_final =
+            |it: &&Report| it.state() == AgentState::Unavailable && it.next_report_millis == 0;
+        let reports = reports.filter(is_final);
+        reports.map(|report| report.sequence).collect()
     }
 }
 
@@ -163,7 +165,7 @@
 #[test]
 fn a_back_end_that_never_registered_is_reported_as_silent_before_the_stop() {
     for acknowledged_after in [5, 25, 45, 65, 85, 105, 205, 245] {
-        let mut stopping = StoppingAgent::without_back_end();
+        let mut stopping = StoppingAgent::without_backend();
         stopping.run(acknowledged_after * MILLI);
         stopping.acknowledge(0);
         stopping.run(1_000 * MILLI);
@@ -172,12 +174,12 @@
         assert!(stopping.agent.is_stopped());
         assert!(
             stopping.final_reports().len() >= 3,
-            "after {acknowledged_after}"
+            "first report acknowledged after {acknowledged_after} ms"
         );
         let is_logged = stopping.events.contains(&EventKind::BackendSilent);
         assert!(
             is_logged,
-            "the silence is logged, after {acknowledged_after}"
+            "the silence is not logged; first report acknowledged after {acknowledged_after} ms"
         );
     }
 }
--- a/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/long_lived_flows.rs
@@ -1,5 +1,5 @@
 //! Distribution of long-lived flows over back ends of two speeds: 2,000 flows whose request
-//! rate oscillates by 0.55, so that the back ends are half busy on average.
+//! rate oscillates by 55 % of its mean, so that the back ends are half busy on average.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::f64::consts::TAU;
@@ -12,14 +12,18 @@
 
 const SLOTS: u32 = 3;
 const AGENTS: u8 = 8;
+/// Speeds of the back ends, as factors on the request rate that a slot processes.
 const FAST: f64 = 1.2;
 const SLOW: f64 = 0.55;
 /// Number of slow back ends, which are those of the first agents.
 const SLOW_BACKENDS: u8 = 2;
+/// Processing time of a request at speed 1.
 const PROCESSING_TIME: Duration = Duration::from_millis(34);
 /// Mean interval between requests of a flow.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(5);
+/// Amplitude of the request rate's oscillation, as a fraction of its mean.
 const OSCILLATION: f64 = 0.55;
+/// Period of the oscillation in seconds.
 const OSCILLATION_PERIOD: f64 = 15.0;
 
 /// A back end that processes as many requests at once as it has slots.
@@ -167,16 +171,16 @@
 fn a_back_end_that_becomes_five_times_slower_gets_hardly_any_new_flows() {
     let mut loaded = LoadedWorld::new();
     loaded.open(1_000);
-    let changed = 5;
+    let slowed = 5;
     loaded
         .backends
-        .get_mut(&agent_address(changed))
+        .get_mut(&agent_address(slowed))
         .expect("known")
         .speed = FAST / 5.0;
     loaded.open(100);
-    let before = loaded.flows_at(changed);
+    let before = loaded.flows_at(slowed);
     loaded.open(400);
-    let more = loaded.flows_at(changed) - before;
+    let more = loaded.flows_at(slowed) - before;
     println!("{before} {more}");
     // The back end has more than its share already, so it may get hardly any.
     assert!(more <= 10, "{more} of 400 new flows came");
