--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -76,8 +76,8 @@
         self.open && !self.is_closed()
     }
 
-    /// Whether the flow is open and the back end has shown that it owns it, or did once.
-    /// Balancers may forward packets of flows that another back end owns.
+    /// Whether the flow is open and the back end has shown that it owns it, or did once. Packets
+    /// of the caller don't show that: balancers may forward those of another back end's flows.
     pub(crate) fn is_confirmed_open(&self) -> bool {
         self.is_open() && (self.sequence.is_some() || self.has_backend_packet)
     }
@@ -99,6 +99,7 @@
     }
 
     /// Whether a packet with this acknowledgement number belongs to the back end's connection.
+    /// As long as its initial sequence number is unknown, every packet of an open flow does.
     pub(crate) fn owns_ack(&self, acknowledged: u32) -> bool {
         match self.sequence {
             Some(sequence) => acknowledged.wrapping_sub(sequence) < SEQUENCE_WINDOW,
@@ -446,7 +447,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerPacket {
     Syn,
+    /// A packet without data, such as the acknowledgement that completes the handshake.
     Established,
+    /// A packet with data.
     Request,
     Fin,
     /// The caller aborts the flow, and its back end forgets it at once.
@@ -456,8 +459,12 @@
 /// Meaning of a back end's packet for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BackendPacket {
-    SynAck { sequence: u32 },
+    SynAck {
+        sequence: u32,
+    },
+    /// A packet without data, such as an acknowledgement.
     Established,
+    /// A packet with data.
     Response,
     Fin,
 }
--- a/crates/petrellatch-core/src/pass_through/flows/agent_set.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_set.rs
@@ -1,4 +1,5 @@
-//! Set of agents, as a bitmap over an ordered list that both sides have.
+//! Set of agents, as a bitmap over the list of agents of a relayed query, which the balancer
+//! and the relaying agent both have.
 
 /// One bit per agent, the lowest bit of each byte first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -117,7 +117,8 @@
     over_limit: usize,
     /// Closed flows with the revisions that removed them, in that order.
     closed: VecDeque<(u64, FlowId)>,
-    /// A replica with an older revision is sent the complete record.
+    /// Oldest revision after which `closed` has all removed flows. A replica with an older one is
+    /// sent the complete record.
     closed_since: u64,
     probe_packets: BTreeMap<FlowId, Vec<u8>>,
     probe_packets_revision: u64,
@@ -283,7 +284,8 @@
         ack: &FlowRecordAck,
     ) {
         if ack.incarnation != own_incarnation {
-            // The replica may have another incarnation's record with a revision that isn't lower.
+            // The replica has another incarnation's record. A change is only accepted with a higher
+            // revision than that.
             self.continue_above(ack.revision);
         }
         let newest = self.revision;
@@ -310,6 +312,8 @@
         }
     }
 
+    /// Makes the next changes complete records with a revision above this one, if the own
+    /// revision isn't above it yet.
     fn continue_above(&mut self, revision: u64) {
         if revision >= self.revision {
             self.continue_from(revision);
@@ -384,6 +388,8 @@
         agent: u64,
         incarnation: u64,
     ) -> VecDeque<FlowRecordChange> {
+        // A change without probe packets keeps those that the replica has, so that only a complete
+        // record removes the last one.
         let lost_probe_packets =
             self.probe_packets.is_empty() && self.probe_packets_revision > acknowledged_revision;
         let needs_complete = acknowledged_revision < self.closed_since || lost_probe_packets;
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -67,7 +67,8 @@
     /// back end since it started. Otherwise a missing reply means that its back end is gone.
     pub(crate) is_expected: bool,
     /// Whether the agent has received packets or a registration of its back end since it
-    /// started. While replicas receive its reports and it hasn't replied, no flow is given up.
+    /// started. While replicas receive its reports and it hasn't replied, no flow counts as
+    /// orphaned.
     pub(crate) has_backend: bool,
 }
 
--- a/crates/petrellatch-core/src/pass_through/flows/orphaned_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/orphaned_flows.rs
@@ -11,7 +11,7 @@
 /// Callers that await no response are notified over this time, not all at once, since they
 /// reconnect to back ends that may be cold.
 const NOTIFICATION_PERIOD: Duration = Duration::from_millis(400);
-/// Interval between two batches of notifications.
+/// Interval between batches of notifications.
 const NOTIFICATION_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum number of stored flows.
 const MAX_ORPHANED_FLOWS: usize = 1 << 16;
--- a/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -19,7 +19,8 @@
 const FIRST_AGGREGATION: Duration = Duration::from_millis(12);
 /// How long later replies are aggregated.
 const LATER_AGGREGATION: Duration = Duration::from_millis(25);
-/// Later replies are dropped: the balancer has queried again.
+/// Time after which a query ends and further replies are dropped: the balancer has queried
+/// again.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(600);
 /// Maximum number of concurrent queries. Each balancer has a few of them and spreads them
 /// over all agents. Above the limit the oldest query is dropped.
--- a/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -121,7 +121,8 @@
         if !flow.owns_ack(acknowledged) {
             return None;
         }
-        // A flow with traffic of the back end was closed since, and proves nothing about others.
+        // If the back end has sent a packet of the flow, it has owned the flow and closed it since.
+        // That proves nothing about other flows.
         if matches!(evidence, Evidence::None | Evidence::Sent(_)) {
             *evidence = Evidence::Returned;
             self.returned_in_round += 1;
--- a/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/speculative_deliveries.rs
@@ -11,7 +11,8 @@
 
 /// Minimum interval between speculative deliveries of one flow.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(200);
-/// A back end that neither responded nor returned the packet by then hasn't received it.
+/// Time after which a delivery is forgotten. A back end that has neither responded nor
+/// returned the packet by then hasn't received it.
 const DELIVERY_TTL: Duration = Duration::from_secs(3);
 /// Maximum number of stored flows of each kind. Packets of further flows may be delivered
 /// repeatedly.
@@ -27,10 +28,10 @@
     delivered_at: Timestamp,
 }
 
-/// Flows that were delivered speculatively, and those that the back end doesn't own.
+/// Flows with a speculative delivery, and those that the back end doesn't own.
 #[derive(Debug, Default)]
 pub(crate) struct SpeculativeDeliveries {
-    /// Flows whose packet was neither answered nor returned yet.
+    /// Flows whose packet got no response and wasn't returned yet.
     pending: HashMap<FlowId, PendingDelivery>,
     /// Flows whose packets were returned.
     returned: HashMap<FlowId, Timestamp>,
--- a/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/evacuated_flows.rs
@@ -53,8 +53,8 @@
         "{:?}",
         world.refusals
     );
-    for agent in world.backends.values() {
-        assert!(agent.received.is_empty(), "no packet reached a back end");
+    for backend in world.backends.values() {
+        assert!(backend.received.is_empty(), "no packet reached a back end");
     }
 
     send_zones_to_balancer(&mut world, 8, false);
--- a/crates/petrellatch-core/tests/pass_through/flow_record.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_record.rs
@@ -99,7 +99,7 @@
         let time = changes[last].0.saturating_since(changes[0].0);
         let before: usize = bytes.take(last).sum();
         let rate = before as f64 / time.as_secs_f64();
-        assert!(rate <= 3.0 * 1024.0, "{rate} bytes a second");
+        assert!(rate <= 3.0 * 1024.0, "{rate} bytes per second");
     }
 }
 
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -7,7 +7,8 @@
 const AGENTS: u8 = 5;
 const SLOTS: u32 = 4;
 
-/// A world with one open flow of this port.
+/// A world with one open flow, whose caller has this port. Also returns the agent of the back
+/// end that owns it.
 fn world_with_flow(port: u16) -> (World, std::net::SocketAddrV4) {
     let mut world = World::new(AGENTS, SLOTS);
     world.open(port, 0);
@@ -144,11 +145,14 @@
     };
     let inputs = "directory_whole=false awaits=true ended=false";
     assert!(line.contains(inputs), "{line}");
-    assert!(line.contains(" waited="), "no age of the query: {line}");
+    assert!(
+        line.contains(" waited="),
+        "the age of the search is missing: {line}"
+    );
 }
 
 #[test]
-fn a_flow_of_a_paused_agent_is_hardly_delivered_elsewhere() {
+fn packets_of_a_paused_agents_flow_reach_few_other_back_ends() {
     let (mut world, agent) = world_with_flow(1);
     restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
@@ -282,7 +286,7 @@
     world.request(1, agent);
     world.run(300 * MILLI);
     assert_eq!(world.speculative_deliveries, 1, "sent by the balancer");
-    assert_eq!(world.data_packets_at(agent), 2, "relayed by the others");
+    assert_eq!(world.data_packets_at(agent), 2, "relayed by an agent");
     assert_eq!(world.resets(), 0);
     for backend in world.backends.values_mut() {
         backend.flows.clear();
@@ -333,7 +337,7 @@
         world.request(1, agent);
         world.run(200 * MILLI);
     }
-    assert_eq!(world.resets(), 0, "all agents at once can't have vanished");
+    assert_eq!(world.resets(), 0, "all agents can't have vanished at once");
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/restarted_agents.rs
@@ -103,7 +103,7 @@
             _ => {}
         }
     }
-    panic!("the flow was neither offered to the back end nor declined");
+    panic!("the SYN was neither sent to the back end nor declined");
 }
 
 fn outputs(agent: &mut Agent) -> Vec<PassThroughOutput> {
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_starting_agent_offers_its_back_end_flows_that_others_declined() {
+fn a_starting_agent_takes_flows_that_others_declined() {
     let start = Timestamp::from_millis(10_000);
     let mut agent = start_agent(start);
     let last_resort = ForwardReason::OpenQueued;
--- a/crates/petrellatch-core/tests/pass_through/site.rs
+++ b/crates/petrellatch-core/tests/pass_through/site.rs
@@ -285,7 +285,7 @@
             }
             PassThroughBody::DirectoryPart(directory) => {
                 assert_eq!(directory.base_revision, 0);
-                let Some(bytes) = self.assemble(from, directory) else {
+                let Some(bytes) = self.reassemble(from, directory) else {
                     return;
                 };
                 let bytes = decompress_size_prepended(&bytes).expect("compressed");
@@ -298,7 +298,7 @@
     }
 
     /// Joins the parts of a directory. Returns none while parts are missing.
-    fn assemble(&mut self, from: SocketAddrV4, directory: DirectoryPart) -> Option<Vec<u8>> {
+    fn reassemble(&mut self, from: SocketAddrV4, directory: DirectoryPart) -> Option<Vec<u8>> {
         let key = (from, directory.revision);
         let parts = self.directory_parts.entry(key).or_default();
         parts.insert(directory.part, directory.bytes);
--- a/crates/petrellatch-proto/src/pass_through/directory.rs
+++ b/crates/petrellatch-proto/src/pass_through/directory.rs
@@ -14,8 +14,8 @@
     Ready = 1,
     /// The back end takes no new flows; open ones continue.
     Draining = 2,
-    /// The agent has just started and has received nothing from its back end yet. It offers
-    /// the back end only flows that no other agent takes.
+    /// The agent has just started and has received nothing from its back end yet. Balancers
+    /// offer it only flows that no other agent takes.
     Starting = 3,
 }
 
@@ -43,7 +43,8 @@
     /// Load of the back end.
     #[prost(message, required, tag = "7")]
     pub load: LoadMessage,
-    /// Digests of the back end incarnations that announced that they drain, the latest last.
+    /// Digests of the back end incarnations that announced that they are draining, the latest
+    /// last.
     #[prost(fixed64, repeated, tag = "9")]
     pub draining_backends: Vec<u64>,
     /// Time until the next report if nothing changes, in milliseconds; zero in the final
--- a/crates/petrellatch-proto/src/pass_through/new_flow.rs
+++ b/crates/petrellatch-proto/src/pass_through/new_flow.rs
@@ -102,8 +102,8 @@
     pub load: LoadMessage,
 }
 
-/// A new flow is in the agent's admission queue until a slot frees. The agent reports the
-/// outcome later.
+/// A new flow is in the agent's admission queue until newly arriving flows leave a slot
+/// free. The agent reports the outcome later.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowQueued {
     /// The flow.
--- a/crates/petrellatch-proto/src/pass_through/search.rs
+++ b/crates/petrellatch-proto/src/pass_through/search.rs
@@ -21,7 +21,7 @@
     /// The flows.
     #[prost(message, repeated, tag = "1")]
     pub flows: Vec<QueriedFlow>,
-    /// Other agents to which the receiver relays the query. It collects their replies into
+    /// Other agents to which the receiver relays the query. It aggregates their replies into
     /// [`AggregatedReplies`], so that a balancer with a slow link sends one query and receives
     /// few replies.
     #[prost(fixed64, repeated, tag = "2")]
