--- a/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/agent_flows.rs
@@ -359,13 +359,13 @@
     }
 
     /// Forgets flows that are closed, that were never opened, or that were idle for
-    /// `idle_limit`.
-    pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
+    /// `idle_ttl`.
+    pub(crate) fn expire(&mut self, now: Timestamp, idle_ttl: Duration) {
         let idle_time = |flow: &AgentFlow| now.saturating_since(flow.last_active_at);
         let ttl = |flow: &AgentFlow| match flow {
             flow if flow.closed_by_backend => CLOSED_TTL,
             flow if !flow.open => SYN_TTL,
-            _ => idle_limit,
+            _ => idle_ttl,
         };
         let is_stuck = |flow: &AgentFlow| flow.in_flight && idle_time(flow) >= REQUEST_TIMEOUT;
         let is_expired = |flow: &AgentFlow| idle_time(flow) >= ttl(flow);
--- a/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
@@ -191,12 +191,12 @@
         self.flows.len() >= MAX_FLOWS
     }
 
-    /// Forgets closed flows, flows without an owner, and flows that were idle for `idle_limit`.
-    pub(crate) fn expire(&mut self, now: Timestamp, idle_limit: Duration) {
+    /// Forgets closed flows, flows without an owner, and flows that were idle for `idle_ttl`.
+    pub(crate) fn expire(&mut self, now: Timestamp, idle_ttl: Duration) {
         self.flows.retain(|_, cached| {
             let idle_time = now.saturating_since(cached.last_used_at);
             let is_open = cached.owner.is_some() && !cached.closed;
-            idle_time < if is_open { idle_limit } else { CLOSED_TTL }
+            idle_time < if is_open { idle_ttl } else { CLOSED_TTL }
         });
     }
 }
--- a/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_recorder.rs
@@ -238,14 +238,14 @@
         self.probe_packets.retain(|id, _| recorded.contains_key(id));
         let mut changed = self.probe_packets.len() != before;
         if self.probe_packets.len() < MAX_PROBE_PACKETS.min(recorded.len()) {
-            let to_candidate = |id: &FlowId| {
+            let with_packet = |id: &FlowId| {
                 let flow = flows.get(*id)?;
                 let packet = flow.probe_packet.as_ref()?;
                 Some((flow.last_active_at, *id, packet))
             };
             let unused = recorded.keys();
             let unused = unused.filter(|id| !self.probe_packets.contains_key(*id));
-            let mut unused: Vec<_> = unused.filter_map(to_candidate).collect();
+            let mut unused: Vec<_> = unused.filter_map(with_packet).collect();
             unused.sort_unstable();
             let missing = MAX_PROBE_PACKETS - self.probe_packets.len();
             for (_, id, packet) in unused.into_iter().take(missing) {
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -23,7 +23,8 @@
 /// Maximum number of speculative deliveries of a flow while some agents haven't replied, so
 /// that the owner may be among those.
 const MAX_NON_OWNERS: usize = 2;
-/// Duration of a round. Agents that haven't replied by then count as missing.
+/// Time after the start of a round from which agents that haven't replied count as missing.
+/// It is also the interval between the first two rounds, which then doubles.
 pub(super) const QUERY_ROUND: Duration = Duration::from_millis(60);
 /// Maximum number of times that the interval between rounds doubles.
 const MAX_ROUND_DOUBLINGS: u32 = 3;
@@ -64,7 +65,8 @@
 pub(crate) struct SearchTarget {
     pub(crate) address: SocketAddrV4,
     /// Whether the agent replies to queries and has received packets or a registration of its
-    /// back end since it started. Otherwise a missing reply means that its back end is gone.
+    /// back end since it started. Otherwise an agent that doesn't reply counts as gone together
+    /// with its back end, and the search doesn't wait for it.
     pub(crate) is_expected: bool,
     /// Whether the agent has received packets or a registration of its back end since it
     /// started. While replicas receive its reports and it hasn't replied, no flow counts as
--- a/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/relayed_queries.rs
@@ -111,7 +111,8 @@
         self.handle_replies(now, from, not_owned.chain(possibly_owned));
     }
 
-    /// Handles an agent's reply about flows that its back end owns. The balancer gets it too.
+    /// Handles an agent's reply about flows that its back end owns. The agent also sends it to the
+    /// balancer directly.
     pub(crate) fn handle_flows_owned(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -1,8 +1,8 @@
 //! Restart probe: finds out whether an incarnation of a back end has ended, from the packets
 //! that the back end returns.
 //!
-//! A probe sends a data-less packet that the caller of a flow has sent before to the back
-//! end again. A back end that owns the flow drops it as an old duplicate, and one that
+//! A probe sends the back end a copy of a data-less packet that the caller of a flow has
+//! sent before. A back end that owns the flow drops it as an old duplicate, and one that
 //! doesn't own it returns it; silence proves nothing. As a flow may have been closed
 //! unnoticed, and a new incarnation may already have flows, a returned packet proves only
 //! that its own flow is orphaned. So while packets are returned, those of further flows are
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -180,7 +180,7 @@
     restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
     world.request(1, agent);
-    // The back end has the packet and processes it for long.
+    // The back end has the packet and takes long to process it.
     world.run(Duration::from_secs(1));
     assert_eq!(world.resets(), 0);
     assert!(
--- a/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
@@ -35,7 +35,7 @@
 }
 
 /// Number of flows whose second packet reached their back ends.
-fn found(world: &World, owners: &[SocketAddrV4]) -> usize {
+fn found_flows(world: &World, owners: &[SocketAddrV4]) -> usize {
     let is_found = |owner: &&SocketAddrV4| world.data_packets_at(**owner) >= 2;
     owners.iter().filter(is_found).count()
 }
@@ -45,7 +45,7 @@
     let (mut world, owners) = world_with_unknown_flows();
     repeat_requests(&mut world, &owners);
     world.run(50 * MILLI);
-    assert_eq!(found(&world, &owners), owners.len());
+    assert_eq!(found_flows(&world, &owners), owners.len());
     let bytes = world.balancer_bytes;
     assert!(bytes < 10_000, "{bytes} bytes of queries and replies");
 }
@@ -53,16 +53,14 @@
 #[test]
 fn another_agent_relays_the_query_if_the_first_is_silent() {
     let (mut world, owners) = world_with_unknown_flows();
-    let candidates = (1..=AGENTS).map(agent_address);
-    let frozen = candidates
-        .filter(|agent| !owners.contains(agent))
-        .step_by(2);
+    let agents = (1..=AGENTS).map(agent_address);
+    let frozen = agents.filter(|agent| !owners.contains(agent)).step_by(2);
     world.frozen = frozen.collect();
     for _ in 0..10 {
         repeat_requests(&mut world, &owners);
         world.run(100 * MILLI);
     }
-    assert_eq!(found(&world, &owners), owners.len());
+    assert_eq!(found_flows(&world, &owners), owners.len());
     assert_eq!(world.resets(), 0);
 }
 
@@ -80,7 +78,7 @@
     world.frozen.clear();
     repeat_requests(&mut world, &owners);
     world.run(600 * MILLI);
-    assert_eq!(found(&world, &owners), owners.len());
+    assert_eq!(found_flows(&world, &owners), owners.len());
 }
 
 #[test]
