--- a/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/restart_probe.rs
@@ -1,8 +1,8 @@
 //! Restart probe: finds out whether an incarnation of a back end has ended, from the packets
 //! that the back end returns.
 //!
-//! A probe sends a data-less packet that the caller of a flow has sent before to the back
-//! end again. A back end that owns the flow drops it as an old duplicate, and one that
+//! A probe sends the back end a copy of a data-less packet that the caller of a flow has
+//! sent before. A back end that owns the flow drops it as an old duplicate, and one that
 //! doesn't own it returns it; silence proves nothing. As a flow may have been closed
 //! unnoticed, and a new incarnation may already have flows, a returned packet proves only
 //! that its own flow is orphaned. So while packets are returned, those of further flows are
@@ -121,7 +121,8 @@
         if !flow.owns_ack(acknowledged) {
             return None;
         }
-        // A flow with traffic of the back end was closed since, and proves nothing about others.
+        // If the back end has sent a packet of the flow, it has owned the flow and closed it since.
+        // That proves nothing about other flows.
         if matches!(evidence, Evidence::None | Evidence::Sent(_)) {
             *evidence = Evidence::Returned;
             self.returned_in_round += 1;
