--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -6,13 +6,14 @@
 
 use super::column::Column;
 use super::slice::Slice;
-use super::{Step, Summary};
+use super::{ProcessEvent, Summary};
 
 /// Slices with overload and process restarts within this time, in milliseconds, are joined
-/// into one cause: twice the time after which a suspected agent gets offers again.
+/// into one cause: twice the time for which an agent is suspected after its first missed
+/// reply.
 const JOIN_MILLIS: u64 = 500;
-/// Other events within this time, in milliseconds, are joined into one cause: the time
-/// for which the flow of a silent caller is searched.
+/// Other events within this time, in milliseconds, are joined into one cause: a flow
+/// search ends when its caller was silent for this long.
 const JOIN_EVENTS_MILLIS: u64 = 2_500;
 /// Refusals and suspicions per second up to which the load counts as ordinary.
 const ORDINARY_PER_SECOND: u64 = 20;
@@ -116,7 +117,7 @@
     ];
     let reasons = reasons.iter().filter_map(|(column, reason)| {
         let count = slice.count(*column);
-        (count > 0).then(|| format!("{count} {reason}"))
+        (count > 0).then(|| format!("{count}: {reason}"))
     });
     let reasons: Vec<String> = reasons.collect();
     match reasons.is_empty() {
@@ -170,7 +171,7 @@
     ),
     (
         Column::BlockedByNone,
-        "no agent owned the flow, and the caller may have closed it first",
+        "no back end owned the flow, and the caller may have closed it first",
     ),
 ];
 
@@ -185,15 +186,16 @@
         let blocked = slice.count(Column::BlockedByAbsent);
         if blocked > 0 {
             text.push_str(&format!(
-                "; {blocked} of them BLOCKED BY A STOPPED AGENT: up to {} agents did not own the \
-                 flow, and at most {} that were not expected to reply did not",
+                "; {blocked} of them BLOCKED BY A STOPPED AGENT: up to {} agents replied that \
+                 their back ends do not own the flow, and at most {}, not expected to reply, did \
+                 not reply",
                 slice.not_owned, slice.missing
             ));
         }
         for (column, reason) in BLOCKERS {
             let count = slice.count(column);
             if count > 0 {
-                text.push_str(&format!("; for {count} {reason}"));
+                text.push_str(&format!("; {count} because {reason}"));
             }
         }
         Cause {
@@ -295,25 +297,25 @@
 
 /// Groups of processes that restarted at about the same time.
 fn restarts(summary: &Summary) -> Vec<Cause> {
-    let mut steps = summary.steps.clone();
-    steps.sort();
+    let mut process_events = summary.process_events.clone();
+    process_events.sort();
     let mut stopped = BTreeSet::new();
     let mut groups: Vec<RestartGroup> = Vec::new();
-    for step in &steps {
-        let Some(role) = &step.role else {
-            stopped.insert(step.node);
+    for event in &process_events {
+        let Some(role) = &event.role else {
+            stopped.insert(event.node);
             continue;
         };
-        let planned = stopped.remove(&step.node);
+        let planned = stopped.remove(&event.node);
         // The first line of a node is its first start, not a restart.
-        if summary.first_seen.get(&step.node) == Some(&step.millis) {
+        if summary.first_seen.get(&event.node) == Some(&event.millis) {
             continue;
         }
         match groups.last_mut() {
-            Some(group) if step.millis <= group.until + JOIN_MILLIS => {
-                group.add(step, role, planned);
+            Some(group) if event.millis <= group.until + JOIN_MILLIS => {
+                group.add(event, role, planned);
             }
-            _ => groups.push(RestartGroup::new(step, role, planned)),
+            _ => groups.push(RestartGroup::new(event, role, planned)),
         }
     }
     groups.iter().map(|group| group.cause(summary)).collect()
@@ -329,20 +331,20 @@
 }
 
 impl RestartGroup {
-    fn new(step: &Step, role: &str, planned: bool) -> RestartGroup {
-        let (from, until) = (step.millis, step.millis);
+    fn new(event: &ProcessEvent, role: &str, planned: bool) -> RestartGroup {
+        let (from, until) = (event.millis, event.millis);
         let mut group = RestartGroup {
             from,
             until,
             planned: 0,
             roles: BTreeMap::new(),
         };
-        group.add(step, role, planned);
+        group.add(event, role, planned);
         group
     }
 
-    fn add(&mut self, step: &Step, role: &str, planned: bool) {
-        self.until = step.millis;
+    fn add(&mut self, event: &ProcessEvent, role: &str, planned: bool) {
+        self.until = event.millis;
         self.planned += u64::from(planned);
         *self.roles.entry(role.to_owned()).or_default() += 1;
     }
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -51,7 +51,7 @@
     BlockedByUncertain "l.unsu" "Of those, blocked by agents or back ends that could not tell whether they own the flow.";
     BlockedByIncompleteDirectory "l.list" "Of those, blocked because the balancer's agent directory was incomplete.";
     NoResponseAwaited "l.end" "Of those, not reset because the caller awaited no response.";
-    BlockedByNone "l.none" "Of those, blocked by no agent: none owns the flow; the caller may have closed it first.";
+    BlockedByNone "l.none" "Of those, blocked by no agent: no back end owns the flow; the caller may have closed it first.";
     PacketReturned "reset" "Packets that a back end returned because it does not own their flow any more.";
     Stalled "stall" "Flows whose agent does not reply.";
     BackendSilent "silent" "Back ends that fell silent.";
@@ -116,7 +116,7 @@
     let count = |name| number(line, name).unwrap_or(0);
     let mut columns = vec![(Column::SearchInconclusive, 1)];
     let undecided = count("uncertain") + count("tried");
-    let is = |name, value| line.value(name) == Some(value);
+    let has_value = |name, value| line.value(name) == Some(value);
     let blocked_by = match (
         count("expected"),
         undecided,
@@ -125,8 +125,8 @@
     ) {
         (1.., ..) => Some(Column::BlockedByLate),
         (0, 1.., ..) => Some(Column::BlockedByUncertain),
-        _ if is("awaits", "false") => Some(Column::NoResponseAwaited),
-        _ if is("directory_whole", "false") => Some(Column::BlockedByIncompleteDirectory),
+        _ if has_value("awaits", "false") => Some(Column::NoResponseAwaited),
+        _ if has_value("directory_whole", "false") => Some(Column::BlockedByIncompleteDirectory),
         (0, 0, missing @ 1.., not_owned) if missing < not_owned => Some(Column::BlockedByAbsent),
         (0, 0, 1.., _) => Some(Column::BlockedByLate),
         (0, 0, 0, 1..) => Some(Column::BlockedByNone),
--- a/crates/petrellatch/src/logs/summary/mod.rs
+++ b/crates/petrellatch/src/logs/summary/mod.rs
@@ -27,13 +27,13 @@
 /// Maximum number of names of nodes and agents: four for each of 1,000 machines.
 const MAX_NAMES: usize = 4_096;
 /// Maximum number of recorded starts and stops: eight for each of 1,000 machines.
-const MAX_STEPS: usize = 8_192;
+const MAX_PROCESS_EVENTS: usize = 8_192;
 /// Maximum number of pairs of reason and priority; there are about ten.
 const MAX_REASONS: usize = 64;
 
 /// The start of a process, or the request to stop it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Step {
+struct ProcessEvent {
     millis: u64,
     node: u32,
     /// Role of the process that started; `None` for a stop.
@@ -47,7 +47,7 @@
     slices: BTreeMap<u64, Slice>,
     names: BTreeMap<String, u32>,
     first_seen: BTreeMap<u32, u64>,
-    steps: Vec<Step>,
+    process_events: Vec<ProcessEvent>,
     refusals: BTreeMap<(String, String), u64>,
 }
 
@@ -58,7 +58,7 @@
             slices: BTreeMap::new(),
             names: BTreeMap::new(),
             first_seen: BTreeMap::new(),
-            steps: Vec::new(),
+            process_events: Vec::new(),
             refusals: BTreeMap::new(),
         }
     }
@@ -71,14 +71,14 @@
         let (Some(kind), Some(millis)) = (kind, line.millis()) else {
             return;
         };
-        let node = self.number(&line.node);
+        let node = self.name_number(&line.node);
         let seen = self.first_seen.entry(node).or_insert(millis);
         *seen = millis.min(*seen);
-        self.note_step(*kind, line, millis, node);
+        self.note_process_event(*kind, line, millis, node);
         if *kind == EventKind::FlowRefused {
             self.note_refusal(line);
         }
-        let agent = line.value("agent").map(|agent| self.number(agent));
+        let agent = line.value("agent").map(|agent| self.name_number(agent));
         let slice = self.slices.entry(millis / self.width).or_default();
         slice.lines += 1;
         slice.add(*kind, line, node, agent);
@@ -94,14 +94,15 @@
         SummaryReport::new(self, causes, slice_millis)
     }
 
-    fn note_step(&mut self, kind: EventKind, line: &LogLine, millis: u64, node: u32) {
+    fn note_process_event(&mut self, kind: EventKind, line: &LogLine, millis: u64, node: u32) {
         let role = match kind {
             EventKind::ProcessStarted => line.subject.split(' ').next().map(str::to_owned),
             EventKind::ProcessStopping => None,
             _ => return,
         };
-        if self.steps.len() < MAX_STEPS {
-            self.steps.push(Step { millis, node, role });
+        if self.process_events.len() < MAX_PROCESS_EVENTS {
+            self.process_events
+                .push(ProcessEvent { millis, node, role });
         }
     }
 
@@ -115,7 +116,7 @@
     }
 
     /// Returns the number of a name. All names beyond the limit share the last number.
-    fn number(&mut self, name: &str) -> u32 {
+    fn name_number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.names.get(name) {
             return *number;
         }
--- a/crates/petrellatch/src/logs/summary/report.rs
+++ b/crates/petrellatch/src/logs/summary/report.rs
@@ -10,12 +10,12 @@
 
 /// Maximum number of rows of the table, so that it fits on a screen with the causes.
 const MAX_ROWS: u64 = 30;
-/// Default widths of a slice, in milliseconds.
+/// Default widths of a slice, in milliseconds: round numbers that are easy to read.
 const WIDTHS: [u64; 14] = [
     100, 250, 500, 1_000, 2_000, 5_000, 10_000, 30_000, 60_000, 120_000, 300_000, 600_000,
     1_800_000, 3_600_000,
 ];
-const MILLIS_OF_DAY: u64 = 86_400_000;
+const MILLIS_PER_DAY: u64 = 86_400_000;
 
 /// Counts by slices of time, and the most important causes.
 #[derive(Clone, Debug)]
@@ -160,12 +160,12 @@
     };
     let widths = WIDTHS.into_iter();
     let mut fitting = widths.filter(|width| rows(*width) <= MAX_ROWS);
-    fitting.next().unwrap_or(MILLIS_OF_DAY)
+    fitting.next().unwrap_or(MILLIS_PER_DAY)
 }
 
 /// Formats the time of day with milliseconds.
 fn clock(millis: u64) -> String {
-    let (seconds, millis) = (millis % MILLIS_OF_DAY / 1_000, millis % 1_000);
+    let (seconds, millis) = (millis % MILLIS_PER_DAY / 1_000, millis % 1_000);
     let (hours, minutes) = (seconds / 3_600, seconds / 60 % 60);
     format!("{hours:02}:{minutes:02}:{:02}.{millis:03}", seconds % 60)
 }
--- a/crates/petrellatch/src/logs/summary/slice.rs
+++ b/crates/petrellatch/src/logs/summary/slice.rs
@@ -27,7 +27,7 @@
     /// Maximum number of agents without a reply in a search that was blocked only by
     /// absent agents.
     pub(super) missing: u64,
-    /// Maximum number of agents that did not own the flow in such a search.
+    /// Maximum number of agents whose back ends did not own the flow in such a search.
     pub(super) not_owned: u64,
     /// Maximum number of agents of a service that a balancer knew when it refused a flow.
     pub(super) agents: u64,
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -29,10 +29,11 @@
 /// Number of registration intervals without a registration after which a back end
 /// counts as silent and gets no new flows.
 const MISSED_REGISTRATIONS: u32 = 5;
-/// Number of registration intervals for which a new agent admits flows without a
-/// registration, because its back end is alive.
+/// Number of registration intervals after its start in which an agent admits flows
+/// before the first registration, if packets show that its back end is alive.
 const PROVISIONAL_REGISTRATIONS: u32 = 2;
-/// Number of queue positions per slot of the back end, used if all agents are full.
+/// Maximum number of requests per slot of the back end if all agents are full. It is
+/// used while the processing time or the latency objective is not known.
 const QUEUE_FACTOR: u32 = 2;
 /// How long a stopping agent waits for its open flows; limited to half of the stop
 /// timeout.
--- a/crates/petrellatch/src/runtime/pass_through/api_translator.rs
+++ b/crates/petrellatch/src/runtime/pass_through/api_translator.rs
@@ -67,8 +67,8 @@
         /// Operator address (HTTP) of the leader.
         operator_address: SocketAddrV4,
     },
-    /// The outcome is not known, or no leader is; the request may be sent again
-    /// unchanged.
+    /// The outcome is not known, or the group has no known leader; the request may be
+    /// sent again unchanged.
     Unavailable,
     /// Processes of this role don't serve the request.
     NotServed,
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -165,6 +165,7 @@
                 None => translator.translate_request(&received.request),
             },
         };
+        // The metrics come as `Err` too, since no translated request is left to handle.
         let response: Option<HttpResponse> = match request {
             Err(metrics) if metrics.status == 200 => Some(metrics),
             Err(refusal) => {
--- a/crates/petrellatch/src/runtime/pass_through/mod.rs
+++ b/crates/petrellatch/src/runtime/pass_through/mod.rs
@@ -38,17 +38,19 @@
 /// # Errors
 ///
 /// An address can't be bound, or a system call of the event loop fails.
-pub fn run<C: PacketCodec, I: ApiTranslator>(
+pub fn run<C: PacketCodec, T: ApiTranslator>(
     watcher: SettingsWatcher,
     settings: PassThroughSettings,
     codec: C,
-    interface: I,
+    translator: T,
 ) -> Result<(), ProgramError> {
     match settings.role.clone() {
         PassThroughRole::Balancer(role) => {
-            balancer_loop::run(watcher, settings, &role, codec, interface)
+            balancer_loop::run(watcher, settings, &role, codec, translator)
         }
-        PassThroughRole::Agent(role) => agent_loop::run(watcher, settings, &role, codec, interface),
-        PassThroughRole::Replica(role) => replica_loop::run(watcher, settings, &role, interface),
+        PassThroughRole::Agent(role) => {
+            agent_loop::run(watcher, settings, &role, codec, translator)
+        }
+        PassThroughRole::Replica(role) => replica_loop::run(watcher, settings, &role, translator),
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -85,7 +85,7 @@
         ConfigurationResponse::PolicyExplained(explained) => {
             HttpResponse::document(&policy_explanation(explained))
         }
-        ConfigurationResponse::Policies(records) => HttpResponse::document(&policy_list(records)),
+        ConfigurationResponse::Policies(set) => HttpResponse::document(&policy_list(set)),
         ConfigurationResponse::NotLeader { leader } => {
             let operator_address = SocketAddrV4::new(*leader.ip(), operator_port);
             let mut document = ErrorDocument::new(ErrorKind::NotLeader, "another replica leads");
@@ -113,10 +113,10 @@
     HttpResponse::refusal(&document)
 }
 
-fn policy_list(records: &PolicySet) -> PlacementPolicyList {
-    let policies = records.policies.iter().map(PlacementPolicyDocument::from);
+fn policy_list(set: &PolicySet) -> PlacementPolicyList {
+    let policies = set.policies.iter().map(PlacementPolicyDocument::from);
     PlacementPolicyList {
-        index: records.index,
+        index: set.index,
         policies: policies.collect(),
     }
 }
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -213,8 +213,8 @@
     Ok(())
 }
 
-/// Unix time in milliseconds, for the time at which a zone command was issued; zero if
-/// the clock is before 1970.
+/// Unix time in milliseconds; zero if the clock is before 1970. It is only used to show
+/// operators when a zone command was issued.
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
+++ b/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
@@ -97,7 +97,7 @@
     /// Saves the list of daemons. A failure is reported but not retried: the list is
     /// saved again when it changes.
     pub(super) fn save_daemons(&self, bytes: Vec<u8>) {
-        // As in `write`.
+        // Sending can't fail, as in `write`.
         let _ = self.requests.send(WriteRequest::Daemons(bytes));
     }
 
--- a/crates/petrellatch/src/runtime/pass_through/settings.rs
+++ b/crates/petrellatch/src/runtime/pass_through/settings.rs
@@ -36,7 +36,9 @@
     pub message_address: SocketAddrV4,
     /// Message addresses of some replicas of the replica group.
     pub seeds: Vec<SocketAddrV4>,
-    /// How long a flow may be idle, or last, before its state may be dropped.
+    /// How long a flow may be idle before its state may be dropped. It is also the
+    /// maximum lifetime of a flow: an agent that has run for longer knows all flows of
+    /// its back end.
     pub flow_ttl: Duration,
     /// Maximum duration of a planned stop.
     pub stop_timeout: Duration,
--- a/crates/petrellatch/src/settings/load.rs
+++ b/crates/petrellatch/src/settings/load.rs
@@ -19,7 +19,7 @@
         Ok(text) => parse(&file, &text),
         Err(error) => (
             SettingsFile::default(),
-            vec![whole_file(&file, None, format!("can't read: {error}"))],
+            vec![file_problem(&file, None, format!("can't read: {error}"))],
         ),
     }
 }
@@ -30,7 +30,7 @@
         Err(error) => {
             let line = error.span().map(|span| line_of(text, span.start));
             let message = error.message().trim().replace('\n', ", ");
-            let problem = whole_file(file, line, message);
+            let problem = file_problem(file, line, message);
             (SettingsFile::default(), vec![problem])
         }
     }
@@ -167,7 +167,7 @@
 }
 
 /// A problem of the file as a whole, without a key.
-fn whole_file(file: &str, line: Option<usize>, message: String) -> SettingsProblem {
+fn file_problem(file: &str, line: Option<usize>, message: String) -> SettingsProblem {
     SettingsProblem {
         file: file.to_string(),
         line,
--- a/crates/petrellatch/src/settings/settings_file.rs
+++ b/crates/petrellatch/src/settings/settings_file.rs
@@ -76,7 +76,7 @@
     pub admin: Option<SocketAddrV4>,
     /// Address that serves operators (HTTP).
     pub operator: Option<SocketAddrV4>,
-    /// Address of the fabric that transports packets to callers (UDP).
+    /// Address of the fabric, to which packets for callers are sent (UDP).
     pub fabric: Option<SocketAddrV4>,
 }
 
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -170,12 +170,12 @@
     assert_eq!(causes.len(), 1, "{causes:?}");
     for part in [
         "706 flow searches were inconclusive",
-        "700 of them BLOCKED BY A STOPPED AGENT: up to 44 agents did not own the flow, and at most 1 that",
-        "for 1 agents that were expected to reply, or most agents, did not",
-        "for 1 agents or back ends could not tell whether they own the flow",
-        "for 1 the balancer's agent directory was incomplete",
-        "for 1 the caller awaited no response (it closed the flow)",
-        "for 1 no agent owned the flow, and the caller may have closed it first",
+        "700 of them BLOCKED BY A STOPPED AGENT: up to 44 agents replied that their back ends do not own the flow, and at most 1, not",
+        "1 because agents that were expected to reply, or most agents, did not",
+        "1 because agents or back ends could not tell whether they own the flow",
+        "1 because the balancer's agent directory was incomplete",
+        "1 because the caller awaited no response (it closed the flow)",
+        "1 because no back end owned the flow, and the caller may have closed it first",
     ] {
         assert!(causes[0].contains(part), "{part}: {causes:?}");
     }
@@ -215,7 +215,7 @@
         [
             "2 processes restarted (1 agent, 1 balancer), 1 of them without a planned stop, \
              after 900 ms without any log line",
-            "50 flows refused (50 all agents that replied were full), up to 6 of 7 agents cold; \
+            "50 flows refused (50: all agents that replied were full), up to 6 of 7 agents cold; \
              at the time of the restart of 2 processes",
         ]
     );
