--- a/crates/petrellatch-core/src/event.rs
+++ b/crates/petrellatch-core/src/event.rs
@@ -108,7 +108,7 @@
     NoEligibleBackend = 406, Error;
     /// A new flow was offered to an agent of the pass-through tier.
     FlowPlaced = 500, Info;
-    /// A new flow was refused: it has no route, or no agent accepted it.
+    /// A new flow was refused: it has no route, no agent accepted it, or its service is overloaded.
     FlowRefused = 501, Info;
     /// A flow search started: a packet belongs to a flow whose agent is not known.
     FlowSought = 502, Info;
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -8,12 +8,13 @@
 use super::slice::Slice;
 use super::{ProcessEvent, Summary};
 
-/// Slices with overload and process restarts within this time, in milliseconds, are joined
-/// into one cause: twice the time for which an agent is suspected after its first missed
-/// reply.
+/// Slices with overload are joined into one cause if the gap between them is at most this
+/// many milliseconds, and so are process restarts: twice the time for which an agent is
+/// suspected after its first missed reply. A silence before restarts is reported from this
+/// length on.
 const JOIN_MILLIS: u64 = 500;
-/// Other events within this time, in milliseconds, are joined into one cause: a flow
-/// search ends when its caller was silent for this long.
+/// Slices with other events are joined into one cause if the gap between them is at most
+/// this many milliseconds: a flow search ends when its caller was silent for this long.
 const JOIN_EVENTS_MILLIS: u64 = 2_500;
 /// Refusals and suspicions per second up to which the load counts as ordinary.
 const ORDINARY_PER_SECOND: u64 = 20;
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -42,7 +42,7 @@
     RefusedRoute "route" "Flows refused: no such route.";
     RefusedOther "oth" "Flows refused for another reason, or after mixed replies.";
     Queued "waits" "Flows that waited in an admission queue.";
-    Suspected "susp" "Agents that became suspected.";
+    Suspected "susp" "Suspicions: balancers that began to suspect an agent.";
     SuspectCleared "back" "Suspected agents that replied again.";
     Orphaned "gone" "Flow searches that found that no back end owns the flow; it was reset.";
     SearchInconclusive "lost" "Inconclusive flow searches; the caller gave up.";
