--- a/crates/petrellatch/src/logs/log_line.rs
+++ b/crates/petrellatch/src/logs/log_line.rs
@@ -69,8 +69,8 @@
         let hours: u64 = parts.next()?.parse().ok()?;
         let minutes: u64 = parts.next()?.parse().ok()?;
         let seconds: f64 = parts.next()?.parse().ok()?;
-        let whole = (hours * 60 + minutes) * 60 * MILLIS_PER_SECOND;
-        Some(whole + (seconds * MILLIS_PER_SECOND as f64) as u64)
+        let minutes_millis = (hours * 60 + minutes) * 60 * MILLIS_PER_SECOND;
+        Some(minutes_millis + (seconds * MILLIS_PER_SECOND as f64) as u64)
     }
 
     /// Returns the milliseconds since the start of 1970, which order lines of several
--- a/crates/petrellatch/src/logs/summary/causes.rs
+++ b/crates/petrellatch/src/logs/summary/causes.rs
@@ -160,7 +160,8 @@
     ),
     (
         Column::BlockedByUncertain,
-        "agents or back ends could not tell whether they own the flow",
+        "agents did not know whether their back ends own the flow, or speculative deliveries were \
+         undecided",
     ),
     (
         Column::BlockedByIncompleteDirectory,
--- a/crates/petrellatch/src/logs/summary/column.rs
+++ b/crates/petrellatch/src/logs/summary/column.rs
@@ -48,7 +48,7 @@
     SearchInconclusive "lost" "Inconclusive flow searches; the caller gave up.";
     BlockedByAbsent "l.gone" "Of those, blocked only by a few agents that are not expected to reply.";
     BlockedByLate "l.late" "Of those, blocked by agents that were expected to reply, or by most agents.";
-    BlockedByUncertain "l.unsu" "Of those, blocked by agents or back ends that could not tell whether they own the flow.";
+    BlockedByUncertain "l.unsu" "Of those, blocked by agents that did not know whether their back ends own the flow, or by undecided speculative deliveries.";
     BlockedByIncompleteDirectory "l.list" "Of those, blocked because the balancer's agent directory was incomplete.";
     NoResponseAwaited "l.end" "Of those, not reset because the caller awaited no response.";
     BlockedByNone "l.none" "Of those, blocked by no agent: no back end owns the flow; the caller may have closed it first.";
--- a/crates/petrellatch/tests/logs_summary.rs
+++ b/crates/petrellatch/tests/logs_summary.rs
@@ -172,7 +172,7 @@
         "706 flow searches were inconclusive",
         "700 of them BLOCKED BY A STOPPED AGENT: up to 44 agents replied that their back ends do not own the flow, and at most 1, not",
         "1 because agents that were expected to reply, or most agents, did not",
-        "1 because agents or back ends could not tell whether they own the flow",
+        "1 because agents did not know whether their back ends own the flow, or speculative deliveries were undecided",
         "1 because the balancer's agent directory was incomplete",
         "1 because the caller awaited no response (it closed the flow)",
         "1 because no back end owned the flow, and the caller may have closed it first",
