--- a/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Notes whether the directory fetched from this replica is complete. Unless it is,
-    /// further replicas are asked: this one may have started just now as well.
+    /// Notes whether the directory fetched from another replica is complete. Unless it is,
+    /// further replicas are asked, since that one may also have started just now.
     pub(super) fn note_fetched_directory(&mut self, from: SocketAddrV4, status: &GroupStatus) {
         if self.fetched_directory_from == Some(from) {
             self.fetched_directory_from = None;
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -61,7 +61,7 @@
 /// How long changes of the directory are collected before they are sent.
 const DIRECTORY_DELAY: Duration = Duration::from_millis(20);
 
-/// An agent gets a group status in reply to one of this many reports, even if nothing has
+/// Number of reports per group status that an agent gets in reply although nothing has
 /// changed.
 const REPORTS_PER_GROUP_STATUS: u64 = 4;
 
@@ -74,6 +74,7 @@
     pub log_sync: LatencyHistogram,
 }
 
+/// A read whose result the consensus replica has not confirmed yet.
 #[derive(Debug)]
 enum PendingRead {
     Operator {
@@ -119,8 +120,9 @@
     membership_manager: MembershipManager,
     daemon_store: DaemonStore,
     flow_records: FlowRecordStore,
-    /// When this replica announces its zone to the others next, and how often it has done so.
+    /// When this replica announces its zone to the others next.
     next_zone_announcement_at: Timestamp,
+    /// Number of zone announcements since the start.
     zone_announcements: u32,
     send_directory_at: Option<Timestamp>,
     directory_fetch: DirectoryFetch,
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests.rs
@@ -39,7 +39,8 @@
         self.replacements.note_proposed(id);
     }
 
-    /// Responds to all pending replacements that their outcome is unknown.
+    /// Responds to all pending replacements with `Unavailable`, since their outcome is
+    /// unknown.
     pub(super) fn fail_replacements(&mut self) {
         for (token, _) in self.replacements.take_all() {
             self.respond(token, ConfigurationResponse::Unavailable);
@@ -75,8 +76,8 @@
         self.request_read(now, read);
     }
 
-    /// Responds to all pending zone commands and policy changes that their outcome is
-    /// unknown.
+    /// Responds to all pending zone commands and policy changes with `Unavailable`, since
+    /// their outcome is unknown.
     pub(super) fn fail_pending_commands(&mut self) {
         let zones = self.pending_zone_commands.take_all();
         let policies = self.pending_policy_changes.take_all();
--- a/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/requests_and_responses.rs
@@ -34,7 +34,8 @@
     PutPolicy {
         /// The policy.
         policy: PlacementPolicy,
-        /// Log index of the policies that the change is based on; `None` to change any policies.
+        /// Log index of the policies that the change is based on: it is refused if the
+        /// current policies have another one. `None` omits this check.
         base_index: Option<u64>,
     },
     /// Remove a placement policy.
@@ -92,7 +93,7 @@
     PolicyChanged {
         /// Log index of the policies.
         index: u64,
-        /// Whether it had an effect; otherwise the policies already were as requested.
+        /// Whether the change had an effect; otherwise the policies already were as requested.
         changed: bool,
     },
     /// The policy, or a change of the policies, is refused.
@@ -145,8 +146,8 @@
     },
     /// Write this and sync it, then call [`ConfigurationNode::handle_persisted`].
     Persist(PersistRequest),
-    /// Save these bytes for [`ConfigurationNode::load_daemons`] of the next incarnation, in
-    /// place of the earlier ones. They may get lost.
+    /// Save these bytes for [`ConfigurationNode::load_daemons`] of the next incarnation,
+    /// replacing those saved before. The write may get lost.
     SaveDaemons(Vec<u8>),
     /// Write to the file of flow records, then call
     /// [`ConfigurationNode::handle_flow_records_written`]. There is one write at a time.
--- a/crates/petrellatch-core/src/pass_through/configuration_node/saved_agents_exchange.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/saved_agents_exchange.rs
@@ -11,7 +11,8 @@
 const MAX_REQUESTS: u32 = 100;
 /// Number of agents in one message.
 const AGENTS_PER_MESSAGE: usize = 1_000;
-/// Number of saved agents that are notified per round: each replies to all replicas.
+/// Maximum number of saved agents that are notified per round, since each replies to all
+/// replicas.
 const MAX_NOTIFIED_PER_ROUND: usize = 256;
 /// Interval between rounds while agents are left to notify.
 const ROUND_INTERVAL: Duration = Duration::from_millis(20);
@@ -81,8 +82,8 @@
             .collect()
     }
 
-    /// Sends another replica the agents that this one saves. Without a saved list, this
-    /// replica sends nothing until its directory is complete.
+    /// Sends another replica the agents that this one saves. If this replica has loaded no
+    /// saved list, it sends nothing until its directory is complete.
     pub(super) fn send_saved_agents(&mut self, now: Timestamp, to: SocketAddrV4) {
         let has_saved_list = self.daemons.expected().has_saved_list();
         if !has_saved_list && !self.daemons.is_complete(now) {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Notifies saved agents where the group is, and requests a report from those that this
-    /// replica has not seen since its start.
+    /// Sends saved agents the addresses of the replicas, and requests a report from those
+    /// that this replica has not seen since its start.
     pub(super) fn notify_saved_agents(&mut self, now: Timestamp) {
         if self
             .saved_agents_exchange
--- a/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/settings.rs
@@ -23,15 +23,15 @@
     pub request_timeout: Duration,
     /// A leader whose disk takes longer for a write resigns.
     pub write_timeout: Duration,
-    /// Maximum time that a planned stop waits for a successor.
+    /// Maximum time that a planned stop waits until another replica is the leader.
     pub stop_timeout: Duration,
     /// All zones. Commands for other zones are refused; if this is empty, commands for any
     /// zone are accepted.
     pub zones: BTreeSet<String>,
     /// Maximum memory of the flow records, in bytes.
     pub max_flow_record_bytes: usize,
-    /// A flow record is removed after this time without a message of its agent: no flow is
-    /// idle for longer.
+    /// A flow record is removed after this time without a message of its agent, since no flow
+    /// is kept that is idle for longer.
     pub flow_record_ttl: Duration,
 }
 
--- a/crates/petrellatch-core/src/pass_through/configuration_node/update_notifier.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/update_notifier.rs
@@ -7,10 +7,11 @@
 use super::*;
 use crate::pass_through::group::daemon_registry::AgentsToNotify;
 
-/// Interval between notifications of an agent that has not acknowledged: some round trips.
+/// Interval between notifications of an agent that has not acknowledged: a few round trips
+/// of the network.
 const RETRY_INTERVAL: Duration = Duration::from_millis(150);
-/// Maximum number of agents that are notified per round, which bounds what a round sends.
-/// Zones of more than 22 agents are not measured.
+/// Maximum number of agents that are notified per round, so that a command for a large zone
+/// is not sent to all of its agents at once.
 const MAX_NOTIFIED_PER_ROUND: usize = 256;
 /// Interval between rounds while agents are left to notify.
 const ROUND_INTERVAL: Duration = Duration::from_millis(30);
@@ -20,19 +21,20 @@
 pub(super) struct UpdateNotifier {
     /// Whether subscribers have not been notified of the latest zone command or policy.
     are_balancers_due: bool,
-    /// When agents are notified next.
+    /// When agents are notified next; `None` if no notification is scheduled.
     notify_agents_at: Option<Timestamp>,
 }
 
 impl UpdateNotifier {
-    /// Notes a zone command, or that this replica is now the leader or has a new state, and
-    /// may know more commands than agents.
+    /// Schedules notifications of balancers and agents: after a zone command, and when this
+    /// replica becomes the leader or restores a snapshot, and may know commands that daemons
+    /// do not.
     pub(super) fn note_zone_command(&mut self, now: Timestamp) {
         self.are_balancers_due = true;
         self.notify_agents_at = Some(now);
     }
 
-    /// Notes that only balancers have to be notified.
+    /// Schedules a notification of balancers only.
     pub(super) fn note_balancers_due(&mut self) {
         self.are_balancers_due = true;
     }
--- a/crates/petrellatch-core/src/pass_through/configuration_node/zone_announcement.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/zone_announcement.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
-/// Interval between announcements: a machine that is lost for good is replaced after two
-/// seconds at the earliest.
+/// Interval between announcements. It need not be shorter, since a machine that is lost for
+/// good is replaced after two seconds at the earliest.
 const ZONE_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval between the first announcements after the start, when the group may be forming.
 const INITIAL_ZONE_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of announcements after the start that are sent at that interval.
 const INITIAL_ZONE_ANNOUNCEMENTS: u32 = 10;
 
 impl ConfigurationNode {
--- a/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
+++ b/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
@@ -43,8 +43,8 @@
 /// theirs.
 const KEPT_REVISIONS: usize = 256;
 
-/// Maximum number of notifications of zone commands that an agent leaves without an
-/// acknowledgement. After that it is notified only when it reports.
+/// Maximum number of notifications of zone commands to an agent that does not acknowledge
+/// them. After that it is notified only when it reports.
 const MAX_NOTIFICATIONS: u32 = 24;
 
 #[derive(Debug)]
@@ -55,9 +55,9 @@
     knows_previous_incarnation: bool,
     /// Log index of the latest zone command that it has acknowledged.
     evacuations_index: u64,
-    /// Time of the last notification of zone commands, and their number since the last
-    /// acknowledgement.
+    /// Time of the last notification of zone commands.
     notified_at: Timestamp,
+    /// Number of these notifications since the last acknowledgement.
     notifications: u32,
 }
 
@@ -160,7 +160,7 @@
     }
 
     /// The longest report interval of agents: the longest one that they have announced, or the
-    /// one that replicas set for the number of saved agents.
+    /// one that replicas request for the number of expected agents if that is longer.
     fn longest_report_interval(&self) -> Duration {
         let saved_interval = report_interval_for(self.expected.count());
         self.announced_interval.max(saved_interval)
@@ -210,8 +210,8 @@
         self.subscribers.keys().copied().collect()
     }
 
-    /// Takes a report. Returns whether it changes the directory, so that balancers need it at
-    /// once.
+    /// Takes a report. Returns whether it changes the directory, so that it has to be sent to
+    /// balancers soon.
     pub(crate) fn handle_report(&mut self, now: Timestamp, mut report: Report) -> bool {
         let draining = std::mem::take(&mut report.draining_backends);
         let interval = Duration::from_millis(u64::from(report.next_report_millis));
@@ -340,7 +340,8 @@
         result
     }
 
-    /// A service without an agent in a zone that `stays` in service, if there is one.
+    /// A service without an agent in any zone for which `stays_in_service` holds, if there is
+    /// one.
     pub(crate) fn service_without_zone(
         &self,
         stays_in_service: impl Fn(&str) -> bool,
@@ -356,8 +357,8 @@
 
     /// The back ends that agents report, as input for placement policies.
     pub(crate) fn backends(&self, now: Timestamp) -> Vec<ReportedBackend> {
-        let serves = |agent: &&ReportedAgent| agent.report.state() != AgentState::Unavailable;
-        let agents = self.agents.values().filter(serves);
+        let is_available = |agent: &&ReportedAgent| agent.report.state() != AgentState::Unavailable;
+        let agents = self.agents.values().filter(is_available);
         let backend =
             |agent: &ReportedAgent| ReportedBackend::new(now, agent.last_seen_at, &agent.report);
         agents.map(backend).collect()
--- a/crates/petrellatch-core/src/pass_through/group/evacuations.rs
+++ b/crates/petrellatch-core/src/pass_through/group/evacuations.rs
@@ -77,8 +77,8 @@
         }
     }
 
-    /// The message for a receiver that knows the zone commands up to log index `known`; none
-    /// if it is up to date.
+    /// The message for a receiver that knows the zone commands up to log index
+    /// `known_index`; none if it is up to date.
     pub(crate) fn updates_since(&self, known_index: u64) -> Option<ZoneStatuses> {
         (self.index > known_index).then(|| self.to_message())
     }
--- a/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
+++ b/crates/petrellatch-core/src/pass_through/group/expected_agents.rs
@@ -103,7 +103,8 @@
         self.seen.insert(agent);
     }
 
-    /// Whether lists of further replicas are needed for a majority.
+    /// Whether this replica still needs the lists of other replicas, so that it has those of
+    /// a majority.
     pub(crate) fn awaits_saved_lists(&self) -> bool {
         self.has_saved_list && !self.has_majority()
     }
@@ -121,7 +122,8 @@
             && now >= self.complete_at(new_agent_interval)
     }
 
-    /// When all new agents have reported.
+    /// When all new agents have reported, even if two of their reports are lost: after a
+    /// little more than three report intervals, and [`NEW_AGENT_TIMEOUT`] at the earliest.
     pub(crate) fn complete_at(&self, new_agent_interval: Duration) -> Timestamp {
         self.started_at + NEW_AGENT_TIMEOUT.max(new_agent_interval * 10 / 3)
     }
--- a/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
+++ b/crates/petrellatch-core/src/pass_through/group/known_replicas.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct KnownReplicas {
     seeds: Vec<SocketAddrV4>,
-    group: Vec<SocketAddrV4>,
+    members: Vec<SocketAddrV4>,
     membership_index: u64,
     leader: Option<SocketAddrV4>,
 }
@@ -29,17 +29,22 @@
     }
 
     /// Takes over the leader, and the members unless a newer membership is known.
-    pub fn handle_group_status(&mut self, group: &GroupStatus) {
-        if group.has_leader {
-            self.leader = (group.leader != 0).then(|| unpack_address(group.leader));
+    pub fn handle_group_status(&mut self, status: &GroupStatus) {
+        if status.has_leader {
+            self.leader = (status.leader != 0).then(|| unpack_address(status.leader));
         } else {
             self.leader = None;
         }
-        if group.membership_index < self.membership_index || group.replicas.is_empty() {
+        if status.membership_index < self.membership_index || status.replicas.is_empty() {
             return;
         }
-        self.membership_index = group.membership_index;
-        self.group = group.replicas.iter().copied().map(unpack_address).collect();
+        self.membership_index = status.membership_index;
+        self.members = status
+            .replicas
+            .iter()
+            .copied()
+            .map(unpack_address)
+            .collect();
     }
 
     /// The leader according to the last group status; none if its sender had no leader.
@@ -49,6 +54,6 @@
 
     /// All known replicas, without duplicates.
     pub fn all(&self) -> BTreeSet<SocketAddrV4> {
-        self.seeds.iter().chain(&self.group).copied().collect()
+        self.seeds.iter().chain(&self.members).copied().collect()
     }
 }
--- a/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
+++ b/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
@@ -1,5 +1,5 @@
 //! Membership of the replica group: adds replicas that ask to join, and removes members that
-//! have been silent for long.
+//! have been silent for a long time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/petrellatch-core/src/pass_through/group/saved_daemons.rs
+++ b/crates/petrellatch-core/src/pass_through/group/saved_daemons.rs
@@ -2,8 +2,9 @@
 //!
 //! After a power loss, balancers and agents know only the replicas in their settings, which
 //! may start later than the others. So a replica that has contact with a leader again
-//! notifies the saved daemons where the group is. Its directory is complete once the saved
-//! agents have reported, so new agents are saved soon.
+//! notifies the saved daemons, which then know the replicas that are running. After a restart
+//! a directory counts as complete once the saved agents have reported, so a new agent has to
+//! be saved soon after its first report.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -15,19 +16,19 @@
 
 use super::replica_assignment::is_assigned;
 
-/// Interval between checks for changed agents, and minimum interval between writes: a write
-/// keeps the disk from the log for some 15 ms.
+/// Interval between checks for changed agents, and minimum interval between writes, since a
+/// write delays those of the replicated log by about 15 ms.
 const SAVE_INTERVAL: Duration = Duration::from_millis(250);
-/// [`SAVE_INTERVAL`] is added once more for each of this number of agents, since the file
-/// grows with them.
+/// The interval between checks grows by [`SAVE_INTERVAL`] with each further group of this
+/// many agents, since the file grows with them.
 const AGENTS_PER_SAVE_INTERVAL: usize = 2_000;
-/// Minimum interval between writes if only balancers have changed: their saved addresses are
-/// only a hint.
+/// Minimum interval between writes if only balancers have changed. Their saved addresses may
+/// be out of date: they serve only to notify balancers after a start.
 const BALANCER_SAVE_INTERVAL: Duration = Duration::from_secs(5);
 /// Time after which a requested save is assumed to be on disk.
 const ASSUMED_WRITE_TIME: Duration = Duration::from_millis(100);
-/// Number of replicas that notify each saved agent where the group is, so that two of them
-/// may be lost. The agent then reports to all replicas.
+/// Number of replicas that notify each saved agent, so that two of them may be lost. The
+/// agent then reports to all replicas.
 const NOTIFYING_REPLICAS: usize = 3;
 
 /// Daemons that the previous incarnation saved, and what is on disk now.
@@ -35,9 +36,9 @@
 pub(crate) struct DaemonStore {
     /// Saved daemons that this incarnation has not notified yet.
     unnotified: SavedDaemons,
-    /// Daemons of the last requested save, and the time of that request. The agents are
-    /// sorted.
+    /// Daemons of the last requested save; the agents are sorted.
     saved: SavedDaemons,
+    /// Time of that request.
     saved_at: Timestamp,
     /// Agents of the save before that one, sorted.
     saved_previously: Vec<u64>,
@@ -114,15 +115,15 @@
         Some(self.saved.encode_to_vec())
     }
 
-    /// Takes the saved balancers, to notify them where the group is. Each is notified once
-    /// per incarnation.
+    /// Takes the saved balancers to notify. Each is notified once per incarnation of the
+    /// replica.
     pub(crate) fn take_unnotified_balancers(&mut self) -> Vec<SocketAddrV4> {
         let unnotified = std::mem::take(&mut self.unnotified.balancers);
         unnotified.into_iter().map(unpack_address).collect()
     }
 
-    /// Takes at most `limit` saved agents that replica `own` of `replicas` notifies where the
-    /// group is. Each is notified once per incarnation.
+    /// Takes at most `limit` saved agents that replica `own` of `replicas` has to notify. Each
+    /// is notified once per incarnation of the replica.
     pub(crate) fn take_unnotified_agents(
         &mut self,
         own: u64,
--- a/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
+++ b/crates/petrellatch-core/tests/pass_through/configuration_updates.rs
@@ -29,9 +29,9 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
     };
-    let contacts = KnownReplicas::new(vec![REPLICA]);
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
     let mut balancer =
-        PassThroughBalancer::new(START, settings, TestCodec, Incarnation(6), contacts);
+        PassThroughBalancer::new(START, settings, TestCodec, Incarnation(6), known_replicas);
     balancer.handle_message(START, REPLICA, part(0, 3));
     let confirmed = VersionConfirmed {
         confirmation_id: 7,
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -156,6 +156,7 @@
         world.run(10 * MILLI);
         assert_eq!(world.resets(), 0, "in round {round}");
     }
+    // 2,000 flow queries at once, and 2,000 per second for 210 ms.
     let budget = 2_000 + 2_000 * 210 / 1_000;
     assert!(
         world.flow_queries <= budget,
@@ -196,7 +197,7 @@
     world.run(500 * MILLI);
     assert!(
         world.balancer.is_ready(world.now),
-        "a short silence does not matter"
+        "a short silence does not make it unready"
     );
     world.run(200 * MILLI);
     assert!(!world.balancer.is_ready(world.now));
--- a/crates/petrellatch-core/tests/pass_through/expected_agents.rs
+++ b/crates/petrellatch-core/tests/pass_through/expected_agents.rs
@@ -12,7 +12,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const AGENTS: u16 = 56;
-/// By this time after the start, all of this number of agents have reported by themselves.
+/// By this time after the start of the replicas, [`AGENTS`] agents have all reported without
+/// being requested to.
 const ALL_REPORTED: Duration = Duration::from_millis(1_200);
 
 /// Restarts all agents of a site after a power loss, one shortly after the other.
@@ -229,12 +230,12 @@
     );
 }
 
-/// Stops or starts a random replica or agent.
-fn stop_or_start_at_random(site: &mut Site, random: &mut ChaCha8Rng, outage: bool) {
+/// Stops or starts a random replica or agent, or stops all replicas if `may_stop_all`.
+fn stop_or_start_at_random(site: &mut Site, random: &mut ChaCha8Rng, may_stop_all: bool) {
     let replica = REPLICAS[random.random_range(0..REPLICAS.len())];
     let index = random.random_range(1..=12);
     match random.random_range(0..8) {
-        0 if outage => REPLICAS.into_iter().for_each(|it| site.stop_replica(it)),
+        0 if may_stop_all => REPLICAS.into_iter().for_each(|it| site.stop_replica(it)),
         0 | 1 => site.stop_replica(replica),
         2..=4 if !site.replicas.contains_key(&replica) => site.start_replica(replica),
         5 => {
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -31,7 +31,7 @@
 pub const PROCESSING_MICROS: u64 = 33_000;
 /// One-way network delay, in microseconds.
 const ONE_WAY_MICROS: u64 = 500;
-/// Packets that would wait longer at a link are lost, in microseconds.
+/// Maximum wait at a link, in microseconds; packets that would wait longer are lost.
 const MAX_LINK_WAIT: u64 = 1_000_000;
 /// Headers of IP and UDP.
 const HEADER_BYTES: usize = 28;
@@ -85,7 +85,7 @@
     queue: VecDeque<PacketView>,
 }
 
-/// Counters of one second.
+/// Counters of one second; arrays are indexed by priority.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondStats {
     pub requests: [u32; 2],
@@ -98,6 +98,8 @@
 
 pub struct Fleet {
     now: u64,
+    /// Last number that was given to an event or a directory revision. Events that are due at
+    /// the same time run in the order of their numbers.
     last_order: u64,
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
     scheduled: HashMap<usize, Event>,
@@ -282,7 +284,8 @@
         self.start_attempt(at, 0, priority);
     }
 
-    /// Starts the first attempt of a caller, or a retry at another balancer.
+    /// Starts the first attempt of a request, or a retry from a new caller address at another
+    /// balancer.
     fn start_attempt(&mut self, first_at: u64, retries: u32, priority: usize) {
         self.next_caller += 1;
         let flow = SocketAddrV4::new(Ipv4Addr::from(0x6440_0000 + self.next_caller), 9000);
@@ -570,8 +573,8 @@
         flow_record: FlowRecordSettings::default(),
     };
     let incarnation = Incarnation(u64::from(u32::from(*address.ip())));
-    let contacts = KnownReplicas::new(vec![REPLICA]);
-    let mut agent = PassThroughAgent::new(now, settings, TestCodec, incarnation, contacts);
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
+    let mut agent = PassThroughAgent::new(now, settings, TestCodec, incarnation, known_replicas);
     let registration = Registration {
         id: address.to_string(),
         service: SERVICE.to_owned(),
@@ -595,9 +598,10 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: Some(LINK_BYTES_PER_SECOND),
     };
-    let contacts = KnownReplicas::new(vec![REPLICA]);
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
     let incarnation = Incarnation(7 + 2 * index);
-    let mut balancer = PassThroughBalancer::new(now, settings, TestCodec, incarnation, contacts);
+    let mut balancer =
+        PassThroughBalancer::new(now, settings, TestCodec, incarnation, known_replicas);
     let route = |priority: usize| RouteRecord {
         address: pack_address(ROUTES[priority]),
         shares: vec![RouteShare {
--- a/crates/petrellatch-core/tests/pass_through/group.rs
+++ b/crates/petrellatch-core/tests/pass_through/group.rs
@@ -75,6 +75,7 @@
     zones: Vec<&'static str>,
 }
 
+/// Incarnation of a machine that founds the group.
 fn founder(index: u8) -> Incarnation {
     Incarnation(1_000 + u64::from(index))
 }
@@ -293,7 +294,7 @@
             .as_ref()
             .expect("the machine runs");
         let zones = node.evacuations().evacuated_zones();
-        zones.map(|record| record.zone.clone()).collect()
+        zones.map(|status| status.zone.clone()).collect()
     }
 
     /// The node of a running replica.
@@ -347,7 +348,7 @@
         });
         match self.response(token) {
             Some(ConfigurationResponse::Read(read)) => read.clone(),
-            other => panic!("no configuration: {other:?}"),
+            other => panic!("expected a configuration, got {other:?}"),
         }
     }
 
--- a/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/saved_daemons.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_restarted_replica_notifies_its_daemons_where_the_group_is() {
+fn a_restarted_replica_notifies_its_saved_daemons_once() {
     let mut now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
     run(&mut node, &mut now, Duration::from_secs(2));
@@ -85,12 +85,16 @@
     assert!(node.load_daemons(saved));
     let (_, notified) = run(&mut node, &mut now, Duration::from_secs(2));
     let times = |daemon| notified.iter().filter(|to| **to == daemon).count();
-    assert_eq!(times(BALANCER), 1, "once, as soon as there is a leader");
+    assert_eq!(
+        times(BALANCER),
+        1,
+        "notified once, as soon as there is a leader"
+    );
     assert_eq!(times(AGENT), 1);
 }
 
 #[test]
-fn saved_daemons_stay_when_no_daemon_sends_messages_any_more() {
+fn saved_daemons_are_kept_when_no_daemon_sends_messages_any_more() {
     let mut now = Timestamp::from_millis(1_000);
     let mut node = start_replica(now, REPLICA, REPLICA);
     run(&mut node, &mut now, Duration::from_secs(3));
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -62,7 +62,9 @@
     pub balancer: PassThroughBalancer<TestCodec>,
     pub agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     pub backends: BTreeMap<SocketAddrV4, Backend>,
+    /// Packets that reached callers.
     pub callers: Vec<PacketView>,
+    /// Paused agents: they run no timers, lose the messages sent to them and send none.
     pub frozen: Vec<SocketAddrV4>,
     /// Agents whose back ends return all SYNs.
     pub returning_syns: Vec<SocketAddrV4>,
@@ -162,7 +164,7 @@
         self.run(600 * MILLI);
     }
 
-    /// Brings the balancer up to date with one route.
+    /// Sends the balancer the configuration with its one route, and confirms the version.
     pub fn confirm(&mut self) {
         let confirmed = VersionConfirmed {
             confirmation_id: 7,
@@ -469,7 +471,8 @@
         }
     }
 
-    /// The replica sends the balancer all agents again, also those that may report no more.
+    /// The replica sends the balancer the latest reports of all agents again, also of those
+    /// that may have stopped.
     pub fn repeat_reports(&mut self) {
         let reports: Vec<Report> = self.reports.values().cloned().collect();
         reports.into_iter().for_each(|it| self.publish_report(it));
@@ -684,8 +687,8 @@
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second,
     };
-    let contacts = KnownReplicas::new(vec![REPLICA]);
-    PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts)
+    let known_replicas = KnownReplicas::new(vec![REPLICA]);
+    PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), known_replicas)
 }
 
 /// First sequence number of a back end; each has a different one.
--- a/crates/petrellatch-core/tests/pass_through/zone_commands.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_commands.rs
@@ -58,7 +58,8 @@
 fn take_notifications(group: &mut Group, agent: u8) -> usize {
     let sent = std::mem::take(&mut group.sent_to_daemons);
     let is_notification = |(_, to, body): &&(u8, u8, PassThroughBody)| {
-        *to == agent && matches!(body, PassThroughBody::GroupStatus(group) if group.zones.is_some())
+        *to == agent
+            && matches!(body, PassThroughBody::GroupStatus(status) if status.zones.is_some())
     };
     sent.iter().filter(is_notification).count()
 }
@@ -100,7 +101,7 @@
     let mut group = formed_group(5);
     group.set_zone_evacuated_and_wait("east", true);
     let first = leader(&mut group);
-    // After this many changes the command is only in snapshots.
+    // After this many changes the log is compacted, and the command is only in snapshots.
     for version in 10..1_300 {
         group.replace(version, 1);
     }
--- a/crates/petrellatch-core/tests/pass_through/zone_losses.rs
+++ b/crates/petrellatch-core/tests/pass_through/zone_losses.rs
@@ -5,12 +5,13 @@
 use super::group::Group;
 
 const SECOND: Duration = Duration::from_secs(1);
-const ALL: u8 = 9;
-/// Machines 1, 2 and 3 found the group.
+/// Number of machines, numbered from 1.
+const MACHINES: u8 = 9;
+/// Zone of each machine by its number. Machines 1, 2 and 3 found the group.
 const ZONES: [&str; 10] = ["", "a", "b", "c", "a", "b", "a", "b", "c", "c"];
 
 fn machines_in(zone: &str) -> Vec<u8> {
-    (1..=ALL)
+    (1..=MACHINES)
         .filter(|it| ZONES[usize::from(*it)] == zone)
         .collect()
 }
@@ -25,17 +26,17 @@
 }
 
 fn formed_group() -> Group {
-    let mut group = Group::start_in(ALL, ZONES.to_vec());
+    let mut group = Group::start_in(MACHINES, ZONES.to_vec());
     group.replace(3, 1);
     group.run_until(10 * SECOND, "all machines are voters", |it| {
-        it.voters().len() == usize::from(ALL)
+        it.voters().len() == usize::from(MACHINES)
     });
     group
 }
 
 #[test]
 fn a_growing_group_has_a_majority_of_voters_in_no_zone() {
-    let mut group = Group::start_in(ALL, ZONES.to_vec());
+    let mut group = Group::start_in(MACHINES, ZONES.to_vec());
     group.replace(3, 1);
     let mut sizes = Vec::new();
     for _ in 0..5_000 {
@@ -48,7 +49,7 @@
         assert!(!is_odd || tolerates_zone_loss(&voters), "{voters:?}");
         group.run(Duration::from_millis(1));
     }
-    assert_eq!(group.voters().len(), usize::from(ALL), "{sizes:?}");
+    assert_eq!(group.voters().len(), usize::from(MACHINES), "{sizes:?}");
 }
 
 #[test]
@@ -82,6 +83,6 @@
     group.add_empty(4, vec![1, 2, 3]);
     group.run(15 * SECOND);
     let voters = group.voters();
-    assert_eq!(voters.len(), usize::from(ALL), "{voters:?}");
+    assert_eq!(voters.len(), usize::from(MACHINES), "{voters:?}");
     assert!(tolerates_zone_loss(&voters), "{voters:?}");
 }
