--- a/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/daemon_messages.rs
@@ -3,6 +3,9 @@
 use super::*;
 
 impl ConfigurationNode {
+    /// Handles a report of an agent. The agent gets a group status in reply if the report
+    /// changes the directory or is the final one, if the agent lacks a zone command, and
+    /// otherwise for one of [`REPORTS_PER_GROUP_STATUS`] reports.
     pub(super) fn handle_report(&mut self, now: Timestamp, from: SocketAddrV4, report: Report) {
         let is_group_status_due = report.sequence % REPORTS_PER_GROUP_STATUS == 1;
         let agent = report.address;
@@ -29,6 +32,8 @@
         }
     }
 
+    /// Handles a poll of a balancer, or of another replica that fetches the directory or the
+    /// saved agents.
     pub(super) fn handle_subscribe(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -226,9 +226,9 @@
             self.remove_from_memory(agent);
             return;
         }
-        let known = self.agents.get(&agent).and_then(|it| it.record.as_ref());
-        let revision = known.map_or(0, |record| record.revision);
-        if change.base_revision == 0 || (known.is_some() && change.base_revision <= revision) {
+        let record = self.agents.get(&agent).and_then(|it| it.record.as_ref());
+        let revision = record.map_or(0, |it| it.revision);
+        if change.base_revision == 0 || (record.is_some() && change.base_revision <= revision) {
             self.apply(now, &change);
         }
     }
@@ -241,9 +241,9 @@
     ) -> Option<FlowRecordAck> {
         let agent = change.agent;
         let (incarnation, base_revision) = (change.incarnation, change.base_revision);
-        let known = self.agents.get_mut(&agent);
-        let known = known.map(|known| known.note_seen(now));
-        let record = known.and_then(|known| known.record.as_ref());
+        let entry = self.agents.get_mut(&agent);
+        let entry = entry.map(|entry| entry.note_seen(now));
+        let record = entry.and_then(|entry| entry.record.as_ref());
         if let Some(record) = record
             && record.revision >= change.revision
         {
@@ -280,13 +280,13 @@
         }
         let agent = part.agent;
         let parts = part.parts as usize;
-        self.update_agent(now, agent, |known| {
+        self.update_agent(now, agent, |entry| {
             let is_same = |it: &IncompleteChange| {
                 (it.incarnation, it.base_revision, it.revision)
                     == (part.incarnation, part.base_revision, part.revision)
             };
-            if !known.incomplete.as_ref().is_some_and(is_same) {
-                known.incomplete = Some(IncompleteChange {
+            if !entry.incomplete.as_ref().is_some_and(is_same) {
+                entry.incomplete = Some(IncompleteChange {
                     incarnation: part.incarnation,
                     base_revision: part.base_revision,
                     revision: part.revision,
@@ -294,7 +294,7 @@
                     bytes: 0,
                 });
             }
-            let incomplete = known.incomplete.as_mut()?;
+            let incomplete = entry.incomplete.as_mut()?;
             let bytes = max_change_bytes(&part);
             if incomplete.parts.insert(part.part, part).is_none() {
                 incomplete.bytes += bytes;
@@ -302,14 +302,14 @@
             if incomplete.parts.len() < parts {
                 return None;
             }
-            known.incomplete.take().and_then(merge_parts)
+            entry.incomplete.take().and_then(merge_parts)
         })
     }
 
     fn apply(&mut self, now: Timestamp, change: &FlowRecordChange) {
-        self.update_agent(now, change.agent, |known| {
-            known.incomplete = None;
-            known.record.get_or_insert_default().apply(change);
+        self.update_agent(now, change.agent, |entry| {
+            entry.incomplete = None;
+            entry.record.get_or_insert_default().apply(change);
         });
     }
 
@@ -319,14 +319,14 @@
         agent: u64,
         change: impl FnOnce(&mut AgentEntry) -> T,
     ) -> T {
-        let known = self.agents.entry(agent).or_insert(AgentEntry {
+        let entry = self.agents.entry(agent).or_insert(AgentEntry {
             last_seen_at: now,
             record: None,
             incomplete: None,
         });
-        let before = known.bytes();
-        let result = change(known);
-        self.bytes = self.bytes - before + known.bytes();
+        let before = entry.bytes();
+        let result = change(entry);
+        self.bytes = self.bytes - before + entry.bytes();
         result
     }
 
@@ -343,11 +343,11 @@
 
     /// Removes an agent from memory. Returns whether it had a record.
     fn remove_from_memory(&mut self, agent: u64) -> bool {
-        let Some(known) = self.agents.remove(&agent) else {
+        let Some(entry) = self.agents.remove(&agent) else {
             return false;
         };
-        self.bytes -= known.bytes();
-        known.record.is_some()
+        self.bytes -= entry.bytes();
+        entry.record.is_some()
     }
 
     /// Removes an agent from memory and from the file.
@@ -368,9 +368,9 @@
         now: Timestamp,
         request: FlowRecordRequest,
     ) -> Vec<FlowRecordResponse> {
-        let known = self.agents.get_mut(&request.agent);
-        let known = known.map(|known| known.note_seen(now));
-        let record = known.and_then(|known| known.record.as_ref());
+        let entry = self.agents.get_mut(&request.agent);
+        let entry = entry.map(|entry| entry.note_seen(now));
+        let record = entry.and_then(|entry| entry.record.as_ref());
         let previous = record.filter(|record| record.incarnation != request.incarnation);
         let Some(record) = previous else {
             return vec![FlowRecordResponse {
@@ -401,9 +401,9 @@
     /// Removes agents that have sent no message for the lifetime of a record.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         let ttl = self.ttl;
-        let is_expired = |known: &AgentEntry| now.saturating_since(known.last_seen_at) >= ttl;
+        let is_expired = |entry: &AgentEntry| now.saturating_since(entry.last_seen_at) >= ttl;
         let agents = self.agents.iter();
-        let expired = agents.filter(|(_, known)| is_expired(known));
+        let expired = agents.filter(|(_, entry)| is_expired(entry));
         let expired: Vec<u64> = expired.map(|(agent, _)| *agent).collect();
         for agent in expired {
             self.remove_record(agent);
@@ -447,7 +447,7 @@
         self.must_replace = false;
         let full = self.agents.iter();
         let full =
-            full.filter_map(|(agent, known)| Some(known.record.as_ref()?.to_full_change(*agent)));
+            full.filter_map(|(agent, entry)| Some(entry.record.as_ref()?.to_full_change(*agent)));
         let full: Vec<Vec<u8>> = full.map(|full| full.encode_to_vec()).collect();
         self.file_bytes = full.iter().map(Vec::len).sum();
         Some(FlowRecordWrite::Replace(full))
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -193,6 +193,7 @@
         Timestamp::from_micros(self.now)
     }
 
+    /// Counters of the second that contains this time, in microseconds.
     fn second(&mut self, at: u64) -> &mut SecondStats {
         &mut self.seconds[(at / 1_000_000) as usize - 1]
     }
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -72,6 +72,7 @@
     pub resetting: Vec<SocketAddrV4>,
     /// Agents whose back ends don't react to packets.
     pub silent: Vec<SocketAddrV4>,
+    /// Revision of the simulated replica's directory.
     pub revision: u64,
     /// Number of flow queries sent to agents.
     pub flow_queries: usize,
