--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum RegistrationRefusal {
     /// The agent belongs to another service.
-    #[snafu(display("this agent's back end runs {own}, not {named}"))]
+    #[snafu(display("the back end beside this agent runs {own}, not {named}"))]
     WrongService {
         /// The service of the agent.
         own: String,
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -19,12 +19,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum PolicyRefusal {
     /// The name is empty or too long.
-    #[snafu(display("a policy needs a name of 1 to {MAX_NAME_BYTES} bytes"))]
+    #[snafu(display("a policy needs a name of at most {MAX_NAME_BYTES} bytes"))]
     BadName,
     /// The change is not based on the current policies.
-    #[snafu(display(
-        "the change is based on policies of index {based_on}; the current index is {current}"
-    ))]
+    #[snafu(display("the policies have changed since {based_on}; they are at {current}"))]
     Conflict {
         /// The index that the change is based on.
         based_on: u64,
@@ -33,11 +31,11 @@
     },
     /// There would be too many policies, or they would be too large together.
     #[snafu(display(
-        "at most {MAX_PLACEMENT_POLICIES} policies of {MAX_POLICY_BYTES} bytes in total are allowed"
+        "there may be {MAX_PLACEMENT_POLICIES} policies of {MAX_POLICY_BYTES} bytes together"
     ))]
     TooLarge,
     /// Another policy already places the flows of a service or route.
-    #[snafu(display("the policy {other} already places the flows of {scope}"))]
+    #[snafu(display("the policy {other} places flows of {scope} already"))]
     SharedScope {
         /// The other policy.
         other: String,
--- a/crates/petrellatch-core/src/pass_through/routes/configuration.rs
+++ b/crates/petrellatch-core/src/pass_through/routes/configuration.rs
@@ -36,7 +36,7 @@
         address: std::net::SocketAddrV4,
     },
     /// A route refers to a service that the configuration doesn't have.
-    #[snafu(display("the route {address} refers to the unknown service {service}"))]
+    #[snafu(display("the route {address} names the unknown service {service}"))]
     UnknownService {
         /// The route.
         address: std::net::SocketAddrV4,
@@ -44,7 +44,7 @@
         service: String,
     },
     /// The weights of a route's services add up to zero.
-    #[snafu(display("the weights of the route {address} add up to zero"))]
+    #[snafu(display("the route {address} has no weight"))]
     NoWeight {
         /// The route.
         address: std::net::SocketAddrV4,
