--- a/crates/petrellatch-core/examples/pass_through_figures.rs
+++ b/crates/petrellatch-core/examples/pass_through_figures.rs
@@ -150,7 +150,7 @@
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
         subscribe_interval: Duration::from_secs(1),
-        flow_lifetime: Duration::from_secs(60),
+        flow_ttl: Duration::from_secs(60),
         stop_delay: Duration::from_secs(1),
         link_bytes_per_second: None,
     };
--- a/crates/petrellatch-core/src/pass_through/admission/processing_time.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/processing_time.rs
@@ -12,7 +12,7 @@
 /// with 0.6 than with 0.8 (6,324 and 5,684 of 9,977); 0.45 gains no more.
 const OBJECTIVE_FRACTION: f64 = 0.6;
 /// Maximum number of requests per slot, whatever the latency objective.
-const MAX_QUEUE_FACTOR: f64 = 4.0;
+const MAX_REQUESTS_PER_SLOT: f64 = 4.0;
 
 /// Mean time from when a request gets a slot until its response starts.
 #[derive(Debug, Default)]
@@ -53,7 +53,7 @@
             return default_per_slot.saturating_mul(slots);
         }
         let per_slot = objective.as_secs_f64() * OBJECTIVE_FRACTION / self.mean_seconds;
-        let per_slot = per_slot.min(MAX_QUEUE_FACTOR);
+        let per_slot = per_slot.min(MAX_REQUESTS_PER_SLOT);
         ((per_slot * f64::from(slots)) as u32).max(slots)
     }
 }
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -333,11 +333,11 @@
         self.returned_syn = true;
     }
 
-    /// State of the back end. It is unavailable if it was silent for `silence_limit`.
-    pub fn state(&self, now: Timestamp, silence_limit: Duration) -> AgentState {
+    /// State of the back end. It is unavailable if it was silent for `silence_timeout`.
+    pub fn state(&self, now: Timestamp, silence_timeout: Duration) -> AgentState {
         match &self.current {
             Some(current) if current.draining || self.contender_drains() => AgentState::Draining,
-            Some(current) if now.saturating_since(current.last_seen_at) < silence_limit => {
+            Some(current) if now.saturating_since(current.last_seen_at) < silence_timeout => {
                 AgentState::Ready
             }
             None if self.is_provisional(now) && self.seen_alive => AgentState::Ready,
--- a/crates/petrellatch-core/src/pass_through/agent/flow_queries.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/flow_queries.rs
@@ -108,7 +108,7 @@
         self.settings.first_start
             || self.registration.was_replaced()
             || (is_first_incarnation && self.registration.saw_first_registration())
-            || age >= self.settings.flow_lifetime
+            || age >= self.settings.flow_ttl
             || (self.state(now) == AgentState::Unavailable && !self.registration.is_registered())
     }
 }
--- a/crates/petrellatch-core/src/pass_through/agent/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/mod.rs
@@ -75,16 +75,16 @@
     /// Interval between reports to the replica group, which may ask for a longer one.
     pub report_interval: Duration,
     /// A back end that was silent for this long gets no new flows.
-    pub silence_limit: Duration,
+    pub silence_timeout: Duration,
     /// How long after its start, 2.5 s at most, an agent admits flows to a back end that hasn't
     /// registered yet, if packets show that it runs. A draining back end gets new flows for at
     /// most this long after a restart of its agent.
     pub provisional_timeout: Duration,
     /// A flow that was idle for this long is forgotten.
-    pub flow_lifetime: Duration,
+    pub flow_ttl: Duration,
     /// Limit on the in-flight requests per slot that an agent accepts if all others are full,
     /// while it doesn't know how many are likely to meet their latency objective.
-    pub queue_factor: u32,
+    pub default_requests_per_slot: u32,
     /// Maximum time that a planned stop waits for open flows.
     pub stop_timeout: Duration,
     /// Limits on new flows for a back end that warms up.
@@ -434,10 +434,10 @@
     pub fn handle_timeout(&mut self, now: Timestamp) {
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
-            self.flows.expire(now, self.settings.flow_lifetime);
+            self.flows.expire(now, self.settings.flow_ttl);
             self.speculative_deliveries
-                .expire(now, self.settings.flow_lifetime);
-            self.previous.expire(now, self.settings.flow_lifetime);
+                .expire(now, self.settings.flow_ttl);
+            self.previous.expire(now, self.settings.flow_ttl);
             self.competing_balancers.expire(now);
             self.balancers
                 .retain(|_, last_seen_at| now.saturating_since(*last_seen_at) < BALANCER_TTL);
--- a/crates/petrellatch-core/src/pass_through/agent/new_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/new_flows.rs
@@ -77,7 +77,7 @@
     /// `age` after the first SYN.
     fn queue_limit(&self, latency_objective: Duration, age: Duration) -> u32 {
         let left = latency_objective.saturating_sub(age);
-        let default_per_slot = self.settings.queue_factor;
+        let default_per_slot = self.settings.default_requests_per_slot;
         let slots = self.registration.slots();
         self.processing_time
             .queue_limit(left, slots, default_per_slot)
--- a/crates/petrellatch-core/src/pass_through/agent/reports.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/reports.rs
@@ -51,7 +51,7 @@
         if self.has_no_open_flows {
             return AgentState::Unavailable;
         }
-        let limit = self.settings.silence_limit;
+        let limit = self.settings.silence_timeout;
         match self.registration.state(now, limit) {
             AgentState::Ready | AgentState::Starting if self.stop_at.is_some() => {
                 AgentState::Draining
--- a/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
@@ -296,7 +296,7 @@
             return;
         }
         self.previous.may_have_restarted = false;
-        let ttl = self.settings.flow_lifetime;
+        let ttl = self.settings.flow_ttl;
         let flows = self.flows.flows_to_probe(now, ttl);
         if !flows.is_empty() {
             self.previous.probe = Some(RestartProbe::new(now, flows));
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -77,7 +77,7 @@
     /// incarnation of the agent hasn't seen, and if the agent stopped now, balancers could not
     /// find out about them.
     fn awaits_backend(&self, now: Timestamp) -> bool {
-        self.registration.state(now, self.settings.silence_limit) == AgentState::Starting
+        self.registration.state(now, self.settings.silence_timeout) == AgentState::Starting
     }
 
     /// Reports to the balancers which flows the back end still owns.
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -72,7 +72,7 @@
     /// Interval between polls of replicas for updates.
     pub subscribe_interval: Duration,
     /// A flow that was idle for this time is removed from the flow cache.
-    pub flow_lifetime: Duration,
+    pub flow_ttl: Duration,
     /// How long a balancer that is stopped goes on forwarding packets after it reports that
     /// it is no longer ready.
     pub stop_delay: Duration,
@@ -428,7 +428,7 @@
         self.log_link_change(now);
         if now >= self.sweep_at {
             self.sweep_at = now + SWEEP_INTERVAL;
-            self.flow_cache.expire(now, self.settings.flow_lifetime);
+            self.flow_cache.expire(now, self.settings.flow_ttl);
             self.log_overload_changes(now);
         }
         let overdue = self.preferred_replicas.overdue_at();
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -7,7 +7,7 @@
 
 use petrellatch_proto::pass_through::{FlowMessage, ForwardReason, PassThroughBody};
 
-use super::queueing::{LoadedAgent, SLOTS};
+use super::queue_limits::{LoadedAgent, SLOTS};
 use super::world::MILLI;
 
 const OBJECTIVE_MILLIS: u32 = 400;
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -561,10 +561,10 @@
         report_interval: Duration::from_millis(
             1_500 + u64::from(address.ip().octets()[3]) * 37 % 1_000,
         ),
-        silence_limit: Duration::from_secs(600),
+        silence_timeout: Duration::from_secs(600),
         provisional_timeout: Duration::from_secs(2),
-        flow_lifetime: Duration::from_secs(60),
-        queue_factor: 3,
+        flow_ttl: Duration::from_secs(60),
+        default_requests_per_slot: 3,
         stop_timeout: Duration::from_secs(2),
         warm_up_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
@@ -591,7 +591,7 @@
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
         subscribe_interval: Duration::from_secs(1),
-        flow_lifetime: Duration::from_secs(60),
+        flow_ttl: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: Some(LINK_BYTES_PER_SECOND),
     };
--- a/crates/petrellatch-core/tests/pass_through/urgent_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/flow_priorities.rs
@@ -8,7 +8,7 @@
     DeclineReason, Declined, ForwardReason, PassThroughBody, pack_address,
 };
 
-use super::queueing::{LoadedAgent, SLOTS};
+use super::queue_limits::{LoadedAgent, SLOTS};
 use super::world::MILLI;
 
 const HIGH_PRIORITY: u32 = 1;
--- a/crates/petrellatch-core/tests/pass_through/main.rs
+++ b/crates/petrellatch-core/tests/pass_through/main.rs
@@ -2,10 +2,10 @@
 //! virtual clock, and balancers and agents packet by packet.
 
 mod admission_queue;
-mod changes;
 mod closed_flows;
 mod codec;
 mod cold_backends;
+mod configuration_changes;
 mod configuration_updates;
 mod daemons;
 mod evacuated_flows;
@@ -13,6 +13,7 @@
 mod failing_backends;
 mod final_reports;
 mod fleet;
+mod flow_priorities;
 mod flow_record;
 mod flow_record_world;
 mod formation;
@@ -32,7 +33,7 @@
 mod placement_policies;
 mod planned_agent_stops;
 mod policy_changes;
-mod queueing;
+mod queue_limits;
 mod replica;
 mod restart_world;
 mod restarted_agents;
@@ -41,7 +42,6 @@
 mod scale;
 mod site;
 mod uneven_backends;
-mod urgent_flows;
 mod world;
 mod zone_commands;
 mod zone_losses;
--- a/crates/petrellatch-core/tests/pass_through/scale.rs
+++ b/crates/petrellatch-core/tests/pass_through/scale.rs
@@ -38,10 +38,10 @@
         service: "desk".to_owned(),
         first_start: false,
         report_interval: Duration::from_millis(500),
-        silence_limit: Duration::from_secs(6),
+        silence_timeout: Duration::from_secs(6),
         provisional_timeout: Duration::from_secs(2),
-        flow_lifetime: Duration::from_secs(60),
-        queue_factor: 2,
+        flow_ttl: Duration::from_secs(60),
+        default_requests_per_slot: 2,
         stop_timeout: Duration::from_secs(2),
         warm_up_bounds: WARM_UP_BOUNDS,
         flow_record: FlowRecordSettings::default(),
@@ -218,7 +218,7 @@
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
         subscribe_interval: SECOND,
-        flow_lifetime: Duration::from_secs(60),
+        flow_ttl: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second: None,
     };
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -285,10 +285,10 @@
             service: (self.service_of)(index).to_owned(),
             first_start: false,
             report_interval: Duration::from_millis(500),
-            silence_limit: Duration::from_secs(6),
+            silence_timeout: Duration::from_secs(6),
             provisional_timeout: Duration::from_secs(2),
-            flow_lifetime: Duration::from_secs(60),
-            queue_factor: 3,
+            flow_ttl: Duration::from_secs(60),
+            default_requests_per_slot: 3,
             stop_timeout: Duration::from_secs(2),
             warm_up_bounds: WARM_UP_BOUNDS,
             flow_record: FlowRecordSettings::default(),
@@ -680,7 +680,7 @@
     let settings = PassThroughBalancerSettings {
         zone: "a".to_owned(),
         subscribe_interval: Duration::from_secs(1),
-        flow_lifetime: Duration::from_secs(60),
+        flow_ttl: Duration::from_secs(60),
         stop_delay: Duration::from_secs(2),
         link_bytes_per_second,
     };
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -34,7 +34,7 @@
 const PROVISIONAL_REGISTRATIONS: u32 = 2;
 /// Maximum number of requests per slot of the back end if all agents are full. It is
 /// used while the processing time or the latency objective is not known.
-const QUEUE_FACTOR: u32 = 2;
+const DEFAULT_REQUESTS_PER_SLOT: u32 = 2;
 /// How long a stopping agent waits for its open flows; limited to half of the stop
 /// timeout.
 const STOP_DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -170,10 +170,10 @@
         service: role.service.clone(),
         first_start: role.first_start,
         report_interval: REPORT_INTERVAL,
-        silence_limit: role.registration_interval * MISSED_REGISTRATIONS,
+        silence_timeout: role.registration_interval * MISSED_REGISTRATIONS,
         provisional_timeout: role.registration_interval * PROVISIONAL_REGISTRATIONS,
-        flow_lifetime: settings.flow_ttl,
-        queue_factor: QUEUE_FACTOR,
+        flow_ttl: settings.flow_ttl,
+        default_requests_per_slot: DEFAULT_REQUESTS_PER_SLOT,
         stop_timeout: STOP_DRAIN_TIMEOUT.min(settings.stop_timeout / 2),
         warm_up_bounds: role.warm_up_bounds,
         flow_record: role.flow_record,
--- a/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/balancer_loop.rs
@@ -143,7 +143,7 @@
     PassThroughBalancerSettings {
         zone: settings.zone.clone(),
         subscribe_interval: SUBSCRIBE_INTERVAL,
-        flow_lifetime: settings.flow_ttl,
+        flow_ttl: settings.flow_ttl,
         stop_delay: STOP_DELAY.min(settings.stop_timeout / 2),
         link_bytes_per_second: role.link_bytes_per_second,
     }
