--- a/crates/petrellatch-core/src/pass_through/admission/admission_queue.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/admission_queue.rs
@@ -5,9 +5,9 @@
 //! and has used up its attempts long before there is capacity. With this queue, its flow waits
 //! if slots free fast enough for it to get one in time, and is declined at once otherwise.
 //!
-//! The most urgent flows get the next slot. Among flows of one priority, those that can still
-//! meet their latency objectives go first, and then the oldest. Late flows get the slots that
-//! the others leave, or a queue position before less urgent flows.
+//! The flows of the highest priority get the next slot. Among flows of one priority, those that
+//! can still meet their latency objectives go first, and then the oldest. Late flows get the
+//! slots that the others leave, or a queue position before flows of lower priorities.
 
 use std::cmp::Reverse;
 use std::collections::VecDeque;
@@ -59,7 +59,7 @@
     pub(crate) packet: Vec<u8>,
     /// Latency objective, counted from the first SYN; zero if unknown.
     pub(crate) latency_objective: Duration,
-    /// Priority; zero is the most urgent.
+    /// Priority; zero is the highest.
     pub(crate) priority: u32,
     /// Deadline, counted from the first SYN; zero if unknown.
     pub(crate) deadline: Duration,
@@ -199,22 +199,23 @@
         let queued = queued.filter(|it| may_be_admitted(&it.new_flow, age(it)));
         let is_due = |it: &QueuedFlow| self.passed_over.is_due(it.new_flow.priority);
         let priorities = self.queued.iter().map(|it| it.new_flow.priority);
-        let most_urgent = priorities.min()?;
-        let queued = queued.filter(|it| it.new_flow.priority == most_urgent || is_due(it));
+        let highest_priority = priorities.min()?;
+        let queued = queued.filter(|it| it.new_flow.priority == highest_priority || is_due(it));
         let first = queued.min_by_key(|it| (!is_due(it), it.rank(now, rate)))?;
         let mut new_flow = first.new_flow.clone();
         new_flow.syn_age = age(first);
         Some(new_flow)
     }
 
-    /// Whether a more urgent flow is queued, which a flow of this priority must not overtake.
+    /// Whether a flow of a higher priority is queued, which one of this priority must not
+    /// overtake.
     pub(crate) fn must_yield(&self, priority: u32) -> bool {
         let mut queued = self.queued.iter();
         queued.any(|it| it.new_flow.priority < priority)
     }
 
-    /// Whether a less urgent flow is queued.
-    pub(crate) fn has_less_urgent(&self, priority: u32) -> bool {
+    /// Whether a flow of a lower priority is queued.
+    pub(crate) fn has_lower_priority(&self, priority: u32) -> bool {
         let mut queued = self.queued.iter();
         queued.any(|it| it.new_flow.priority > priority)
     }
--- a/crates/petrellatch-core/src/pass_through/admission/priorities.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/priorities.rs
@@ -5,24 +5,24 @@
 //! * *state* of the back end: a draining one takes no flows;
 //! * *capacity*: every flow is admitted while there is a free slot and no flow is queued for
 //!   it;
-//! * *priority*: the most urgent queued flows get the next slot, except for the starvation
-//!   limit below;
+//! * *priority*: the queued flows of the highest priority get the next slot, except for the
+//!   starvation limit below;
 //! * *latency objective*: the queue is as long as requests are likely to meet theirs, and
 //!   queued flows that can meet it go before those that can't;
 //! * *deadline*: a flow is queued only if it is likely to get a slot in time;
 //! * *age*: the oldest flow goes first.
 //!
-//! No slot is kept free for urgent flows that may arrive. An idle slot would cause declined
-//! flows, whose callers retry at once and fill the balancers' links with offers.
+//! No slot is kept free for high-priority flows that may arrive. An idle slot would cause
+//! declined flows, whose callers retry at once and fill the balancers' links with offers.
 
 use std::collections::BTreeMap;
 
-/// Starvation limit: number of slots that go to more urgent flows while a less urgent class
-/// waits, before that class gets the next one. That would be a ninth of the slots, but some of
-/// the class's flows expire meanwhile, so it gets at least a twentieth.
+/// Starvation limit: number of slots that go to flows of higher priorities while flows of a
+/// lower one are queued, before the lower one gets the next slot. That would be a ninth of the
+/// slots, but some of its flows expire meanwhile, so it gets at least a twentieth.
 const MAX_PASSED_OVER: u32 = 8;
 
-/// How often queued flows were passed over, by priority. Zero is the most urgent one.
+/// How often queued flows were passed over, by priority. Zero is the highest one.
 #[derive(Debug, Default)]
 pub(crate) struct PassedOverCounts {
     counts: BTreeMap<u32, u32>,
--- a/crates/petrellatch-core/src/pass_through/admission/registration.rs
+++ b/crates/petrellatch-core/src/pass_through/admission/registration.rs
@@ -21,8 +21,8 @@
 /// back. Delayed registrations of a previous incarnation arrive within a moment, and the
 /// current one registers about every second.
 const EARLIER_START_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum number of deregistered incarnations that are kept, so that a delayed registration doesn't
-/// bring one of them back.
+/// Maximum number of deregistered incarnations that are kept, so that a delayed registration
+/// doesn't bring one of them back.
 const MAX_DEREGISTERED: usize = 16;
 /// Maximum number of draining and deregistered incarnations in a report to the replica group.
 const MAX_DRAINING_REPORTED: usize = 4;
--- a/crates/petrellatch-core/src/pass_through/agent/new_flows.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/new_flows.rs
@@ -113,8 +113,8 @@
         let in_flight = self.flows.in_flight_requests();
         self.admission_queue.next(now, rate, |new_flow, age| {
             let limit = match self.is_late(new_flow.latency_objective, age) {
-                // A late flow still goes before less urgent ones.
-                true if self.admission_queue.has_less_urgent(new_flow.priority) => {
+                // A late flow still goes before flows of lower priorities.
+                true if self.admission_queue.has_lower_priority(new_flow.priority) => {
                     self.queue_limit(new_flow.latency_objective, Duration::ZERO)
                 }
                 true => rate.slots,
--- a/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/restart_probes.rs
@@ -193,7 +193,7 @@
     ///
     /// Without a start time, registrations of a running incarnation and of one that has just
     /// started look the same. The flows aren't taken over then, even if no probe packet is
-    /// returned: the back end may be frozen, and packets of flows that other back ends own
+    /// returned: the back end may be paused, and packets of flows that other back ends own
     /// would be delivered to it as the known owner.
     fn compare_with_record(&mut self, now: Timestamp, registration: SeenRegistration) {
         let Some(record) = &self.previous.record else {
--- a/crates/petrellatch-core/src/pass_through/agent/stopping.rs
+++ b/crates/petrellatch-core/src/pass_through/agent/stopping.rs
@@ -59,8 +59,7 @@
         self.stopped = now >= stop_at;
     }
 
-    /// Notes that a replica has acknowledged a report. Zero doesn't say which one, and stands
-    /// for the latest.
+    /// Notes that a replica has acknowledged a report. Zero means the latest one.
     pub(super) fn note_report_acknowledged(&mut self, acknowledged_report: u64) {
         if let Some(report) = &mut self.final_report {
             report.is_acknowledged |=
--- a/crates/petrellatch-core/src/pass_through/balancer/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/mod.rs
@@ -76,7 +76,7 @@
     /// How long a balancer that is stopped goes on forwarding packets after it reports that
     /// it is no longer ready.
     pub stop_delay: Duration,
-    /// Speed of the machine's link in each direction, in bytes per second; none if it is not
+    /// Speed of the machine's link in each direction, in bytes per second; `None` if it is not
     /// known.
     pub link_bytes_per_second: Option<u64>,
 }
@@ -192,7 +192,7 @@
     /// When the balancer first learned of a newer configuration that is not active yet.
     lagging_since: Option<Timestamp>,
     outputs: VecDeque<PassThroughOutput>,
-    /// Datagrams that wait for the link; none if the link's speed is not known.
+    /// Datagrams that wait for the link; `None` if the link's speed is not known.
     link: Option<LinkQueue>,
 }
 
--- a/crates/petrellatch-core/src/pass_through/balancer/sending.rs
+++ b/crates/petrellatch-core/src/pass_through/balancer/sending.rs
@@ -11,7 +11,7 @@
 const MESSAGE_HEADER_BYTES: usize = 4;
 
 impl<C: PacketCodec> PassThroughBalancer<C> {
-    /// The next output to perform, as of the time of the latest input; none if nothing is due.
+    /// The next output to perform, as of the time of the latest input; `None` if nothing is due.
     pub fn poll_output(&mut self) -> Option<PassThroughOutput> {
         if self.link.is_none() {
             return self.outputs.pop_front();
@@ -37,7 +37,7 @@
         link.map_or(LinkCounters::default(), LinkQueue::counters)
     }
 
-    /// Wait times of the datagrams that were queued for the link; none if the link's speed is
+    /// Wait times of the datagrams that were queued for the link; `None` if the link's speed is
     /// not known.
     pub fn link_wait_times(&self) -> Option<&LatencyHistogram> {
         self.link.as_ref().map(LinkQueue::wait_times)
--- a/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/known_agent.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether a flow search must wait for its reply. An agent counts as absent, along with
-    /// its back end, if it has not replied for [`ABSENCE_TIMEOUT`], or if its present
+    /// its back end, if it has not replied for [`ABSENCE_TIMEOUT`], or if its current
     /// incarnation has not seen its back end yet.
     pub(crate) fn is_expected(&self, now: Timestamp, replies_on_time: bool) -> bool {
         let is_absent = |since| now.saturating_since(since) >= ABSENCE_TIMEOUT;
@@ -136,7 +136,7 @@
         self.unanswered_since.is_some_and(is_overdue)
     }
 
-    /// Whether its present incarnation has seen its back end.
+    /// Whether its current incarnation has seen its back end.
     pub(crate) fn has_backend(&self) -> bool {
         matches!(self.state, AgentState::Ready | AgentState::Draining)
     }
--- a/crates/petrellatch-core/src/pass_through/choice/reply_timeout.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/reply_timeout.rs
@@ -18,7 +18,7 @@
 /// agents would add to that.
 #[derive(Debug, Default)]
 pub(crate) struct ReplyTimeoutEstimator {
-    /// Smoothed reply time and its deviation, in seconds; none without a sample.
+    /// Smoothed reply time and its deviation, in seconds; `None` without a sample.
     estimate: Option<(f64, f64)>,
 }
 
--- a/crates/petrellatch-core/src/pass_through/choice/service_load.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_load.rs
@@ -45,7 +45,7 @@
         self.old_fraction += (is_old - self.old_fraction) * REQUEST_WEIGHT;
     }
 
-    /// The mean processing time of warm back ends, in milliseconds; none if no agent has
+    /// The mean processing time of warm back ends, in milliseconds; `None` if no agent has
     /// reported one.
     pub(crate) fn processing_millis(&self) -> Option<f64> {
         self.processing_millis
--- a/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
+++ b/crates/petrellatch-core/src/pass_through/choice/service_overload.rs
@@ -75,7 +75,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverloadChange {
     pub(crate) service: u64,
-    /// The highest priority of which flows are shed; none if the overload has ended.
+    /// The highest priority of which flows are shed; `None` if the overload has ended.
     pub(crate) level: Option<u32>,
     /// The level before the change.
     pub(crate) previous_level: Option<u32>,
--- a/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_cache.rs
@@ -35,7 +35,7 @@
 pub(crate) struct Offer {
     pub(crate) agent: SocketAddrV4,
     pub(crate) state: OfferState,
-    /// Time of the offer; none if the agent replied without one.
+    /// Time of the offer; `None` if the agent replied without one.
     pub(crate) offered_at: Option<Timestamp>,
 }
 
--- a/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_record_recovery.rs
@@ -26,10 +26,10 @@
 /// Maximum number of parts of a record. Agents don't create larger ones.
 const MAX_PARTS: u32 = 1_024;
 
-/// Outcome of a recovery.
+/// Outcome of a recovery. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryOutcome {
-    /// A replica had a record.
+    /// The record of a replica was recovered.
     Recalled,
     /// Replicas responded, but none had a record.
     NoRecord,
--- a/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/flow_search.rs
@@ -65,7 +65,7 @@
 pub(crate) struct SearchTarget {
     pub(crate) address: SocketAddrV4,
     /// Whether the agent replies to queries and has received packets or a registration of its
-    /// back end since it started. Otherwise an agent that doesn't reply counts as gone together
+    /// back end since it started. Otherwise an agent that doesn't reply counts as absent along
     /// with its back end, and the search doesn't wait for it.
     pub(crate) is_expected: bool,
     /// Whether the agent has received packets or a registration of its back end since it
--- a/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
+++ b/crates/petrellatch-core/src/pass_through/flows/query_budget.rs
@@ -24,7 +24,7 @@
 }
 
 impl QueryBudget {
-    /// Creates a full bucket. `link_bytes_per_second` is none if the link has no limit.
+    /// Creates a full bucket. `link_bytes_per_second` is `None` if the link has no limit.
     pub(crate) fn new(now: Timestamp, link_bytes_per_second: Option<u64>) -> Self {
         let limit = link_bytes_per_second.map(|bytes| bytes / 100 * LINK_PERCENT);
         let bytes_per_second =
--- a/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/active_policies.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Evaluated {
     stamp: InputStamp,
-    /// None if the back end is not eligible or the policy failed for it.
+    /// `None` if the back end is not eligible or the policy failed for it.
     weight: Option<f64>,
 }
 
@@ -130,7 +130,7 @@
         self.policies.get(index).map_or("", |it| it.name.as_str())
     }
 
-    /// The weight that a policy gives an agent; none if the weight is zero or the back end
+    /// The weight that a policy gives an agent; `None` if the weight is zero or the back end
     /// is not eligible.
     pub(crate) fn weight(
         &mut self,
--- a/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
+++ b/crates/petrellatch-core/src/pass_through/policies/placement_policies.rs
@@ -171,7 +171,7 @@
         }
     }
 
-    /// The update for a process that has the policies of index `known`; none if it is up to
+    /// The update for a process that has the policies of index `known`; `None` if it is up to
     /// date.
     pub(crate) fn updates_since(&self, known: u64) -> Option<PolicySet> {
         (self.index > known).then(|| self.to_message())
--- a/crates/petrellatch-core/tests/pass_through/admission_queue.rs
+++ b/crates/petrellatch-core/tests/pass_through/admission_queue.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn slots_go_to_the_most_urgent_then_to_flows_in_time_then_to_the_oldest() {
+fn slots_go_to_the_highest_priority_then_to_flows_in_time_then_to_the_oldest() {
     let mut full = FullAgent::new();
     let mut offered = Vec::new();
     for (priority, age_millis) in [(2, 500), (2, 600), (2, 0), (1, 600), (1, 10), (1, 20)] {
--- a/crates/petrellatch-core/tests/pass_through/closed_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/closed_flows.rs
@@ -58,10 +58,10 @@
         (1..=agents).for_each(|index| world.acknowledge_report(index, false));
         world.restart_balancer();
         world.notify_complete_directory();
-        world.frozen = vec![agent];
+        world.paused = vec![agent];
         world.close_flow(1, agent);
         world.run(400 * MILLI);
-        world.frozen.clear();
+        world.paused.clear();
         world.run(Duration::from_secs(1));
         let received = &world.backends[&agent].received;
         assert!(received.iter().any(|view| view.fin), "{agents} agents");
@@ -72,7 +72,7 @@
 #[test]
 fn an_inconclusive_search_logs_the_missing_agents() {
     let mut world = world_with_certain_agents(5);
-    world.frozen = vec![agent_address(2), agent_address(4)];
+    world.paused = vec![agent_address(2), agent_address(4)];
     world.request(1, agent_address(1));
     world.run(Duration::from_secs(15));
     let [line] = world.inconclusive_searches.as_slice() else {
--- a/crates/petrellatch-core/tests/pass_through/daemons.rs
+++ b/crates/petrellatch-core/tests/pass_through/daemons.rs
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_frozen_agent_delays_new_flows_only_briefly() {
+fn a_paused_agent_delays_new_flows_only_briefly() {
     let mut world = World::new(2, 4);
-    world.frozen.push(agent_address(1));
+    world.paused.push(agent_address(1));
     for port in 1..=6 {
         world.open(port, 0);
     }
@@ -192,7 +192,7 @@
 #[test]
 fn a_balancer_without_replies_is_not_ready() {
     let mut world = World::new(2, 4);
-    world.frozen = vec![agent_address(1), agent_address(2)];
+    world.paused = vec![agent_address(1), agent_address(2)];
     world.run(500 * MILLI);
     assert!(
         world.balancer.is_ready(world.now),
@@ -200,7 +200,7 @@
     );
     world.run(200 * MILLI);
     assert!(!world.balancer.is_ready(world.now));
-    world.frozen.clear();
+    world.paused.clear();
     world.open(1, 0);
     assert!(world.balancer.is_ready(world.now), "an agent has replied");
 }
--- a/crates/petrellatch-core/tests/pass_through/fleet.rs
+++ b/crates/petrellatch-core/tests/pass_through/fleet.rs
@@ -411,7 +411,7 @@
                 }
                 PassThroughOutput::ToBackend(packet) => {
                     let view = TestCodec.view(&packet).expect("a valid packet");
-                    self.deliver_to_back_end(address, view);
+                    self.deliver_to_backend(address, view);
                 }
                 PassThroughOutput::ToCaller { packet, .. } => {
                     let view = TestCodec.view(&packet).expect("a valid packet");
@@ -443,12 +443,12 @@
         }
     }
 
-    fn deliver_to_back_end(&mut self, address: SocketAddrV4, view: PacketView) {
+    fn deliver_to_backend(&mut self, address: SocketAddrV4, view: PacketView) {
         if view.is_syn() {
             let syn_ack = PacketView {
                 syn: true,
                 ack: true,
-                sequence_number: first_sequence(address),
+                sequence_number: initial_sequence(address),
                 ..empty(view.destination, view.source)
             };
             self.send_from_back_end(address, &syn_ack);
@@ -477,7 +477,7 @@
         let response = PacketView {
             ack: true,
             data_bytes: 1_000,
-            sequence_number: first_sequence(address).wrapping_add(1),
+            sequence_number: initial_sequence(address).wrapping_add(1),
             ..empty(request.destination, request.source)
         };
         self.send_from_back_end(address, &response);
@@ -548,7 +548,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 2, index as u8), 7000)
 }
 
-fn first_sequence(agent: SocketAddrV4) -> u32 {
+fn initial_sequence(agent: SocketAddrV4) -> u32 {
     u32::from(*agent.ip()) << 16
 }
 
--- a/crates/petrellatch-core/tests/pass_through/late_callers.rs
+++ b/crates/petrellatch-core/tests/pass_through/late_callers.rs
@@ -107,7 +107,7 @@
     occupy_slot(&mut world, 1);
     occupy_slot(&mut world, 2);
     world.open(3, RETRANSMITTED_SYN);
-    world.frozen = vec![agent_address(AGENT)];
+    world.paused = vec![agent_address(AGENT)];
     world.run(Duration::from_millis(2_000));
     assert_eq!(world.resets(), 1);
 }
--- a/crates/petrellatch-core/tests/pass_through/lost_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::world::{MILLI, World, agent_address, first_sequence};
+use super::world::{MILLI, World, agent_address, initial_sequence};
 
 const AGENTS: u8 = 5;
 const SLOTS: u32 = 4;
@@ -29,7 +29,7 @@
 }
 
 /// Number of packets at back ends other than that of `agent`.
-fn stray_packets(world: &World, agent: std::net::SocketAddrV4) -> usize {
+fn misdelivered_packets(world: &World, agent: std::net::SocketAddrV4) -> usize {
     let others = world.backends.iter().filter(|(other, _)| **other != agent);
     others.map(|(_, backend)| backend.received.len()).sum()
 }
@@ -46,7 +46,7 @@
         "its back end gets the packet at once"
     );
     assert!(
-        stray_packets(&world, agent) < usize::from(AGENTS),
+        misdelivered_packets(&world, agent) < usize::from(AGENTS),
         "at most one packet each"
     );
     world.send_backend_data(agent, 1);
@@ -54,7 +54,7 @@
     world.request(1, agent);
     assert_eq!(world.data_packets_at(agent), 2, "the flow is known again");
     assert!(
-        stray_packets(&world, agent) < usize::from(AGENTS),
+        misdelivered_packets(&world, agent) < usize::from(AGENTS),
         "no second delivery to other back ends"
     );
     assert_eq!(world.resets(), 0);
@@ -92,7 +92,7 @@
         1,
         "the retransmitted request arrives"
     );
-    assert_eq!(stray_packets(&world, agent), 0);
+    assert_eq!(misdelivered_packets(&world, agent), 0);
 }
 
 #[test]
@@ -106,7 +106,7 @@
     world.request(1, agent);
     assert_eq!(world.resets(), 1, "its caller can open another flow");
     let reset = world.callers.last().expect("a reset");
-    let expected = first_sequence(agent).wrapping_add(1);
+    let expected = initial_sequence(agent).wrapping_add(1);
     assert_eq!(
         reset.sequence_number, expected,
         "the sequence number that its caller expects"
@@ -127,7 +127,7 @@
     restart_agents_and_balancer(&mut world);
     world.request(1, agent);
     world.run(300 * MILLI);
-    assert_eq!(stray_packets(&world, agent), 0);
+    assert_eq!(misdelivered_packets(&world, agent), 0);
     assert_eq!(world.resets(), 0);
     world.notify_complete_directory();
     world.run(500 * MILLI);
@@ -156,18 +156,18 @@
     let (mut world, agent) = world_with_flow(1);
     restart_agents_and_balancer(&mut world);
     world.notify_complete_directory();
-    world.frozen = vec![agent];
+    world.paused = vec![agent];
     for _ in 0..3 {
         world.request(1, agent);
         world.run(400 * MILLI);
     }
     assert!(
-        stray_packets(&world, agent) < 3,
+        misdelivered_packets(&world, agent) < 3,
         "{} stray packets",
-        stray_packets(&world, agent)
+        misdelivered_packets(&world, agent)
     );
     assert_eq!(world.resets(), 0);
-    world.frozen.clear();
+    world.paused.clear();
     world.notify_complete_directory();
     world.run(600 * MILLI);
     assert!(world.data_packets_at(agent) > 0);
@@ -184,7 +184,7 @@
     world.run(Duration::from_secs(1));
     assert_eq!(world.resets(), 0);
     assert!(
-        stray_packets(&world, agent) < usize::from(AGENTS),
+        misdelivered_packets(&world, agent) < usize::from(AGENTS),
         "no second delivery to other back ends"
     );
     world.send_backend_data(agent, 1);
@@ -200,7 +200,7 @@
     world.request(1, agent);
     assert_eq!(world.resets(), 1);
     assert_eq!(
-        stray_packets(&world, agent),
+        misdelivered_packets(&world, agent),
         0,
         "no other back end can own it"
     );
@@ -211,7 +211,7 @@
     let (mut world, agent) = world_with_flow(1);
     restart_agents_and_balancer(&mut world);
     let vanished = (1..=AGENTS).map(agent_address).find(|it| *it != agent);
-    world.frozen = vec![vanished.expect("another agent")];
+    world.paused = vec![vanished.expect("another agent")];
     world.notify_complete_directory();
     world.request(1, agent);
     world.run(Duration::from_secs(2));
@@ -226,7 +226,7 @@
 fn a_flow_is_not_reset_while_a_running_agent_is_silent() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
-    world.frozen = vec![agent];
+    world.paused = vec![agent];
     for _ in 0..15 {
         world.notify_complete_directory();
         world.request(1, agent);
@@ -331,7 +331,7 @@
 fn a_balancer_without_replies_resets_no_flow() {
     let (mut world, agent) = world_with_flow(1);
     world.restart_balancer();
-    world.frozen = (1..=AGENTS).map(agent_address).collect();
+    world.paused = (1..=AGENTS).map(agent_address).collect();
     for _ in 0..20 {
         world.notify_complete_directory();
         world.request(1, agent);
@@ -349,7 +349,7 @@
         world.open(port, 0);
         world.run(50 * MILLI);
     }
-    world.frozen = vec![agent];
+    world.paused = vec![agent];
     for _ in 0..20 {
         world.notify_complete_directory();
         world.request(1, agent);
@@ -361,12 +361,12 @@
 #[test]
 fn an_agent_learned_of_later_is_queried_before_a_reset() {
     let (mut world, agent) = world_with_flow(1);
-    world.frozen = vec![agent];
+    world.paused = vec![agent];
     world.restart_balancer();
     world.delay_replies(20 * MILLI);
     world.request(1, agent);
     world.run(5 * MILLI);
-    world.frozen.clear();
+    world.paused.clear();
     world.repeat_reports();
     world.notify_complete_directory();
     world.run(200 * MILLI);
--- a/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
+++ b/crates/petrellatch-core/tests/pass_through/lost_flows_at_size.rs
@@ -54,8 +54,8 @@
 fn another_agent_relays_the_query_if_the_first_is_silent() {
     let (mut world, owners) = world_with_unknown_flows();
     let agents = (1..=AGENTS).map(agent_address);
-    let frozen = agents.filter(|agent| !owners.contains(agent)).step_by(2);
-    world.frozen = frozen.collect();
+    let paused = agents.filter(|agent| !owners.contains(agent)).step_by(2);
+    world.paused = paused.collect();
     for _ in 0..10 {
         repeat_requests(&mut world, &owners);
         world.run(100 * MILLI);
@@ -67,15 +67,15 @@
 #[test]
 fn a_flow_of_a_paused_agent_is_not_reset_when_a_relay_is_silent() {
     let (mut world, owners) = world_with_unknown_flows();
-    world.frozen = (1..=AGENTS).map(agent_address).collect();
+    world.paused = (1..=AGENTS).map(agent_address).collect();
     repeat_requests(&mut world, &owners);
     world.run(400 * MILLI);
-    world.frozen = vec![owners[0]];
+    world.paused = vec![owners[0]];
     world.notify_complete_directory();
     repeat_requests(&mut world, &owners);
     world.run(800 * MILLI);
     assert_eq!(world.resets(), 0);
-    world.frozen.clear();
+    world.paused.clear();
     repeat_requests(&mut world, &owners);
     world.run(600 * MILLI);
     assert_eq!(found_flows(&world, &owners), owners.len());
@@ -106,7 +106,7 @@
     world.restart_balancer_with_link(Some(SLOW_LINK));
     world.notify_complete_directory();
     world.balancer_bytes = 0;
-    world.frozen = (1..=AGENTS).step_by(4).map(agent_address).collect();
+    world.paused = (1..=AGENTS).step_by(4).map(agent_address).collect();
     for _ in 0..10 {
         for port in 1..=200 {
             world.request(port, agent_address(1));
--- a/crates/petrellatch-core/tests/pass_through/moved_routes.rs
+++ b/crates/petrellatch-core/tests/pass_through/moved_routes.rs
@@ -129,7 +129,7 @@
         let (mut world, agent) = world_with_flow(agents);
         world.change_route(&[(OTHER_SERVICE, 1)]);
         world.restart_balancer();
-        world.frozen = vec![agent];
+        world.paused = vec![agent];
         for _ in 0..10 {
             world.notify_complete_directory();
             world.request(1, agent);
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows.rs
@@ -48,7 +48,7 @@
 #[test]
 fn idle_callers_are_reset_gradually_and_waiting_ones_at_once() {
     let mut world = with_flows(100);
-    world.frozen = true;
+    world.paused = true;
     world.request(40);
     world.restart_backend();
     let started_at = world.now;
@@ -163,10 +163,10 @@
     let mut world = with_flows(6);
     let mut previous = world.incarnation();
     previous.id = "earlier".to_owned();
-    world.frozen = true;
+    world.paused = true;
     world.register_incarnation(&previous);
     world.run(5 * SECOND);
-    world.thaw();
+    world.resume();
     world.run(5 * SECOND);
     assert_eq!(world.reset_ports(), []);
 }
@@ -202,7 +202,7 @@
     world.request(20);
     world.run(SECOND);
     assert_eq!(world.reset_ports(), []);
-    world.frozen = true;
+    world.paused = true;
     world.acknowledge(20);
     world.restart_backend();
     world.register();
--- a/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
+++ b/crates/petrellatch-core/tests/pass_through/orphaned_flows_at_random.rs
@@ -47,8 +47,8 @@
             14 => self.request(),
             15 => self.close_unseen(),
             16 => self.restart_agent(),
-            17 => self.world.frozen = true,
-            18 => self.world.thaw(),
+            17 => self.world.paused = true,
+            18 => self.world.resume(),
             _ => self.finish(),
         }
         let pause = self.random.random_range(0..300);
@@ -126,7 +126,7 @@
     /// Starts a new incarnation, which registers until everything has settled. Flows that the
     /// agent knows, and that no other packet has shown to be orphaned, are reset.
     fn settle(&mut self) {
-        self.world.thaw();
+        self.world.resume();
         self.world.run(Duration::from_secs(5));
         self.world.register();
         self.world.run(Duration::from_secs(5));
--- a/crates/petrellatch-core/tests/pass_through/placement_policies.rs
+++ b/crates/petrellatch-core/tests/pass_through/placement_policies.rs
@@ -166,20 +166,20 @@
 #[test]
 fn a_back_end_gets_no_flow_before_the_age_that_a_policy_requires() {
     let mut world = World::new(3, SLOTS);
-    let young_agent = 3;
+    let new_agent = 3;
     run_with_registrations(&mut world, &[1, 2], 70);
-    world.start_agent(young_agent);
-    run_with_registrations(&mut world, &[1, 2, young_agent], 1);
+    world.start_agent(new_agent);
+    run_with_registrations(&mut world, &[1, 2, new_agent], 1);
     send_policies(
         &mut world,
         1,
         &[policy("grown", "backend.age_seconds >= 60.0", "1.0")],
     );
     let agents = open_flows(&mut world, 1..30);
-    assert!(!agents.contains(&agent_address(young_agent)));
-    run_with_registrations(&mut world, &[1, 2, young_agent], 61);
+    assert!(!agents.contains(&agent_address(new_agent)));
+    run_with_registrations(&mut world, &[1, 2, new_agent], 61);
     let agents = open_flows(&mut world, 31..60);
-    assert!(agents.contains(&agent_address(young_agent)));
+    assert!(agents.contains(&agent_address(new_agent)));
 }
 
 #[test]
@@ -246,7 +246,7 @@
         }
         if change == 30 {
             // One agent stops reporting, so that its state becomes outdated.
-            world.frozen = vec![agent_address(8)];
+            world.paused = vec![agent_address(8)];
         }
         for _ in 0..2 {
             world.open(port, 0);
@@ -257,7 +257,7 @@
             port += 1;
         }
     }
-    world.frozen.clear();
+    world.paused.clear();
     for (port, owner) in (1..).zip(&owners) {
         let before = world.data_packets_at(*owner);
         world.request(port, *owner);
@@ -297,7 +297,7 @@
     let mut world = World::new(2, SLOTS);
     world.start_agent(1);
     // The agent sees packets of a back end that has not registered with the agent's
-    // present incarnation.
+    // current incarnation.
     world.send_backend_data(agent_address(1), 900);
     world.run(SECOND);
     send_policies(
--- a/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
+++ b/crates/petrellatch-core/tests/pass_through/planned_agent_stops.rs
@@ -26,7 +26,7 @@
 /// The back ends of the running agents register.
 fn register_all(world: &mut World, agents: u8, sequence: u64) {
     for index in 1..=agents {
-        if !world.frozen.contains(&agent_address(index)) {
+        if !world.paused.contains(&agent_address(index)) {
             world.register(index, SLOTS, false, sequence);
         }
     }
@@ -39,7 +39,7 @@
     world.settle();
     for _ in 0..3_000 {
         if world.agents[&agent].is_stopped() {
-            world.frozen.push(agent);
+            world.paused.push(agent);
             return;
         }
         world.step(MILLI);
--- a/crates/petrellatch-core/tests/pass_through/restart_world.rs
+++ b/crates/petrellatch-core/tests/pass_through/restart_world.rs
@@ -21,7 +21,7 @@
 const AGENT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 1, 1), 7000);
 const REPLICA: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
 pub const BALANCER: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 99), 7000);
-/// Distance between the first sequence numbers of two flows.
+/// Distance between the initial sequence numbers of two flows.
 const SEQUENCE_STEP: u32 = 1 << 24;
 
 /// One incarnation of a back end.
@@ -30,7 +30,7 @@
     pub id: String,
     pub started_at_millis: Option<u64>,
     pub registrations: u64,
-    /// First sequence numbers of the flows that it owns, by the caller's port.
+    /// Initial sequence numbers of the flows that it owns, by the caller's port.
     pub flows: BTreeMap<u16, u32>,
 }
 
@@ -53,9 +53,9 @@
     pub backend: Option<BackendIncarnation>,
     /// Number of incarnations of the back end so far.
     pub incarnation_count: u64,
-    /// Whether the back end is frozen, so that packets for it are held.
-    pub frozen: bool,
-    pub held_packets: VecDeque<PacketView>,
+    /// Whether the back end is paused, so that packets for it are buffered.
+    pub paused: bool,
+    pub buffered_packets: VecDeque<PacketView>,
     pub callers: BTreeMap<u16, CallerFlow>,
     /// Resets that the agent sent, with their times and the callers' ports.
     pub resets: Vec<(Timestamp, u16)>,
@@ -120,8 +120,8 @@
             agent: new_agent(now),
             backend: None,
             incarnation_count: 0,
-            frozen: false,
-            held_packets: VecDeque::new(),
+            paused: false,
+            buffered_packets: VecDeque::new(),
             callers: BTreeMap::new(),
             resets: Vec::new(),
             returned_packets: Vec::new(),
@@ -152,8 +152,8 @@
             registrations: 0,
             flows: BTreeMap::new(),
         });
-        self.held_packets.clear();
-        self.frozen = false;
+        self.buffered_packets.clear();
+        self.paused = false;
     }
 
     /// The incarnation of the back end that runs.
@@ -343,10 +343,10 @@
         }
     }
 
-    /// A frozen back end resumes, and gets the packets that were held.
-    pub fn thaw(&mut self) {
-        self.frozen = false;
-        while let Some(view) = self.held_packets.pop_front() {
+    /// A paused back end resumes, and gets the buffered packets.
+    pub fn resume(&mut self) {
+        self.paused = false;
+        while let Some(view) = self.buffered_packets.pop_front() {
             self.reach_backend(view);
         }
         self.settle();
@@ -380,8 +380,8 @@
             match output {
                 PassThroughOutput::ToBackend(packet) => {
                     let view = TestCodec.view(&packet).expect("a packet");
-                    match self.frozen {
-                        true => self.held_packets.push_back(view),
+                    match self.paused {
+                        true => self.buffered_packets.push_back(view),
                         false => self.reach_backend(view),
                     }
                 }
--- a/crates/petrellatch-core/tests/pass_through/narrow_links.rs
+++ b/crates/petrellatch-core/tests/pass_through/slow_links.rs
@@ -1,4 +1,4 @@
-//! Uploads and lookups through one balancer with a narrow link.
+//! Uploads and lookups through one balancer with a slow link.
 //!
 //! The link drops datagrams beyond its buffer. Callers have a window of sixteen packets, and
 //! retransmit a lost one after 200 ms.
@@ -13,7 +13,7 @@
 use prost::Message;
 
 use super::codec::{empty, encode, encode_with_data};
-use super::world::{BALANCER, FIRST_OWN_PORT, MILLI, ROUTE, World, caller, first_sequence};
+use super::world::{BALANCER, FIRST_OWN_PORT, MILLI, ROUTE, World, caller, initial_sequence};
 
 const AGENTS: u8 = 8;
 const SLOTS: u32 = 4;
@@ -206,7 +206,7 @@
         let agent = caller_state.agent.expect("open");
         let packet = PacketView {
             ack: true,
-            ack_number: first_sequence(agent).wrapping_add(1),
+            ack_number: initial_sequence(agent).wrapping_add(1),
             sequence_number: number as u32,
             data_bytes: if caller_state.is_lookup {
                 LOOKUP_DATA
@@ -262,7 +262,7 @@
             if view.syn && state.agent.is_none() {
                 let mut agents = self.world.agents.keys();
                 state.agent = agents
-                    .find(|it| first_sequence(**it) == view.sequence_number)
+                    .find(|it| initial_sequence(**it) == view.sequence_number)
                     .copied();
             }
         }
@@ -399,18 +399,18 @@
 }
 
 #[test]
-fn uploads_fill_a_narrow_link_and_do_not_delay_lookups() {
+fn uploads_fill_a_slow_link_and_do_not_delay_lookups() {
     let mut wide = LinkTest::new(100.0, 20_000);
     wide.run(MEASURED_TIME);
     let wide_p99 = wide.lookup_p99();
     for megabits in [1.0, 2.0, 4.0, 8.0] {
         for kilobytes in [5, 20, 120] {
-            let mut narrow = LinkTest::new(megabits, kilobytes * 1_000);
-            narrow.run(MEASURED_TIME);
-            let goodput = narrow.goodput(MEASURED_TIME);
-            let p99 = narrow.lookup_p99();
-            let dropped = narrow.link.dropped;
-            let done = narrow.uploads_done;
+            let mut test = LinkTest::new(megabits, kilobytes * 1_000);
+            test.run(MEASURED_TIME);
+            let goodput = test.goodput(MEASURED_TIME);
+            let p99 = test.lookup_p99();
+            let dropped = test.link.dropped;
+            let done = test.uploads_done;
             println!(
                 "{megabits} Mbit/s, {kilobytes} KB: goodput {goodput:.3}, {done} uploads, \
                  lookups' p99 {p99:?} (wide {wide_p99:?}), {dropped} dropped"
@@ -423,16 +423,16 @@
 
 #[test]
 fn a_stopping_balancer_sends_its_queued_datagrams() {
-    let mut narrow = LinkTest::new(1.0, 20_000);
-    narrow.run(500 * MILLI);
-    let now = narrow.world.now;
-    narrow.world.balancer.begin_stop(now);
-    while !narrow.world.balancer.is_stopped() {
-        assert_eq!(narrow.unsubscribe_messages, 0);
-        narrow.step();
+    let mut test = LinkTest::new(1.0, 20_000);
+    test.run(500 * MILLI);
+    let now = test.world.now;
+    test.world.balancer.begin_stop(now);
+    while !test.world.balancer.is_stopped() {
+        assert_eq!(test.unsubscribe_messages, 0);
+        test.step();
     }
     assert!(
-        narrow.unsubscribe_messages > 0,
+        test.unsubscribe_messages > 0,
         "no replica was notified of the stop"
     );
 }
--- a/crates/petrellatch-core/tests/pass_through/world.rs
+++ b/crates/petrellatch-core/tests/pass_through/world.rs
@@ -63,7 +63,7 @@
     pub agents: BTreeMap<SocketAddrV4, PassThroughAgent<TestCodec>>,
     pub backends: BTreeMap<SocketAddrV4, Backend>,
     pub callers: Vec<PacketView>,
-    pub frozen: Vec<SocketAddrV4>,
+    pub paused: Vec<SocketAddrV4>,
     /// Agents whose back ends return all SYNs.
     pub returning_syns: Vec<SocketAddrV4>,
     /// Agents whose back ends reset flows at their first request.
@@ -117,7 +117,7 @@
             agents: BTreeMap::new(),
             backends: BTreeMap::new(),
             callers: Vec::new(),
-            frozen: Vec::new(),
+            paused: Vec::new(),
             returning_syns: Vec::new(),
             resetting: Vec::new(),
             silent: Vec::new(),
@@ -383,7 +383,7 @@
         let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
         for address in &addresses {
             let agent = self.agents.get_mut(address).expect("the agent exists");
-            if !self.frozen.contains(address) && agent.poll_timeout() <= now {
+            if !self.paused.contains(address) && agent.poll_timeout() <= now {
                 agent.handle_timeout(now);
             }
         }
@@ -400,7 +400,7 @@
             }
             let addresses: Vec<SocketAddrV4> = self.agents.keys().copied().collect();
             for address in addresses {
-                if self.frozen.contains(&address) {
+                if self.paused.contains(&address) {
                     continue;
                 }
                 while let Some(output) = self
@@ -444,7 +444,7 @@
                 self.flow_queries += usize::from(matches!(body, PassThroughBody::FlowQuery(_)));
                 self.speculative_deliveries +=
                     usize::from(from == BALANCER && is_speculative(&body));
-                if self.frozen.contains(&to) {
+                if self.paused.contains(&to) {
                     return;
                 }
                 if let Some(agent) = self.agents.get_mut(&to) {
@@ -522,7 +522,7 @@
             } else if self.backends_ack_at_once && view.data_bytes > 0 {
                 let acknowledgement = PacketView {
                     ack: true,
-                    sequence_number: first_sequence(agent).wrapping_add(1),
+                    sequence_number: initial_sequence(agent).wrapping_add(1),
                     ..empty(view.destination, view.source)
                 };
                 self.send_from_backend(agent, &acknowledgement);
@@ -541,7 +541,7 @@
         let syn_ack = PacketView {
             syn: true,
             ack: true,
-            sequence_number: first_sequence(agent),
+            sequence_number: initial_sequence(agent),
             ..empty(view.destination, view.source)
         };
         self.send_from_backend(agent, &syn_ack);
@@ -563,7 +563,7 @@
         let data = PacketView {
             ack: true,
             data_bytes: 100,
-            sequence_number: first_sequence(agent).wrapping_add(1),
+            sequence_number: initial_sequence(agent).wrapping_add(1),
             ..empty(ROUTE, caller(port))
         };
         self.send_from_backend(agent, &data);
@@ -613,7 +613,7 @@
     pub fn request(&mut self, port: u16, agent: SocketAddrV4) {
         let packet = PacketView {
             ack: true,
-            ack_number: first_sequence(agent).wrapping_add(1),
+            ack_number: initial_sequence(agent).wrapping_add(1),
             data_bytes: 50,
             ..empty(caller(port), ROUTE)
         };
@@ -626,7 +626,7 @@
         let packet = PacketView {
             ack: true,
             fin: true,
-            ack_number: first_sequence(agent).wrapping_add(1),
+            ack_number: initial_sequence(agent).wrapping_add(1),
             ..empty(caller(port), ROUTE)
         };
         self.balancer.handle_packet(self.now, &encode(&packet));
@@ -643,7 +643,7 @@
         let agents = self.agents.keys();
         agents
             .copied()
-            .find(|agent| first_sequence(*agent) == syn_ack.sequence_number)
+            .find(|agent| initial_sequence(*agent) == syn_ack.sequence_number)
     }
 
     pub fn resets(&self) -> usize {
@@ -688,7 +688,7 @@
     PassThroughBalancer::new(now, settings, TestCodec, Incarnation(6), contacts)
 }
 
-/// First sequence number of a back end; each has a different one.
-pub fn first_sequence(agent: SocketAddrV4) -> u32 {
+/// Initial sequence number of a back end; each has a different one.
+pub fn initial_sequence(agent: SocketAddrV4) -> u32 {
     u32::from(agent.ip().octets()[3]) << 24
 }
--- a/crates/petrellatch-proto/src/pass_through/configuration.rs
+++ b/crates/petrellatch-proto/src/pass_through/configuration.rs
@@ -68,7 +68,7 @@
     /// Addresses of removed routes.
     #[prost(fixed64, repeated, tag = "4")]
     pub removed: Vec<u64>,
-    /// Opaque data that the operator's API translator stores with the configuration; none if
+    /// Opaque data that the operator's API translator stores with the configuration; `None` if
     /// unchanged.
     #[prost(bytes, optional, tag = "5")]
     pub annotation: Option<Vec<u8>>,
--- a/crates/petrellatch-proto/src/pass_through/new_flow.rs
+++ b/crates/petrellatch-proto/src/pass_through/new_flow.rs
@@ -2,7 +2,8 @@
 
 use super::FlowMessage;
 
-/// Reason for which a balancer forwards a packet to an agent.
+/// Reason for which a balancer forwards a packet to an agent. The names of the variants are
+/// written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum ForwardReason {
@@ -114,7 +115,8 @@
     pub load: LoadMessage,
 }
 
-/// Reason for which an agent declines a new flow.
+/// Reason for which an agent declines a new flow. The names of the variants are written to
+/// the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Enumeration)]
 #[repr(i32)]
 pub enum DeclineReason {
--- a/crates/petrellatch-proto/src/pass_through/policies.rs
+++ b/crates/petrellatch-proto/src/pass_through/policies.rs
@@ -27,7 +27,7 @@
     /// Random identifier of the change.
     #[prost(fixed64, tag = "1")]
     pub change_id: u64,
-    /// [`PolicySet::index`] that the change is based on; none if it applies unconditionally.
+    /// [`PolicySet::index`] that the change is based on; `None` if it applies unconditionally.
     #[prost(uint64, optional, tag = "2")]
     pub base_index: Option<u64>,
     /// Policy to add, or to replace the one of the same name.
--- a/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/agent_loop.rs
@@ -30,7 +30,7 @@
 /// counts as silent and gets no new flows.
 const MISSED_REGISTRATIONS: u32 = 5;
 /// Number of registration intervals after its start in which an agent admits flows
-/// before the first registration, if packets show that its back end is alive.
+/// before the first registration, if packets show that its back end runs.
 const PROVISIONAL_REGISTRATIONS: u32 = 2;
 /// Maximum number of requests per slot of the back end if all agents are full. It is
 /// used while the processing time or the latency objective is not known.
