--- a/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
+++ b/crates/petrellatch-core/src/pass_through/group/daemon_registry.rs
@@ -25,7 +25,7 @@
 const AGENT_TTL: Duration = Duration::from_secs(5);
 const AGENT_TTL_INTERVALS: u32 = 4;
 /// Regular reports per second that a replica takes from all agents together. Balancers notice
-/// a dead agent by its silence, so these reports may be rare.
+/// a failed agent by its silence, so these reports may be rare.
 const REPORTS_PER_SECOND: u32 = 50;
 /// Minimum interval between regular reports of an agent.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
 struct ReportedAgent {
     report: Report,
     last_seen_at: Timestamp,
-    /// Whether an earlier incarnation at its address was known.
+    /// Whether a previous incarnation at its address was known.
     knows_previous_incarnation: bool,
     /// Log index of the latest zone command that it has acknowledged.
     evacuations_index: u64,
@@ -289,7 +289,7 @@
         true
     }
 
-    /// Whether an earlier incarnation of the agent at `address` was known.
+    /// Whether a previous incarnation of the agent at `address` was known.
     pub(crate) fn knows_previous_incarnation(&self, address: u64) -> bool {
         let agent = self.agents.get(&address);
         agent.is_some_and(|agent| agent.knows_previous_incarnation)
@@ -417,7 +417,7 @@
         }
     }
 
-    /// The interval at which this replica wants each agent to report.
+    /// The interval at which this replica asks each agent to report.
     pub(crate) fn report_interval(&self) -> Duration {
         report_interval_for(self.agents.len())
     }
--- a/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
+++ b/crates/petrellatch-core/src/pass_through/group/flow_record_store.rs
@@ -64,7 +64,7 @@
     incarnation: u64,
     backend_incarnation: u64,
     revision: u64,
-    /// First sequence number of the back end, and last acknowledgement number of the caller.
+    /// Initial sequence number of the back end, and last acknowledgement number of the caller.
     flows: BTreeMap<FlowId, (u32, u32)>,
     probe_packets: Vec<Vec<u8>>,
 }
