--- a/crates/petrellatch-core/src/consensus/apply.rs
+++ b/crates/petrellatch-core/src/consensus/apply.rs
@@ -8,7 +8,7 @@
 use super::membership_history::MembershipHistory;
 use super::output::ReplicaOutput;
 use super::persistence::{PersistTicket, Snapshot};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// Takes over the application's state after the entry at `index`, so that
@@ -46,7 +46,7 @@
         let membership_changed = self.memberships.record(&entry);
         self.log.append(entry);
         if membership_changed {
-            self.follow_membership();
+            self.apply_membership();
         }
     }
 
@@ -55,7 +55,7 @@
         self.log.truncate_from(index);
         self.writes.note_truncation(index);
         if self.memberships.truncate_from(index) {
-            self.follow_membership();
+            self.apply_membership();
         }
         let lost = self.own_proposals.split_off(&index);
         for (index, term) in lost {
@@ -69,7 +69,7 @@
         let position = snapshot.position;
         let index = position.index;
         let snapshot = Arc::new(snapshot);
-        self.lose_proposals_covered_by(index);
+        self.report_proposals_lost_up_to(index);
         if self.log.term_at(index) == Some(position.term) {
             self.log.compact_to(index);
             self.memberships.compact_to(index);
@@ -78,7 +78,7 @@
         }
         self.commit_index = index;
         self.applied_index = index;
-        self.snapshot_wanted_at = index;
+        self.snapshot_requested_at = index;
         self.writes.note_snapshot(Arc::clone(&snapshot));
         self.snapshot = Some(snapshot);
         self.pending_restore = self.writes.barrier(&self.log);
@@ -149,14 +149,14 @@
 
     fn replace_log(&mut self, snapshot: &Snapshot) {
         let index = snapshot.position.index;
-        self.lose_proposals_covered_by(LogIndex::MAX);
+        self.report_proposals_lost_up_to(LogIndex::MAX);
         self.log.reset(snapshot.position);
         self.writes.note_replaced_log(index);
         self.memberships = MembershipHistory::new(index, snapshot.membership.clone());
-        self.follow_membership();
+        self.apply_membership();
     }
 
-    fn lose_proposals_covered_by(&mut self, last: LogIndex) {
+    fn report_proposals_lost_up_to(&mut self, last: LogIndex) {
         while let Some(proposal) = self.own_proposals.first_entry() {
             if *proposal.key() > last {
                 return;
@@ -169,12 +169,12 @@
 
     fn request_snapshot_if_due(&mut self) {
         let threshold = self.settings.compaction_threshold;
-        let newest = self.snapshot_index().max(self.snapshot_wanted_at);
+        let newest = self.snapshot_index().max(self.snapshot_requested_at);
         let is_long = self.applied_index.saturating_sub(newest) >= threshold;
         if !is_long && self.applied_bytes_after(newest) < self.compaction_bytes() {
             return;
         }
-        self.snapshot_wanted_at = self.applied_index;
+        self.snapshot_requested_at = self.applied_index;
         let index = self.applied_index;
         self.emit(ReplicaOutput::SnapshotWanted { index });
     }
@@ -192,11 +192,11 @@
     }
 
     /// Takes note of another membership in effect.
-    fn follow_membership(&mut self) {
+    fn apply_membership(&mut self) {
         let membership = self.memberships.current().clone();
         let last_index = self.log.last_index();
-        if let Part::Leader(leadership) = &mut self.part {
-            leadership.follow_membership(self.id, &membership, last_index, self.now);
+        if let RoleState::Leader(leadership) = &mut self.role_state {
+            leadership.apply_membership(self.id, &membership, last_index, self.now);
         }
         self.emit(ReplicaOutput::MembershipChanged(membership));
     }
--- a/crates/petrellatch-core/src/consensus/election.rs
+++ b/crates/petrellatch-core/src/consensus/election.rs
@@ -13,11 +13,11 @@
 use super::membership::ReplicaId;
 use super::output::{ElectionLoss, ReplicaOutput};
 use super::persistence::HardState;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 /// Between two requests of a candidate for the same vote, in election
 /// timeouts.
-const TIMEOUTS_BETWEEN_REQUESTS: f64 = 0.2;
+const VOTE_RETRY_INTERVAL_IN_TIMEOUTS: f64 = 0.2;
 
 impl Replica {
     /// Whether this replica is a voter, as far as it knows.
@@ -30,29 +30,29 @@
     }
 
     pub(super) fn election_is_due(&self) -> bool {
-        let leads = matches!(self.part, Part::Leader(_));
-        let waits = leads || self.awaits_turn();
+        let leads = matches!(self.role_state, RoleState::Leader(_));
+        let waits = leads || self.waits_for_rank_delay();
         !waits && self.may_campaign() && self.now >= self.election_deadline
     }
 
     /// Asks the voters whether they would elect this replica. The term stays,
     /// so that a replica that was cut off disturbs nobody when it returns.
     pub(super) fn start_pre_vote(&mut self) {
-        if matches!(self.part, Part::Candidate { .. }) {
-            self.lose_election(ElectionLoss::NoAnswer);
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            self.end_candidacy(ElectionLoss::NoAnswer);
         }
         self.reset_candidacy();
         let granted = BTreeSet::from([self.id.node]);
-        self.part = Part::PreCandidate { granted };
+        self.role_state = RoleState::PreCandidate { granted };
         self.leader = None;
         self.reset_pre_vote_timer();
         for voter in self.other_voters() {
-            self.ask_for_pre_vote(voter);
+            self.request_pre_vote(voter);
         }
         self.evaluate_election();
     }
 
-    fn ask_for_pre_vote(&mut self, voter: ReplicaId) {
+    fn request_pre_vote(&mut self, voter: ReplicaId) {
         let last = self.log.last_position();
         let request = PreVoteRequest {
             proposed_term: self.hard_state.term + 1,
@@ -63,15 +63,15 @@
     }
 
     /// Asks a voter that has just started for what this replica needs.
-    fn ask_newcomer(&mut self, voter: ReplicaId, term: Term) {
-        match self.part {
-            Part::PreCandidate { .. } => self.ask_for_pre_vote(voter),
+    fn request_from_started_voter(&mut self, voter: ReplicaId, term: Term) {
+        match self.role_state {
+            RoleState::PreCandidate { .. } => self.request_pre_vote(voter),
             // A voter of a higher term could only end this candidacy.
-            Part::Candidate { .. } if term <= self.hard_state.term => {
-                self.ask_for_vote(voter, false);
+            RoleState::Candidate { .. } if term <= self.hard_state.term => {
+                self.request_vote(voter, false);
             }
-            Part::Candidate { .. } => {}
-            Part::Follower | Part::Leader(_) => {}
+            RoleState::Candidate { .. } => {}
+            RoleState::Follower | RoleState::Leader(_) => {}
         }
     }
 
@@ -85,18 +85,18 @@
             term: request.last_term,
             index: request.last_index,
         };
-        let must_be_asked = self.note_rival(sender, sender_term, last);
-        if self.needs_term_of(sender, last) {
-            self.observe_term_at_start(sender_term);
+        let needs_request = self.note_pre_candidate(sender, sender_term, last);
+        if self.must_adopt_term_of(sender, last) {
+            self.observe_term_and_retry_pre_vote(sender_term);
         }
-        if must_be_asked {
-            self.ask_newcomer(sender, sender_term);
+        if needs_request {
+            self.request_from_started_voter(sender, sender_term);
         }
-        let held_back = self.holds_back();
-        let granted = !self.hears_leader()
+        let defers = self.defers_to_candidate();
+        let granted = !self.has_recent_leader_contact()
             && request.proposed_term > self.hard_state.term
             && last >= self.log.last_position()
-            && !held_back;
+            && !defers;
         if !granted && sender_term > self.hard_state.term {
             return;
         }
@@ -113,16 +113,16 @@
         term: Term,
         response: &PreVoteResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
-        if self.holds_back() {
+        if self.defers_to_candidate() {
             // It answers what this replica asked before it voted.
             return;
         }
-        self.observe_term_at_start(term);
+        self.observe_term_and_retry_pre_vote(term);
         let awaited = response.proposed_term == self.hard_state.term + 1;
-        if let Part::PreCandidate { granted } = &mut self.part
+        if let RoleState::PreCandidate { granted } = &mut self.role_state
             && awaited
             && response.granted
         {
@@ -137,7 +137,7 @@
         term: Term,
         request: &VoteRequest,
     ) {
-        if self.hears_leader() && !request.transferred {
+        if self.has_recent_leader_contact() && !request.transferred {
             return;
         }
         self.observe_term(term);
@@ -162,10 +162,10 @@
         term: Term,
         response: &VoteResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
-        self.observe_term_at_start(term);
+        self.observe_term_and_retry_pre_vote(term);
         if term != self.hard_state.term {
             return;
         }
@@ -173,7 +173,7 @@
             self.note_denial(sender.node);
             return;
         }
-        if let Part::Candidate { granted } = &mut self.part {
+        if let RoleState::Candidate { granted } = &mut self.role_state {
             granted.insert(sender.node);
             self.evaluate_election();
         }
@@ -184,7 +184,7 @@
     pub(super) fn count_own_vote(&mut self) {
         let vote_is_durable = self.writes.barrier(&self.log).is_none();
         let own = self.id.node;
-        if let Part::Candidate { granted } = &mut self.part
+        if let RoleState::Candidate { granted } = &mut self.role_state
             && vote_is_durable
         {
             granted.insert(own);
@@ -194,7 +194,7 @@
 
     /// Whether the sender's votes and acknowledgements count at all: it must
     /// be a member with exactly this incarnation.
-    pub(super) fn counts(&self, sender: ReplicaId) -> bool {
+    pub(super) fn is_current_member(&self, sender: ReplicaId) -> bool {
         if self.settings.mutations.ignore_incarnation {
             return self.membership().member(sender.node).is_some();
         }
@@ -203,8 +203,8 @@
 
     /// Whether a leader was heard from so recently that no other one may be
     /// elected with this replica's help.
-    fn hears_leader(&self) -> bool {
-        let leads = matches!(self.part, Part::Leader(_));
+    fn has_recent_leader_contact(&self) -> bool {
+        let leads = matches!(self.role_state, RoleState::Leader(_));
         let is_recent = |at| self.now.saturating_since(at) < self.settings.election_timeout;
         leads || self.last_leader_contact.is_some_and(is_recent)
     }
@@ -225,20 +225,20 @@
 
     /// Moves on if a quorum agreed.
     fn evaluate_election(&mut self) {
-        match &self.part {
-            Part::PreCandidate { granted } if self.is_quorum(granted) => {
+        match &self.role_state {
+            RoleState::PreCandidate { granted } if self.is_quorum(granted) => {
                 self.note_pre_vote_quorum();
-                self.stand_if_due();
+                self.start_election_if_due();
             }
-            Part::Candidate { granted } if self.is_quorum(granted) => self.become_leader(),
+            RoleState::Candidate { granted } if self.is_quorum(granted) => self.become_leader(),
             _ => {}
         }
     }
 
     /// Asks for votes if a quorum would grant them and nobody else goes first.
-    pub(super) fn stand_if_due(&mut self) {
-        let is_pre_candidate = matches!(self.part, Part::PreCandidate { .. });
-        let is_due = self.candidacy_at().is_some_and(|at| self.now >= at);
+    pub(super) fn start_election_if_due(&mut self) {
+        let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
+        let is_due = self.candidacy_due_at().is_some_and(|at| self.now >= at);
         if is_pre_candidate && is_due {
             self.start_election(false);
         }
@@ -246,20 +246,20 @@
 
     /// Enters a higher term that an answer told. Voters that start ask again at
     /// once: the answers to what they asked are void.
-    fn observe_term_at_start(&mut self, term: Term) {
+    fn observe_term_and_retry_pre_vote(&mut self, term: Term) {
         let is_higher = term > self.hard_state.term;
         self.observe_term(term);
-        if is_higher && self.is_starting() && self.may_campaign() {
+        if is_higher && self.in_startup_election() && self.may_campaign() {
             self.start_pre_vote();
         }
     }
 
     /// Ends a candidacy, if there is one. Another candidate may still win the
     /// term, so the loss is reported with the next one.
-    pub(super) fn lose_election(&mut self, reason: ElectionLoss) {
-        if matches!(self.part, Part::Candidate { .. }) {
-            self.part = Part::Follower;
-            self.forget_own_vote();
+    pub(super) fn end_candidacy(&mut self, reason: ElectionLoss) {
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            self.role_state = RoleState::Follower;
+            self.stop_deferring_to_candidate();
             self.lost_election = Some(reason);
         }
     }
@@ -290,19 +290,19 @@
             voted_for: Some(self.id),
         };
         self.writes.note_hard_state();
-        self.part = Part::Candidate {
+        self.role_state = RoleState::Candidate {
             granted: BTreeSet::new(),
         };
         self.reset_candidacy();
         self.note_own_vote();
         self.reset_election_timer();
-        self.ask_for_votes(transferred);
+        self.request_votes(transferred);
     }
 
     /// Asks the voters who have not voted for this candidate. A request may
     /// get lost, or come before its voter has started.
-    fn ask_for_votes(&mut self, transferred: bool) {
-        let Part::Candidate { granted } = &self.part else {
+    fn request_votes(&mut self, transferred: bool) {
+        let RoleState::Candidate { granted } = &self.role_state else {
             return;
         };
         let is_missing = |voter: &ReplicaId| !granted.contains(&voter.node);
@@ -310,14 +310,14 @@
         let interval = self
             .settings
             .election_timeout
-            .mul_f64(TIMEOUTS_BETWEEN_REQUESTS);
-        self.ask_again_at = self.now + interval;
+            .mul_f64(VOTE_RETRY_INTERVAL_IN_TIMEOUTS);
+        self.vote_retry_at = self.now + interval;
         for voter in voters {
-            self.ask_for_vote(voter, transferred);
+            self.request_vote(voter, transferred);
         }
     }
 
-    fn ask_for_vote(&mut self, voter: ReplicaId, transferred: bool) {
+    fn request_vote(&mut self, voter: ReplicaId, transferred: bool) {
         let last = self.log.last_position();
         let request = VoteRequest {
             last_index: last.index,
@@ -329,9 +329,9 @@
 
     /// Repeats what a candidate asked for, if that is due.
     pub(super) fn repeat_vote_requests(&mut self) {
-        let is_candidate = matches!(self.part, Part::Candidate { .. });
-        if is_candidate && self.now >= self.ask_again_at {
-            self.ask_for_votes(false);
+        let is_candidate = matches!(self.role_state, RoleState::Candidate { .. });
+        if is_candidate && self.now >= self.vote_retry_at {
+            self.request_votes(false);
         }
     }
 
@@ -339,8 +339,8 @@
         let first_index = self.log.last_index() + 1;
         let mut leadership = Leadership::new(self.now, first_index);
         let membership = self.memberships.current();
-        leadership.follow_membership(self.id, membership, self.log.last_index(), self.now);
-        self.part = Part::Leader(leadership);
+        leadership.apply_membership(self.id, membership, self.log.last_index(), self.now);
+        self.role_state = RoleState::Leader(leadership);
         self.leader = Some(self.id.node);
         self.append_entry(EntryPayload::NoOperation);
         self.send_heartbeats();
--- a/crates/petrellatch-core/src/consensus/follower.rs
+++ b/crates/petrellatch-core/src/consensus/follower.rs
@@ -6,7 +6,7 @@
 
 use super::entry::{LogEntry, LogIndex, LogPosition, Term};
 use super::membership::ReplicaId;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 /// What an answer must repeat from the message that it answers.
 #[derive(Clone, Copy, Debug)]
@@ -30,10 +30,10 @@
             term: request.previous_term,
             index: request.previous_index,
         };
-        if !self.follow(sender, term, echo) {
+        if !self.accept_leader(sender, term, echo) {
             return;
         }
-        if !self.agrees_at(previous) {
+        if !self.log_matches_at(previous) {
             self.refuse_append(sender, previous.index, echo);
             return;
         }
@@ -60,17 +60,17 @@
 
     /// Recognises the sender as the leader of `term`. Returns whether its
     /// message is to be handled.
-    pub(super) fn follow(&mut self, sender: ReplicaId, term: Term, echo: Echo) -> bool {
+    pub(super) fn accept_leader(&mut self, sender: ReplicaId, term: Term, echo: Echo) -> bool {
         if term < self.hard_state.term {
             // The answer's term makes the old leader step down.
             self.refuse_append(sender, 0, echo);
             return false;
         }
         self.observe_term(term);
-        if matches!(self.part, Part::Leader(_)) {
+        if matches!(self.role_state, RoleState::Leader(_)) {
             return false;
         }
-        self.part = Part::Follower;
+        self.role_state = RoleState::Follower;
         self.reset_candidacy();
         self.lost_election = None;
         self.note_leader(sender.node);
@@ -111,7 +111,7 @@
 
     /// Whether the own log holds the entry at `position`. Committed entries
     /// are in every later leader's log.
-    fn agrees_at(&self, position: LogPosition) -> bool {
+    fn log_matches_at(&self, position: LogPosition) -> bool {
         let committed = position.index <= self.commit_index;
         committed || self.log.term_at(position.index) == Some(position.term)
     }
--- a/crates/petrellatch-core/src/consensus/leader.rs
+++ b/crates/petrellatch-core/src/consensus/leader.rs
@@ -10,7 +10,7 @@
 use super::membership::{Member, MemberRole, ReplicaId};
 use super::output::ProposeError;
 use super::progress::{Progress, ReplicationState};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 use super::settings::MAX_COMMAND_BYTES;
 
 /// How much may wait to be committed before proposals are refused, in bytes.
@@ -25,7 +25,7 @@
         command: Vec<u8>,
     ) -> Result<LogPosition, ProposeError> {
         self.observe_clock(now);
-        if !matches!(self.part, Part::Leader(_)) || self.is_transferring() {
+        if !matches!(self.role_state, RoleState::Leader(_)) || self.is_transferring() {
             return Err(self.not_leader().into());
         }
         if command.len() > MAX_COMMAND_BYTES {
@@ -48,7 +48,7 @@
     /// have been elected. Leases may be granted only while this holds at the
     /// time of granting.
     pub fn is_leader_with_quorum(&self, now: Timestamp) -> bool {
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return false;
         };
         if self.settings.mutations.skip_quorum_check {
@@ -79,9 +79,11 @@
     }
 
     pub(super) fn heartbeat_is_due(&self) -> bool {
-        match &self.part {
-            Part::Leader(leadership) => self.now >= leadership.next_heartbeat,
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => false,
+        match &self.role_state {
+            RoleState::Leader(leadership) => self.now >= leadership.next_heartbeat,
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                false
+            }
         }
     }
 
@@ -89,7 +91,7 @@
     /// lost ones be repeated.
     pub(super) fn send_heartbeats(&mut self) {
         let next_heartbeat = self.now + self.settings.heartbeat_interval;
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
         };
         leadership.next_heartbeat = next_heartbeat;
@@ -103,7 +105,7 @@
 
     /// Sends what the peers lack, as far as flow control allows.
     pub(super) fn replicate(&mut self) {
-        self.start_wanted_round();
+        self.start_requested_round();
         for peer in self.peer_nodes() {
             self.replicate_to(peer);
         }
@@ -115,7 +117,7 @@
         term: Term,
         response: &AppendResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
         self.observe_term(term);
@@ -143,7 +145,7 @@
     /// Moves the commit index to the last entry of this term that is durable
     /// at a quorum.
     pub(super) fn advance_commit(&mut self) {
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let own_index = self.own_durable_index();
@@ -169,14 +171,16 @@
 
     /// The other members' nodes, if this replica leads.
     fn peer_nodes(&self) -> Vec<NodeId> {
-        match &self.part {
-            Part::Leader(leadership) => leadership.peers.keys().copied().collect(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => Vec::new(),
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.peers.keys().copied().collect(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                Vec::new()
+            }
         }
     }
 
     pub(super) fn progress_of(&mut self, replica: ReplicaId) -> Option<&mut Progress> {
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return None;
         };
         if self.settings.mutations.ignore_incarnation {
@@ -221,8 +225,8 @@
                 self.send_snapshot_chunk(peer);
                 return;
             }
-            let has_news = progress.next_index <= last_index;
-            if !has_news || !progress.may_send_entries() {
+            let has_unsent_entries = progress.next_index <= last_index;
+            if !has_unsent_entries || !progress.may_send_entries() {
                 return;
             }
             self.send_entries(peer);
@@ -277,7 +281,7 @@
     }
 
     fn send_append(&mut self, peer: NodeId, previous: LogPosition, entries: Vec<LogEntry>) {
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let Some(progress) = leadership.peers.get(&peer) else {
@@ -296,9 +300,11 @@
     }
 
     pub(super) fn progress_on(&mut self, node: NodeId) -> Option<&mut Progress> {
-        match &mut self.part {
-            Part::Leader(leadership) => leadership.peers.get_mut(&node),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => None,
+        match &mut self.role_state {
+            RoleState::Leader(leadership) => leadership.peers.get_mut(&node),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                None
+            }
         }
     }
 }
--- a/crates/petrellatch-core/src/consensus/leadership.rs
+++ b/crates/petrellatch-core/src/consensus/leadership.rs
@@ -26,7 +26,7 @@
     /// Number of the current leadership confirmation round.
     pub(super) round: u64,
     /// Whether a round must be started for waiting reads.
-    pub(super) round_wanted: bool,
+    pub(super) round_requested: bool,
     pub(super) reads: VecDeque<PendingRead>,
     /// Until when somebody may become ready to take over; none unless this
     /// leader wants to hand over.
@@ -52,7 +52,7 @@
             first_index,
             next_heartbeat: since,
             round: 0,
-            round_wanted: false,
+            round_requested: false,
             reads: VecDeque::new(),
             transfer_deadline: None,
             waiting: BTreeMap::new(),
@@ -60,7 +60,7 @@
     }
 
     /// Adapts the peers to a membership. Who stays keeps its progress.
-    pub(super) fn follow_membership(
+    pub(super) fn apply_membership(
         &mut self,
         own: ReplicaId,
         membership: &Membership,
@@ -86,7 +86,7 @@
         (progress.replica == replica).then_some(progress)
     }
 
-    pub(super) fn note_waiting(&mut self, replica: ReplicaId) {
+    pub(super) fn note_waiting_replica(&mut self, replica: ReplicaId) {
         let known = self.waiting.contains_key(&replica.node);
         if known || self.waiting.len() < MAX_WAITING_REPLICAS {
             self.waiting.insert(replica.node, replica.incarnation);
--- a/crates/petrellatch-core/src/consensus/log.rs
+++ b/crates/petrellatch-core/src/consensus/log.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Log {
     base: LogPosition,
-    entries: VecDeque<HeldEntry>,
+    entries: VecDeque<SizedEntry>,
 }
 
 #[derive(Debug)]
-struct HeldEntry {
+struct SizedEntry {
     entry: LogEntry,
     /// Size of all entries up to this one since the log was made, in bytes.
     end_bytes: usize,
@@ -41,13 +41,13 @@
     pub(super) fn last_position(&self) -> LogPosition {
         self.entries
             .back()
-            .map_or(self.base, |held| held.entry.position)
+            .map_or(self.base, |sized| sized.entry.position)
     }
 
     pub(super) fn entry(&self, index: LogIndex) -> Option<&LogEntry> {
         let offset = index.checked_sub(self.base.index + 1)?;
-        let held = self.entries.get(usize::try_from(offset).ok()?)?;
-        Some(&held.entry)
+        let sized = self.entries.get(usize::try_from(offset).ok()?)?;
+        Some(&sized.entry)
     }
 
     /// Term of the entry at `index`, as far as it is known.
@@ -62,7 +62,7 @@
     pub(super) fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.position.index, self.last_index() + 1);
         let end_bytes = self.end_bytes() + entry.size_bytes();
-        self.entries.push_back(HeldEntry { entry, end_bytes });
+        self.entries.push_back(SizedEntry { entry, end_bytes });
     }
 
     /// Removes all entries from `index` on.
@@ -91,7 +91,7 @@
     pub(super) fn entries_from(&self, first: LogIndex) -> Vec<LogEntry> {
         let skipped = first.saturating_sub(self.base.index + 1) as usize;
         let entries = self.entries.iter().skip(skipped);
-        entries.map(|held| held.entry.clone()).collect()
+        entries.map(|sized| sized.entry.clone()).collect()
     }
 
     /// Copies entries from `first` on up to `limit_bytes`, but at least one.
@@ -113,10 +113,10 @@
     /// Size of all entries after `index`, in bytes.
     pub(super) fn bytes_after(&self, index: LogIndex) -> usize {
         let next = index.saturating_sub(self.base.index) as usize;
-        let Some(held) = self.entries.get(next) else {
+        let Some(sized) = self.entries.get(next) else {
             return 0;
         };
-        self.end_bytes() + held.entry.size_bytes() - held.end_bytes
+        self.end_bytes() + sized.entry.size_bytes() - sized.end_bytes
     }
 
     /// The last position at or below `limit` whose term is at most `term`:
@@ -141,6 +141,6 @@
     }
 
     fn end_bytes(&self) -> usize {
-        self.entries.back().map_or(0, |held| held.end_bytes)
+        self.entries.back().map_or(0, |sized| sized.end_bytes)
     }
 }
--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -190,11 +190,11 @@
     /// same node. A voter's successor is a learner until it has caught up.
     pub(super) fn replaced(&self, successor: ReplicaId) -> Result<Membership, MembershipError> {
         let node = successor.node;
-        let former = self.member(node);
-        let former = former.ok_or(MembershipError::UnknownMember { node })?;
+        let previous = self.member(node);
+        let previous = previous.ok_or(MembershipError::UnknownMember { node })?;
         let mut next = self.clone();
-        next.retire(former.replica);
-        let role = match former.role {
+        next.retire(previous.replica);
+        let role = match previous.role {
             MemberRole::Learner => MemberRole::Learner,
             MemberRole::Voter | MemberRole::JoiningVoter => MemberRole::JoiningVoter,
         };
--- a/crates/petrellatch-core/src/consensus/membership_change.rs
+++ b/crates/petrellatch-core/src/consensus/membership_change.rs
@@ -7,7 +7,7 @@
 
 use super::entry::{EntryPayload, LogPosition};
 use super::membership::{MemberRole, Membership, MembershipChange, MembershipError, ReplicaId};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// Proposes a membership change. One change is made at a time; it is in
@@ -18,7 +18,7 @@
         change: MembershipChange,
     ) -> Result<LogPosition, MembershipError> {
         self.observe_clock(now);
-        if !matches!(self.part, Part::Leader(_)) {
+        if !matches!(self.role_state, RoleState::Leader(_)) {
             return Err(self.not_leader().into());
         }
         if self.change_in_progress() {
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn join_is_due(&self) -> bool {
-        let leads = matches!(self.part, Part::Leader(_));
+        let leads = matches!(self.role_state, RoleState::Leader(_));
         // A voter may have been removed without having heard of it.
         let may_be_removed = self.settings.readmit_retired && self.leader.is_none();
         let announces = !self.may_campaign() || may_be_removed;
@@ -78,18 +78,18 @@
         let membership = self.membership();
         let is_member = membership.contains(sender);
         let is_retired = membership.is_retired(sender);
-        let former = membership.member(sender.node);
-        let Part::Leader(leadership) = &mut self.part else {
+        let previous = membership.member(sender.node);
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
         };
         if is_member || (is_retired && !readmits) {
             return;
         }
-        let Some(former) = former else {
-            leadership.note_waiting(sender);
+        let Some(previous) = previous else {
+            leadership.note_waiting_replica(sender);
             return;
         };
-        if self.change_in_progress() || self.was_heard_lately(former.replica) {
+        if self.change_in_progress() || self.responded_recently(previous.replica) {
             return;
         }
         if let Ok(membership) = self.membership().replaced(sender) {
@@ -102,7 +102,7 @@
     pub(super) fn promote_if_caught_up(&mut self, replica: ReplicaId) {
         let joins = |member: super::Member| member.role == MemberRole::JoiningVoter;
         let joining = self.membership().member(replica.node).is_some_and(joins);
-        if !joining || !matches!(self.part, Part::Leader(_)) {
+        if !joining || !matches!(self.role_state, RoleState::Leader(_)) {
             return;
         }
         if self.change_in_progress() || !self.has_caught_up(replica.node) {
@@ -122,7 +122,7 @@
     /// first entry of the term, without which an earlier leader's change
     /// might still be open.
     fn change_in_progress(&self) -> bool {
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return true;
         };
         let pending = self.memberships.current_index() > self.commit_index;
@@ -139,8 +139,8 @@
 
     /// Whether the replica answered within the election timeout. Then its
     /// disk isn't lost, and another process uses its node's name.
-    fn was_heard_lately(&self, replica: ReplicaId) -> bool {
-        let Part::Leader(leadership) = &self.part else {
+    fn responded_recently(&self, replica: ReplicaId) -> bool {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return false;
         };
         let progress = leadership.peers.get(&replica.node);
--- a/crates/petrellatch-core/src/consensus/mod.rs
+++ b/crates/petrellatch-core/src/consensus/mod.rs
@@ -113,7 +113,7 @@
 mod settings;
 mod snapshot_assembly;
 mod snapshot_transfer;
-mod start_of_group;
+mod startup_election;
 mod status;
 mod transfer;
 mod wire;
--- a/crates/petrellatch-core/src/consensus/reads.rs
+++ b/crates/petrellatch-core/src/consensus/reads.rs
@@ -4,7 +4,7 @@
 
 use super::leadership::{Leadership, PendingRead};
 use super::output::{NotLeader, ReplicaOutput};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// Asks for a read that sees everything accepted before. It is answered
@@ -13,13 +13,13 @@
     pub fn request_read(&mut self, now: Timestamp, token: u64) -> Result<(), NotLeader> {
         self.observe_clock(now);
         let refusal = self.not_leader();
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return Err(refusal);
         };
         // What earlier leaders committed is known only once the first entry
         // of this term is committed.
         let index = self.commit_index.max(leadership.first_index);
-        leadership.round_wanted = true;
+        leadership.round_requested = true;
         leadership.reads.push_back(PendingRead {
             token,
             index,
@@ -30,21 +30,21 @@
     }
 
     /// Starts a confirmation round if reads wait for one.
-    pub(super) fn start_wanted_round(&mut self) {
-        let Part::Leader(leadership) = &mut self.part else {
+    pub(super) fn start_requested_round(&mut self) {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
         };
-        if !leadership.round_wanted {
+        if !leadership.round_requested {
             return;
         }
-        leadership.round_wanted = false;
+        leadership.round_requested = false;
         leadership.round += 1;
         self.send_heartbeats();
     }
 
     /// Answers the reads whose round is confirmed and whose index is applied.
     pub(super) fn answer_reads(&mut self) {
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let confirmed_round = self.confirmed_round(leadership);
@@ -58,7 +58,7 @@
 
     fn next_answerable_read(&mut self, confirmed_round: u64) -> Option<PendingRead> {
         let applied_index = self.applied_index;
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return None;
         };
         let read = leadership.reads.front()?;
--- a/crates/petrellatch-core/src/consensus/replica.rs
+++ b/crates/petrellatch-core/src/consensus/replica.rs
@@ -20,7 +20,7 @@
 use super::persistence::{HardState, PersistRequest, PersistTicket, Snapshot};
 use super::settings::{ReplicaSettings, ReplicaStart};
 use super::snapshot_assembly::SnapshotAssembly;
-use super::start_of_group::StartOfGroup;
+use super::startup_election::StartupElection;
 use super::write_queue::WriteQueue;
 
 /// One replica of the log. See the [module page](super) for its guarantees
@@ -38,13 +38,13 @@
     pub(super) memberships: MembershipHistory,
     pub(super) commit_index: LogIndex,
     pub(super) applied_index: LogIndex,
-    pub(super) part: Part,
+    pub(super) role_state: RoleState,
     pub(super) leader: Option<NodeId>,
     /// When a candidate asks again for votes that it lacks.
-    pub(super) ask_again_at: Timestamp,
+    pub(super) vote_retry_at: Timestamp,
     /// Pre-votes of this life.
     pre_votes: u32,
-    pub(super) start_of_group: StartOfGroup,
+    pub(super) startup_election: StartupElection,
     /// Why this replica was not elected in the current term.
     pub(super) lost_election: Option<ElectionLoss>,
     /// When a leader was last heard from. Unless voters may elect at their
@@ -62,25 +62,25 @@
     pub(super) writes: WriteQueue,
     pub(super) own_proposals: BTreeMap<LogIndex, Term>,
     /// Applied index at which a snapshot was last asked for.
-    pub(super) snapshot_wanted_at: LogIndex,
+    pub(super) snapshot_requested_at: LogIndex,
     pub(super) outputs: VecDeque<ReplicaOutput>,
     announced_role: (Role, Term),
 }
 
 /// How long a replica waits for a leader before it stands for election, in
 /// election timeouts.
-const TIMEOUTS_WITHOUT_LEADER: Range<f64> = 1.0..2.0;
+const ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 1.0..2.0;
 /// Between two pre-votes as long as no leader was heard in this life, in
 /// election timeouts, and how many of them may follow each other so soon.
-const TIMEOUTS_BETWEEN_PRE_VOTES_AT_START: Range<f64> = 0.2..0.4;
-const MAX_QUICK_PRE_VOTES: u32 = 50;
+const STARTUP_PRE_VOTE_INTERVAL_IN_TIMEOUTS: Range<f64> = 0.2..0.4;
+const MAX_STARTUP_PRE_VOTES: u32 = 50;
 /// How long a voter that starts waits for the candidate that it voted for, in
 /// election timeouts.
-const TIMEOUTS_FOR_CANDIDATE_AT_START: Range<f64> = 0.4..0.8;
+const STARTUP_ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 0.4..0.8;
 
 /// State of the part that the replica plays.
 #[derive(Debug)]
-pub(super) enum Part {
+pub(super) enum RoleState {
     Follower,
     PreCandidate {
         /// Voters that would grant their vote.
@@ -137,21 +137,21 @@
             memberships,
             commit_index: base.index,
             applied_index: base.index,
-            part: Part::Follower,
+            role_state: RoleState::Follower,
             leader: None,
             last_leader_contact: (!settings.elects_at_start).then_some(now),
             election_deadline: now,
             pre_votes: 0,
-            start_of_group: StartOfGroup::default(),
+            startup_election: StartupElection::default(),
             lost_election: None,
-            ask_again_at: now,
+            vote_retry_at: now,
             join_deadline: now,
             configured_peers,
             assembly: None,
             pending_restore: None,
             writes,
             own_proposals: BTreeMap::new(),
-            snapshot_wanted_at: base.index,
+            snapshot_requested_at: base.index,
             outputs: VecDeque::new(),
             settings,
         };
@@ -210,7 +210,7 @@
         if self.heartbeat_is_due() {
             self.send_heartbeats();
         }
-        self.stand_if_due();
+        self.start_election_if_due();
         if self.election_is_due() {
             self.start_pre_vote();
         }
@@ -247,7 +247,7 @@
 
     /// Returns when [`Replica::handle_timeout`] is wanted.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
-        if let Part::Leader(leadership) = &self.part {
+        if let RoleState::Leader(leadership) = &self.role_state {
             if self.settings.mutations.skip_quorum_check {
                 return Some(leadership.next_heartbeat);
             }
@@ -258,11 +258,11 @@
             ];
             return candidates.into_iter().flatten().min();
         }
-        if matches!(self.part, Part::Candidate { .. }) {
-            return Some(self.election_deadline.min(self.ask_again_at));
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            return Some(self.election_deadline.min(self.vote_retry_at));
         }
         if self.may_campaign() {
-            let stands_at = self.candidacy_at();
+            let stands_at = self.candidacy_due_at();
             return stands_at.or(Some(self.election_deadline));
         }
         Some(self.join_deadline)
@@ -273,7 +273,7 @@
     /// because the process was frozen, before it does anything else.
     pub(super) fn observe_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let lost_quorum = self.now >= self.step_down_deadline(leadership);
@@ -288,9 +288,9 @@
         if term <= self.hard_state.term {
             return;
         }
-        self.lose_election(ElectionLoss::HigherTerm);
+        self.end_candidacy(ElectionLoss::HigherTerm);
         self.report_lost_election();
-        self.forget_own_vote();
+        self.stop_deferring_to_candidate();
         self.hard_state = HardState {
             term,
             voted_for: None,
@@ -302,8 +302,8 @@
 
     pub(super) fn become_follower(&mut self) {
         self.reset_candidacy();
-        let former = std::mem::replace(&mut self.part, Part::Follower);
-        if let Part::Leader(leadership) = former {
+        let previous = std::mem::replace(&mut self.role_state, RoleState::Follower);
+        if let RoleState::Leader(leadership) = previous {
             for read in leadership.reads {
                 self.emit(ReplicaOutput::ReadLost { token: read.token });
             }
@@ -317,15 +317,15 @@
 
     /// A random time at which this replica stops waiting for a leader.
     pub(super) fn random_deadline(&mut self) -> Timestamp {
-        self.deadline_after(match self.is_starting() {
-            true => TIMEOUTS_FOR_CANDIDATE_AT_START,
-            false => TIMEOUTS_WITHOUT_LEADER,
+        self.deadline_after(match self.in_startup_election() {
+            true => STARTUP_ELECTION_DELAY_IN_TIMEOUTS,
+            false => ELECTION_DELAY_IN_TIMEOUTS,
         })
     }
 
     /// At the start there is no leader to wait for, unless it was heard before.
     fn reset_first_election_timer(&mut self) {
-        match self.is_starting() {
+        match self.in_startup_election() {
             true => self.election_deadline = self.now,
             false => self.reset_election_timer(),
         }
@@ -335,9 +335,9 @@
     /// little later.
     pub(super) fn reset_pre_vote_timer(&mut self) {
         self.pre_votes += 1;
-        let timeouts = match self.is_starting() && self.pre_votes <= MAX_QUICK_PRE_VOTES {
-            true => TIMEOUTS_BETWEEN_PRE_VOTES_AT_START,
-            false => TIMEOUTS_WITHOUT_LEADER,
+        let timeouts = match self.in_startup_election() && self.pre_votes <= MAX_STARTUP_PRE_VOTES {
+            true => STARTUP_PRE_VOTE_INTERVAL_IN_TIMEOUTS,
+            false => ELECTION_DELAY_IN_TIMEOUTS,
         };
         self.election_deadline = self.deadline_after(timeouts);
     }
--- a/crates/petrellatch-core/src/consensus/sending.rs
+++ b/crates/petrellatch-core/src/consensus/sending.rs
@@ -19,7 +19,7 @@
         let barrier = self.writes.barrier(&self.log);
         match barrier {
             Some(ticket) if !self.settings.mutations.acknowledge_before_sync => {
-                self.writes.hold(ticket, output);
+                self.writes.defer(ticket, output);
             }
             _ => self.outputs.push_back(output),
         }
--- a/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
+++ b/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
@@ -11,7 +11,7 @@
 use super::follower::Echo;
 use super::membership::ReplicaId;
 use super::progress::ReplicationState;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 use super::snapshot_assembly::{SnapshotAssembly, digest};
 
 impl Replica {
@@ -30,7 +30,7 @@
     pub(super) fn send_snapshot_chunk(&mut self, peer: NodeId) {
         let chunk_bytes = self.settings.chunk_limit_bytes();
         let sent_at_micros = self.now.as_micros();
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
         };
         let round = leadership.round;
@@ -72,7 +72,7 @@
             round: chunk.round,
             sent_at_micros: chunk.sent_at_micros,
         };
-        if !self.follow(sender, term, echo) {
+        if !self.accept_leader(sender, term, echo) {
             return;
         }
         if chunk.index <= self.commit_index {
@@ -103,7 +103,7 @@
         term: Term,
         response: &SnapshotChunkResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
         self.observe_term(term);
--- a/crates/petrellatch-core/src/consensus/status.rs
+++ b/crates/petrellatch-core/src/consensus/status.rs
@@ -5,7 +5,7 @@
 use super::entry::{LogIndex, LogPosition, Term};
 use super::membership::{Membership, ReplicaId};
 use super::output::{NotLeader, PeerProgress, Role};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// The replica's identity.
@@ -15,11 +15,11 @@
 
     /// The part that the replica plays.
     pub fn role(&self) -> Role {
-        match self.part {
-            Part::Follower => Role::Follower,
-            Part::PreCandidate { .. } => Role::PreCandidate,
-            Part::Candidate { .. } => Role::Candidate,
-            Part::Leader(_) => Role::Leader,
+        match self.role_state {
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate { .. } => Role::PreCandidate,
+            RoleState::Candidate { .. } => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
         }
     }
 
@@ -61,18 +61,22 @@
 
     /// What this leader knows of the other members; empty if it doesn't lead.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
-        match &self.part {
-            Part::Leader(leadership) => leadership.peer_progress(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => Vec::new(),
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.peer_progress(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                Vec::new()
+            }
         }
     }
 
     /// Replicas of nodes that are no members and announced themselves to this
     /// leader. An operator may add them.
     pub fn waiting_replicas(&self) -> Vec<ReplicaId> {
-        match &self.part {
-            Part::Leader(leadership) => leadership.waiting_replicas(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => Vec::new(),
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.waiting_replicas(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                Vec::new()
+            }
         }
     }
 
--- a/crates/petrellatch-core/src/consensus/transfer.rs
+++ b/crates/petrellatch-core/src/consensus/transfer.rs
@@ -6,7 +6,7 @@
 
 use super::membership::ReplicaId;
 use super::output::NotLeader;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// Hands leadership to the voter that has the whole log, as soon as there
@@ -21,7 +21,7 @@
         self.observe_clock(now);
         let refusal = self.not_leader();
         let deadline = self.now + self.settings.election_timeout;
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return Err(refusal);
         };
         leadership.transfer_deadline = Some(deadline);
@@ -34,7 +34,7 @@
     /// heartbeats.
     pub fn resign(&mut self, now: Timestamp) {
         self.observe_clock(now);
-        if matches!(self.part, Part::Leader(_)) {
+        if matches!(self.role_state, RoleState::Leader(_)) {
             self.become_follower();
             self.leader = None;
         }
@@ -42,9 +42,11 @@
 
     /// Whether this leader waits for somebody to hand over to.
     pub fn is_transferring(&self) -> bool {
-        match &self.part {
-            Part::Leader(leadership) => leadership.transfer_deadline.is_some(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => false,
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.transfer_deadline.is_some(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                false
+            }
         }
     }
 
@@ -53,9 +55,9 @@
         if !self.is_transferring() {
             return;
         }
-        if let Some(successor) = self.ready_successor() {
-            self.hand_over_to(successor);
-        } else if let Part::Leader(leadership) = &mut self.part {
+        if let Some(successor) = self.transfer_target() {
+            self.transfer_to(successor);
+        } else if let RoleState::Leader(leadership) = &mut self.role_state {
             let is_over = leadership
                 .transfer_deadline
                 .is_some_and(|at| at <= self.now);
@@ -66,9 +68,9 @@
     }
 
     /// The voter that has the whole log and answered last.
-    fn ready_successor(&self) -> Option<ReplicaId> {
+    fn transfer_target(&self) -> Option<ReplicaId> {
         let last_index = self.log.last_index();
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return None;
         };
         if self.applied_index < last_index {
@@ -82,10 +84,10 @@
             .map(|peer| peer.replica)
     }
 
-    fn hand_over_to(&mut self, successor: ReplicaId) {
+    fn transfer_to(&mut self, successor: ReplicaId) {
         if !self.settings.mutations.lead_on_after_transfer {
             self.become_follower();
-        } else if let Part::Leader(leadership) = &mut self.part {
+        } else if let RoleState::Leader(leadership) = &mut self.role_state {
             leadership.transfer_deadline = None;
         }
         self.leader = Some(successor.node);
@@ -96,9 +98,9 @@
     /// The leader asks this replica to take over. A request of an earlier
     /// term, or of somebody who does not lead, has no effect.
     pub(super) fn handle_transfer_request(&mut self, sender: ReplicaId, term: u64) {
-        let is_follower = matches!(self.part, Part::Follower);
+        let is_follower = matches!(self.role_state, RoleState::Follower);
         let from_leader = self.leader == Some(sender.node) && term == self.hard_state.term;
-        if is_follower && from_leader && self.counts(sender) && self.may_campaign() {
+        if is_follower && from_leader && self.is_current_member(sender) && self.may_campaign() {
             self.start_election(true);
             self.leader = None;
         }
--- a/crates/petrellatch-core/src/consensus/write_queue.rs
+++ b/crates/petrellatch-core/src/consensus/write_queue.rs
@@ -22,7 +22,7 @@
     unwritten_from: LogIndex,
     /// Last entry that is durable.
     durable_index: LogIndex,
-    held: VecDeque<HeldOutput>,
+    deferred: VecDeque<DeferredOutput>,
 }
 
 #[derive(Debug)]
@@ -33,8 +33,8 @@
 }
 
 #[derive(Debug)]
-struct HeldOutput {
-    needs: PersistTicket,
+struct DeferredOutput {
+    release_after: PersistTicket,
     output: ReplicaOutput,
 }
 
@@ -49,7 +49,7 @@
             truncate_from: None,
             unwritten_from: last_index + 1,
             durable_index: last_index,
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
         }
     }
 
@@ -104,8 +104,11 @@
         self.outstanding.as_ref().map(|write| write.ticket)
     }
 
-    pub(super) fn hold(&mut self, needs: PersistTicket, output: ReplicaOutput) {
-        self.held.push_back(HeldOutput { needs, output });
+    pub(super) fn defer(&mut self, release_after: PersistTicket, output: ReplicaOutput) {
+        self.deferred.push_back(DeferredOutput {
+            release_after,
+            output,
+        });
     }
 
     /// Makes the next write, unless one is outstanding or nothing changed.
@@ -143,9 +146,11 @@
             return Vec::new();
         };
         self.durable_index = self.durable_index.max(write.last_index);
-        let released = self.held.partition_point(|held| held.needs <= write.ticket);
-        let released = self.held.drain(..released);
-        released.map(|held| held.output).collect()
+        let released = self
+            .deferred
+            .partition_point(|deferred| deferred.release_after <= write.ticket);
+        let released = self.deferred.drain(..released);
+        released.map(|deferred| deferred.output).collect()
     }
 
     fn has_changes(&self, log: &Log) -> bool {
