--- a/crates/petrellatch-core/src/consensus/apply.rs
+++ b/crates/petrellatch-core/src/consensus/apply.rs
@@ -1,4 +1,4 @@
-//! Changes of the log itself, and handing out what is committed.
+//! Changes to the log and the snapshot, and output of committed entries.
 
 use std::sync::Arc;
 
@@ -11,9 +11,9 @@
 use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Takes over the application's state after the entry at `index`, so that
-    /// the log up to it can be dropped. An index that isn't applied yet or is
-    /// covered by a newer snapshot is ignored.
+    /// Stores the application's state as of the entry at `index`, so that the
+    /// log can be compacted up to it. Ignored if `index` isn't applied yet or is
+    /// covered by a newer snapshot.
     pub fn install_application_snapshot(
         &mut self,
         now: Timestamp,
@@ -21,8 +21,8 @@
         bytes: Vec<u8>,
     ) {
         self.observe_clock(now);
-        let applied = index <= self.applied_index && self.pending_restore.is_none();
-        if !applied || index <= self.snapshot_index() {
+        let is_applied = index <= self.applied_index && self.pending_restore.is_none();
+        if !is_applied || index <= self.snapshot_index() {
             return;
         }
         let Some(term) = self.log.term_at(index) else {
@@ -35,7 +35,7 @@
         });
         self.writes.note_snapshot(Arc::clone(&snapshot));
         self.snapshot = Some(snapshot);
-        // Some entries stay in memory for followers that are a little behind.
+        // Followers that lag a little are sent entries instead of a snapshot.
         let kept = self.settings.compaction_threshold / 2;
         let dropped = index.saturating_sub(kept).max(self.log.base_index());
         self.log.compact_to(dropped);
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Removes uncommitted entries that another leader's log contradicts.
+    /// Removes uncommitted entries from `index` on, which conflict with the
+    /// leader's log.
     pub(super) fn truncate_log(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.writes.note_truncation(index);
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Takes over a snapshot that a leader sent.
+    /// Installs a snapshot received from the leader.
     pub(super) fn install_received_snapshot(&mut self, snapshot: Snapshot) {
         let position = snapshot.position;
         let index = position.index;
@@ -84,7 +85,7 @@
         self.pending_restore = self.writes.barrier(&self.log);
     }
 
-    /// Hands an installed snapshot to the application once it is durable.
+    /// Emits an installed snapshot to the application once it is durable.
     pub(super) fn finish_restore(&mut self, persisted: PersistTicket) {
         let due = self.pending_restore.take_if(|needed| *needed <= persisted);
         if due.is_none() {
@@ -105,8 +106,8 @@
         });
     }
 
-    /// Hands out what is committed and durable here, and answers reads that
-    /// waited for it.
+    /// Emits the entries that are committed and durable at this replica, and
+    /// completes the reads that waited for them.
     pub(super) fn apply_committed(&mut self) {
         let limit = self.commit_index.min(self.own_durable_index());
         while self.pending_restore.is_none() && self.applied_index < limit {
@@ -120,7 +121,7 @@
             self.apply(index, term, payload);
         }
         self.request_snapshot_if_due();
-        self.answer_reads();
+        self.complete_reads();
     }
 
     pub(super) fn snapshot_index(&self) -> LogIndex {
@@ -128,7 +129,7 @@
         snapshot.map_or(0, |snapshot| snapshot.position.index)
     }
 
-    /// The last entry of the own log that counts as durable.
+    /// Index of the last entry of this replica's log that counts as durable.
     pub(super) fn own_durable_index(&self) -> LogIndex {
         if self.settings.mutations.acknowledge_before_sync {
             return self.log.last_index();
@@ -179,7 +180,7 @@
         self.emit(ReplicaOutput::SnapshotWanted { index });
     }
 
-    /// The size of the applied entries after `index`.
+    /// Total size of the applied entries after `index`, in bytes.
     fn applied_bytes_after(&self, index: LogIndex) -> usize {
         let all = self.log.bytes_after(index);
         all - self.log.bytes_after(self.applied_index).min(all)
@@ -191,7 +192,7 @@
         self.settings.compaction_bytes.max(last_size)
     }
 
-    /// Takes note of another membership in effect.
+    /// Handles a change of the membership in effect.
     fn apply_membership(&mut self) {
         let membership = self.memberships.current().clone();
         let last_index = self.log.last_index();
--- a/crates/petrellatch-core/src/consensus/election.rs
+++ b/crates/petrellatch-core/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes and the timers that start them.
+//! Elections: pre-votes, votes and the timers that start them.
 
 use std::collections::BTreeSet;
 
@@ -15,12 +15,12 @@
 use super::persistence::HardState;
 use super::replica::{Replica, RoleState};
 
-/// Between two requests of a candidate for the same vote, in election
+/// Interval between a candidate's requests for the same vote, in election
 /// timeouts.
 const VOTE_RETRY_INTERVAL_IN_TIMEOUTS: f64 = 0.2;
 
 impl Replica {
-    /// Whether this replica is a voter, as far as it knows.
+    /// Whether this replica is a voter of the membership in its own log.
     pub(super) fn may_campaign(&self) -> bool {
         self.membership().is_voter(self.id)
     }
@@ -31,12 +31,13 @@
 
     pub(super) fn election_is_due(&self) -> bool {
         let leads = matches!(self.role_state, RoleState::Leader(_));
-        let waits = leads || self.waits_for_rank_delay();
-        !waits && self.may_campaign() && self.now >= self.election_deadline
+        let is_blocked = leads || self.waits_for_rank_delay();
+        !is_blocked && self.may_campaign() && self.now >= self.election_deadline
     }
 
-    /// Asks the voters whether they would elect this replica. The term stays,
-    /// so that a replica that was cut off disturbs nobody when it returns.
+    /// Asks the voters whether they would vote for this replica. The term isn't
+    /// incremented, so that a replica that returns from a network partition
+    /// doesn't depose the leader.
     pub(super) fn start_pre_vote(&mut self) {
         if matches!(self.role_state, RoleState::Candidate { .. }) {
             self.end_candidacy(ElectionLoss::NoAnswer);
@@ -62,11 +63,12 @@
         self.send_durably(voter, ConsensusBody::PreVoteRequest(request));
     }
 
-    /// Asks a voter that has just started for what this replica needs.
+    /// Sends a voter that has just started the request that fits this
+    /// replica's role.
     fn request_from_started_voter(&mut self, voter: ReplicaId, term: Term) {
         match self.role_state {
             RoleState::PreCandidate { .. } => self.request_pre_vote(voter),
-            // A voter of a higher term could only end this candidacy.
+            // A voter in a higher term would only end this candidacy.
             RoleState::Candidate { .. } if term <= self.hard_state.term => {
                 self.request_vote(voter, false);
             }
@@ -117,7 +119,7 @@
             return;
         }
         if self.defers_to_candidate() {
-            // It answers what this replica asked before it voted.
+            // The response belongs to a request from before the latest vote.
             return;
         }
         self.observe_term_and_retry_pre_vote(term);
@@ -147,7 +149,7 @@
             self.writes.note_hard_state();
         }
         if granted {
-            // A pre-candidate that waits for its turn waits no more.
+            // A pre-candidate that waits for its rank delay drops its candidacy.
             self.reset_candidacy();
             self.note_own_vote();
             self.reset_election_timer();
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Counts a candidate's vote for itself, which must be durable like any
-    /// other.
+    /// Counts a candidate's vote for itself once it is durable, as required of
+    /// any vote.
     pub(super) fn count_own_vote(&mut self) {
         let vote_is_durable = self.writes.barrier(&self.log).is_none();
         let own = self.id.node;
@@ -192,8 +194,8 @@
         }
     }
 
-    /// Whether the sender's votes and acknowledgements count at all: it must
-    /// be a member with exactly this incarnation.
+    /// Whether the sender is a member with exactly this incarnation. Votes and
+    /// acknowledgements of any other replica are ignored.
     pub(super) fn is_current_member(&self, sender: ReplicaId) -> bool {
         if self.settings.mutations.ignore_incarnation {
             return self.membership().member(sender.node).is_some();
@@ -201,8 +203,8 @@
         self.membership().contains(sender)
     }
 
-    /// Whether a leader was heard from so recently that no other one may be
-    /// elected with this replica's help.
+    /// Whether a message from a leader arrived within the election timeout, so
+    /// that this replica must not vote for another one.
     fn has_recent_leader_contact(&self) -> bool {
         let leads = matches!(self.role_state, RoleState::Leader(_));
         let is_recent = |at| self.now.saturating_since(at) < self.settings.election_timeout;
@@ -223,7 +225,7 @@
         self.membership().voters().filter(others).collect()
     }
 
-    /// Moves on if a quorum agreed.
+    /// Advances to candidate or leader if a quorum has granted its votes.
     fn evaluate_election(&mut self) {
         match &self.role_state {
             RoleState::PreCandidate { granted } if self.is_quorum(granted) => {
@@ -235,7 +237,8 @@
         }
     }
 
-    /// Asks for votes if a quorum would grant them and nobody else goes first.
+    /// Starts an election if a quorum has granted pre-votes and the delay of
+    /// this replica's rank has passed.
     pub(super) fn start_election_if_due(&mut self) {
         let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
         let is_due = self.candidacy_due_at().is_some_and(|at| self.now >= at);
@@ -244,8 +247,9 @@
         }
     }
 
-    /// Enters a higher term that an answer told. Voters that start ask again at
-    /// once: the answers to what they asked are void.
+    /// Enters a higher term seen in a message. In a startup election the
+    /// pre-vote is then repeated at once, because responses to requests of the
+    /// lower term no longer count.
     fn observe_term_and_retry_pre_vote(&mut self, term: Term) {
         let is_higher = term > self.hard_state.term;
         self.observe_term(term);
@@ -255,7 +259,7 @@
     }
 
     /// Ends a candidacy, if there is one. Another candidate may still win the
-    /// term, so the loss is reported with the next one.
+    /// term, so the loss is reported only when the next term begins.
     pub(super) fn end_candidacy(&mut self, reason: ElectionLoss) {
         if matches!(self.role_state, RoleState::Candidate { .. }) {
             self.role_state = RoleState::Follower;
@@ -264,8 +268,8 @@
         }
     }
 
-    /// Reports a lost candidacy at the end of its term, unless a leader of that
-    /// term was heard.
+    /// Reports a lost candidacy at the end of its term, unless that term got a
+    /// leader.
     pub(super) fn report_lost_election(&mut self) {
         if let Some(reason) = self.lost_election.take() {
             let term = self.hard_state.term;
@@ -281,8 +285,8 @@
         count >= membership.quorum_size()
     }
 
-    /// Asks for votes in the next term. `transferred` says that the leader of
-    /// this term has stepped down in favour of this replica.
+    /// Starts an election in the next term. `transferred` means that the leader
+    /// of the current term has stepped down in favour of this replica.
     pub(super) fn start_election(&mut self, transferred: bool) {
         self.report_lost_election();
         self.hard_state = HardState {
@@ -299,8 +303,8 @@
         self.request_votes(transferred);
     }
 
-    /// Asks the voters who have not voted for this candidate. A request may
-    /// get lost, or come before its voter has started.
+    /// Requests the votes that this candidate is missing. Earlier requests may
+    /// have been lost, or have arrived before the voter had started.
     fn request_votes(&mut self, transferred: bool) {
         let RoleState::Candidate { granted } = &self.role_state else {
             return;
@@ -327,7 +331,7 @@
         self.send_durably(voter, ConsensusBody::VoteRequest(request));
     }
 
-    /// Repeats what a candidate asked for, if that is due.
+    /// Repeats a candidate's vote requests when they are due.
     pub(super) fn repeat_vote_requests(&mut self) {
         let is_candidate = matches!(self.role_state, RoleState::Candidate { .. });
         if is_candidate && self.now >= self.vote_retry_at {
--- a/crates/petrellatch-core/src/consensus/entry.rs
+++ b/crates/petrellatch-core/src/consensus/entry.rs
@@ -2,14 +2,14 @@
 
 use super::membership::Membership;
 
-/// A leadership period. At most one replica leads in a term.
+/// Raft term. There is at most one leader per term.
 pub type Term = u64;
 
-/// Position of an entry in the log. The first entry has index 1.
+/// Index of an entry in the log. The first entry has index 1.
 pub type LogIndex = u64;
 
-/// Identifies an entry: two logs that hold an entry at the same position hold
-/// the same entries up to it.
+/// Identifies an entry: two logs that contain an entry with the same position
+/// are identical up to that entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LogPosition {
     /// Term in which the entry was created. Compared first, so that the
@@ -19,29 +19,28 @@
     pub index: LogIndex,
 }
 
-/// What an entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryPayload {
     /// Marks the start of a term.
     NoOperation,
     /// A command of the application.
     Command(Vec<u8>),
-    /// The whole membership from this entry on.
+    /// The complete membership from this entry on.
     Membership(Membership),
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Where it stands.
+    /// Term and index.
     pub position: LogPosition,
-    /// What it holds.
+    /// Content.
     pub payload: EntryPayload,
 }
 
 impl LogEntry {
-    /// Approximate encoded size in bytes, never less than the actual one
-    /// apart from a fixed envelope.
+    /// Upper estimate of the encoded size in bytes, without a fixed envelope.
     pub(super) fn size_bytes(&self) -> usize {
         const ENTRY_OVERHEAD_BYTES: usize = 32;
         const MEMBER_BYTES: usize = 32;
--- a/crates/petrellatch-core/src/consensus/follower.rs
+++ b/crates/petrellatch-core/src/consensus/follower.rs
@@ -8,7 +8,7 @@
 use super::membership::ReplicaId;
 use super::replica::{Replica, RoleState};
 
-/// What an answer must repeat from the message that it answers.
+/// Fields that a response copies from its request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Echo {
     pub(super) round: u64,
@@ -48,8 +48,8 @@
         self.commit_index = self.commit_index.max(leader_commit.min(match_index));
         self.apply_committed();
         if is_heartbeat && self.writes.hard_state_is_durable() {
-            // The leader learns at once that this replica lives, however long
-            // the disk takes for entries received before.
+            // Responds at once, however long the disk takes for entries
+            // received before, so that the leader sees that this replica runs.
             let durable_match = match_index.min(self.own_durable_index());
             let response = acknowledgement(durable_match, echo);
             self.send(sender, response);
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Recognises the sender as the leader of `term`. Returns whether its
-    /// message is to be handled.
+    /// Accepts the sender as the leader of `term`. Returns whether its message
+    /// is to be handled.
     pub(super) fn accept_leader(&mut self, sender: ReplicaId, term: Term, echo: Echo) -> bool {
         if term < self.hard_state.term {
-            // The answer's term makes the old leader step down.
+            // The term of the response makes the old leader step down.
             self.refuse_append(sender, 0, echo);
             return false;
         }
@@ -77,8 +77,8 @@
         true
     }
 
-    /// Acknowledges that the log agrees with the leader's up to
-    /// `match_index`, once it is durable.
+    /// Acknowledges that the log matches the leader's up to `match_index`, once
+    /// it is durable.
     pub(super) fn acknowledge(&mut self, leader: ReplicaId, match_index: LogIndex, echo: Echo) {
         self.send_durably(leader, acknowledgement(match_index, echo));
     }
@@ -109,8 +109,8 @@
         self.reset_join_timer();
     }
 
-    /// Whether the own log holds the entry at `position`. Committed entries
-    /// are in every later leader's log.
+    /// Whether this replica's log contains the entry at `position`. Committed
+    /// entries match without a check, since every later leader has them.
     fn log_matches_at(&self, position: LogPosition) -> bool {
         let committed = position.index <= self.commit_index;
         committed || self.log.term_at(position.index) == Some(position.term)
@@ -142,7 +142,8 @@
     })
 }
 
-/// Decodes the entries, which must follow each other.
+/// Decodes the entries. `None` if one is malformed or the indices aren't
+/// consecutive.
 fn decode_entries(previous: LogIndex, request: AppendRequest) -> Option<Vec<LogEntry>> {
     let mut entries = Vec::with_capacity(request.entries.len());
     for (message, expected) in request.entries.into_iter().zip(previous + 1..) {
--- a/crates/petrellatch-core/src/consensus/leader.rs
+++ b/crates/petrellatch-core/src/consensus/leader.rs
@@ -13,12 +13,17 @@
 use super::replica::{Replica, RoleState};
 use super::settings::MAX_COMMAND_BYTES;
 
-/// How much may wait to be committed before proposals are refused, in bytes.
+/// Size of uncommitted entries above which proposals are refused, in bytes.
 const MAX_UNCOMMITTED_BYTES: usize = 8 * 1024 * 1024;
 
 impl Replica {
-    /// Proposes a command. It is accepted only when it comes back as
+    /// Proposes a command. It is committed only when it is emitted as
     /// [`ReplicaOutput::Apply`] with the returned position.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this replica isn't the leader or is transferring leadership, if
+    /// the command is too large, or if too much is uncommitted.
     pub fn propose(
         &mut self,
         now: Timestamp,
@@ -43,10 +48,9 @@
         Ok(position)
     }
 
-    /// Whether this replica leads and a quorum answered so recently, by its
+    /// Whether this replica leads and a quorum responded so recently, by its
     /// own clock and with the margin for clock drift, that no other leader can
-    /// have been elected. Leases may be granted only while this holds at the
-    /// time of granting.
+    /// have been elected. Leases may be granted only while this is true.
     pub fn is_leader_with_quorum(&self, now: Timestamp) -> bool {
         let RoleState::Leader(leadership) = &self.role_state else {
             return false;
@@ -71,7 +75,7 @@
         position
     }
 
-    /// When the leader must have heard from a quorum again.
+    /// When the leader steps down unless a quorum responds before.
     pub(super) fn step_down_deadline(&self, leadership: &Leadership) -> Timestamp {
         let contact = self.quorum_contact(leadership, self.now);
         let contact = contact.map_or(leadership.since, |at| at.max(leadership.since));
@@ -87,8 +91,8 @@
         }
     }
 
-    /// Sends a message to every peer, whether there is news or not, and lets
-    /// lost ones be repeated.
+    /// Sends a heartbeat to every peer and allows lost messages to be sent
+    /// again.
     pub(super) fn send_heartbeats(&mut self) {
         let next_heartbeat = self.now + self.settings.heartbeat_interval;
         let RoleState::Leader(leadership) = &mut self.role_state else {
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Sends what the peers lack, as far as flow control allows.
+    /// Sends missing entries to the peers, as far as flow control allows.
     pub(super) fn replicate(&mut self) {
         self.start_requested_round();
         for peer in self.peer_nodes() {
@@ -142,7 +146,7 @@
         self.continue_transfer();
     }
 
-    /// Moves the commit index to the last entry of this term that is durable
+    /// Advances the commit index to the last entry of this term that is durable
     /// at a quorum.
     pub(super) fn advance_commit(&mut self) {
         let RoleState::Leader(leadership) = &self.role_state else {
@@ -169,7 +173,7 @@
         }
     }
 
-    /// The other members' nodes, if this replica leads.
+    /// Nodes of the other members; empty unless this replica leads.
     fn peer_nodes(&self) -> Vec<NodeId> {
         match &self.role_state {
             RoleState::Leader(leadership) => leadership.peers.keys().copied().collect(),
@@ -189,8 +193,9 @@
         leadership.progress_of(replica)
     }
 
-    /// When the messages were sent that a quorum has answered by now, this
-    /// replica included. `None` if no quorum answered in this term.
+    /// The latest time for which a quorum, this replica included, has responded
+    /// to messages sent at or after it. `None` if no quorum responded in this
+    /// term.
     fn quorum_contact(&self, leadership: &Leadership, now: Timestamp) -> Option<Timestamp> {
         let contact_of = |voter: ReplicaId| match leadership.peers.get(&voter.node) {
             Some(progress) => progress.last_contact,
@@ -208,7 +213,7 @@
     fn step_down_if_removed(&mut self) {
         let removal_committed = self.memberships.current_index() <= self.commit_index;
         if removal_committed && !self.membership().contains(self.id) {
-            // The peers learn of the commit before this leader goes.
+            // Sends the commit index to the peers before stepping down.
             self.send_heartbeats();
             self.become_follower();
             self.leader = None;
@@ -238,15 +243,15 @@
             return;
         };
         let previous_index = match progress.state {
-            // Every log agrees at index 0, so this is a plain sign of life.
+            // All logs match at index 0, so this is a plain heartbeat.
             ReplicationState::Snapshot(_) => 0,
             ReplicationState::Probe { .. } | ReplicationState::Replicate { .. } => {
                 progress.next_index - 1
             }
         };
         let previous_term = self.log.term_at(previous_index).unwrap_or(0);
-        let known = previous_index == 0 || previous_index >= self.log.base_index();
-        if known {
+        let in_log = previous_index == 0 || previous_index >= self.log.base_index();
+        if in_log {
             let previous = LogPosition {
                 term: previous_term,
                 index: previous_index,
--- a/crates/petrellatch-core/src/consensus/leadership.rs
+++ b/crates/petrellatch-core/src/consensus/leadership.rs
@@ -10,27 +10,28 @@
 use super::output::PeerProgress;
 use super::progress::{Progress, ReplicationState};
 
-/// How many announced replicas of unknown nodes a leader remembers.
+/// Maximum number of announced replicas of unknown nodes that a leader keeps.
 const MAX_WAITING_REPLICAS: usize = 16;
 
-/// A leader's state in its term.
+/// State of a leader in its term.
 #[derive(Debug)]
 pub(super) struct Leadership {
     /// The other members, learners included.
     pub(super) peers: BTreeMap<NodeId, Progress>,
-    /// When the term was won.
+    /// When this leader was elected.
     pub(super) since: Timestamp,
     /// The entry that marks the term's start.
     pub(super) first_index: LogIndex,
     pub(super) next_heartbeat: Timestamp,
     /// Number of the current leadership confirmation round.
     pub(super) round: u64,
-    /// Whether a round must be started for waiting reads.
+    /// Whether pending reads need a new round.
     pub(super) round_requested: bool,
     pub(super) reads: VecDeque<PendingRead>,
-    /// Until when somebody may become ready to take over; none unless this
-    /// leader wants to hand over.
+    /// When a leadership transfer is given up if no voter is ready for it.
+    /// `None` if no transfer is in progress.
     pub(super) transfer_deadline: Option<Timestamp>,
+    /// Announced replicas of nodes that aren't members.
     waiting: BTreeMap<NodeId, Incarnation>,
 }
 
@@ -38,9 +39,9 @@
 #[derive(Debug)]
 pub(super) struct PendingRead {
     pub(super) token: u64,
-    /// Must be applied before the read is served.
+    /// Index that must be applied before the read is served.
     pub(super) index: LogIndex,
-    /// Must be answered by a quorum.
+    /// Confirmation round that a quorum must acknowledge.
     pub(super) round: u64,
 }
 
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Adapts the peers to a membership. Who stays keeps its progress.
+    /// Updates the peers to a new membership. Remaining members keep their
+    /// progress.
     pub(super) fn apply_membership(
         &mut self,
         own: ReplicaId,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The progress of exactly this replica.
+    /// The progress of the member with exactly this node and incarnation.
     pub(super) fn progress_of(&mut self, replica: ReplicaId) -> Option<&mut Progress> {
         let progress = self.peers.get_mut(&replica.node)?;
         (progress.replica == replica).then_some(progress)
--- a/crates/petrellatch-core/src/consensus/log.rs
+++ b/crates/petrellatch-core/src/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The part of the log that is held in memory.
+//! The part of the log that is kept in memory.
 
 use std::collections::VecDeque;
 
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 struct SizedEntry {
     entry: LogEntry,
-    /// Size of all entries up to this one since the log was made, in bytes.
+    /// Total size of all entries appended up to this one, in bytes.
     end_bytes: usize,
 }
 
@@ -50,7 +50,7 @@
         Some(&sized.entry)
     }
 
-    /// Term of the entry at `index`, as far as it is known.
+    /// Term of the entry at `index`. `None` if the entry isn't in memory.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -58,7 +58,7 @@
         self.entry(index).map(|entry| entry.position.term)
     }
 
-    /// Appends an entry, which must follow the last one.
+    /// Appends an entry, whose index must follow the last one.
     pub(super) fn append(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.position.index, self.last_index() + 1);
         let end_bytes = self.end_bytes() + entry.size_bytes();
@@ -81,7 +81,7 @@
         self.base = LogPosition { term, index };
     }
 
-    /// Drops everything and starts after `base`.
+    /// Drops all entries and continues after `base`.
     pub(super) fn reset(&mut self, base: LogPosition) {
         self.entries.clear();
         self.base = base;
@@ -94,7 +94,8 @@
         entries.map(|sized| sized.entry.clone()).collect()
     }
 
-    /// Copies entries from `first` on up to `limit_bytes`, but at least one.
+    /// Copies entries from `first` on, of at most `limit_bytes` in total but at
+    /// least one entry.
     pub(super) fn batch_from(&self, first: LogIndex, limit_bytes: usize) -> Vec<LogEntry> {
         let mut batch = Vec::new();
         let mut batch_bytes = 0;
@@ -119,8 +120,8 @@
         self.end_bytes() + sized.entry.size_bytes() - sized.end_bytes
     }
 
-    /// The last position at or below `limit` whose term is at most `term`:
-    /// where two logs may agree if the other one has `term` at `limit`.
+    /// The last index up to `limit` whose term is at most `term`: the last place
+    /// where the logs can match if the other log has `term` at `limit`.
     pub(super) fn last_possible_match(&self, limit: LogIndex, term: Term) -> LogIndex {
         let mut index = limit.min(self.last_index());
         while index > self.base.index && self.term_at(index).is_some_and(|own| own > term) {
@@ -129,7 +130,7 @@
         index
     }
 
-    /// The last index before the run of entries that share the term of the
+    /// The last index before the consecutive entries that share the term of the
     /// entry at `index`.
     pub(super) fn before_term_of(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the group, and who of them counts for quorums.
+//! The members of the group and their roles.
 
 use snafu::Snafu;
 
@@ -6,15 +6,15 @@
 
 use super::NotLeader;
 
-/// How many removed replicas a membership remembers. Older ones are forgotten;
-/// they could then announce themselves again, which is safe but pointless.
+/// Maximum number of removed replicas that a membership keeps. Older ones are
+/// dropped and could announce themselves again, which is safe but useless.
 const MAX_RETIRED_REPLICAS: usize = 32;
 
-/// Upper bound of members of one group.
+/// Maximum number of members of one group.
 pub const MAX_MEMBERS: usize = 16;
 
-/// A node together with one life of its data folder. A node that lost its
-/// folder comes back as a different replica.
+/// A node with the incarnation of its data folder. A node that lost its folder
+/// returns as a different replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId {
     /// The node.
@@ -23,12 +23,12 @@
     pub incarnation: Incarnation,
 }
 
-/// The part that a member takes.
+/// Role of a member in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberRole {
-    /// Counts for quorums and may become leader.
+    /// Counts towards quorums and may become leader.
     Voter,
-    /// Receives the log only.
+    /// Only receives the log.
     Learner,
     /// Receives the log; the leader promotes it to voter once it has durably
     /// caught up.
@@ -40,21 +40,21 @@
 pub struct Member {
     /// The replica.
     pub replica: ReplicaId,
-    /// The part that it takes.
+    /// Its role.
     pub role: MemberRole,
 }
 
-/// The members of a group, at most one replica of each node.
+/// The members of a group, at most one replica per node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Membership {
     members: Vec<Member>,
     retired: Vec<ReplicaId>,
 }
 
-/// A change that an operator asks for. Every change alters at most one voter.
+/// A requested membership change. Every change affects at most one voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// Adds a replica that receives the log only.
+    /// Adds a replica that only receives the log.
     AddLearner(ReplicaId),
     /// Adds a replica as a learner and promotes it once it has caught up.
     AddVoter(ReplicaId),
@@ -71,41 +71,41 @@
     /// This replica doesn't lead.
     #[snafu(display("{source}"), context(false))]
     ChangeNotLeader {
-        /// Where to ask instead.
+        /// The replica that may be the leader.
         source: NotLeader,
     },
-    /// An earlier change isn't committed yet, or the term has only begun.
+    /// An earlier change or the first entry of the term isn't committed yet.
     #[snafu(display("an earlier membership change or the term start is not committed yet"))]
     ChangeInProgress,
-    /// The node is no member.
-    #[snafu(display("node {node} is no member"))]
+    /// The node isn't a member.
+    #[snafu(display("node {node} is not a member"))]
     UnknownMember {
-        /// The node that was named.
+        /// The node of the request.
         node: NodeId,
     },
-    /// The node is a member already.
-    #[snafu(display("node {node} is a member already"))]
+    /// The node is already a member.
+    #[snafu(display("node {node} is already a member"))]
     AlreadyMember {
-        /// The node that was named.
+        /// The node of the request.
         node: NodeId,
     },
     /// The learner lacks committed entries.
     #[snafu(display("learner {node} has not caught up"))]
     NotCaughtUp {
-        /// The node that was named.
+        /// The node of the request.
         node: NodeId,
     },
     /// The group would lose its last voter.
     #[snafu(display("the last voter cannot be removed"))]
     LastVoter,
-    /// The group has [`MAX_MEMBERS`] members.
-    #[snafu(display("the group is full"))]
+    /// The group already has [`MAX_MEMBERS`] members.
+    #[snafu(display("the group already has {MAX_MEMBERS} members"))]
     GroupFull,
 }
 
 impl Membership {
-    /// Makes a membership of these members. Of several replicas of one node
-    /// the last one counts.
+    /// Creates a membership of these members. The last one wins if several
+    /// have the same node.
     pub fn new(members: impl IntoIterator<Item = Member>) -> Self {
         let mut membership = Membership::default();
         for member in members {
@@ -114,7 +114,7 @@
         membership
     }
 
-    /// Makes a membership in which all these replicas are voters.
+    /// Creates a membership in which all these replicas are voters.
     pub fn of_voters(replicas: impl IntoIterator<Item = ReplicaId>) -> Self {
         let voter = |replica| Member {
             replica,
@@ -129,7 +129,7 @@
         membership
     }
 
-    /// All members, in the order of their nodes.
+    /// All members, ordered by node.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
@@ -139,7 +139,7 @@
         &self.retired
     }
 
-    /// The members that count for quorums.
+    /// The members that count towards quorums.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         let voters = |member: &&Member| member.role == MemberRole::Voter;
         self.members
@@ -148,7 +148,7 @@
             .map(|member| member.replica)
     }
 
-    /// How many voters make a quorum.
+    /// Number of voters in a quorum.
     pub fn quorum_size(&self) -> usize {
         self.voters().count() / 2 + 1
     }
@@ -159,13 +159,13 @@
         Some(self.members[position])
     }
 
-    /// Whether exactly this replica is a member.
+    /// Whether this replica, with exactly this incarnation, is a member.
     pub fn contains(&self, replica: ReplicaId) -> bool {
         self.member(replica.node)
             .is_some_and(|member| member.replica == replica)
     }
 
-    /// Whether exactly this replica is a voter.
+    /// Whether this replica, with exactly this incarnation, is a voter.
     pub fn is_voter(&self, replica: ReplicaId) -> bool {
         self.member(replica.node)
             .is_some_and(|member| member.replica == replica && member.role == MemberRole::Voter)
@@ -186,8 +186,8 @@
         }
     }
 
-    /// The membership in which `successor` stands in for the replica of the
-    /// same node. A voter's successor is a learner until it has caught up.
+    /// The membership in which `successor` replaces the replica on the same
+    /// node. The successor of a voter is a learner until it has caught up.
     pub(super) fn replaced(&self, successor: ReplicaId) -> Result<Membership, MembershipError> {
         let node = successor.node;
         let previous = self.member(node);
--- a/crates/petrellatch-core/src/consensus/membership_change.rs
+++ b/crates/petrellatch-core/src/consensus/membership_change.rs
@@ -1,4 +1,4 @@
-//! Membership changes, and the return of a node that lost its disk.
+//! Membership changes, and replacement of a replica that lost its disk.
 
 use petrellatch_proto::consensus::{ConsensusBody, JoinRequest};
 
@@ -10,8 +10,9 @@
 use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Proposes a membership change. One change is made at a time; it is in
-    /// effect at once here, and for good once it is committed.
+    /// Proposes a membership change. Only one change may be uncommitted at a
+    /// time. It takes effect at this replica at once, and is final when it is
+    /// committed.
     pub fn propose_membership(
         &mut self,
         now: Timestamp,
@@ -33,8 +34,8 @@
         Ok(self.append_membership(membership))
     }
 
-    /// Replaces the nodes that this replica announces itself to, besides the
-    /// members that it knows.
+    /// Replaces the nodes that this replica announces itself to, in addition
+    /// to the members of its own membership.
     pub fn set_contacts(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         let own = self.id.node;
         self.configured_peers = nodes.into_iter().filter(|node| *node != own).collect();
@@ -42,7 +43,7 @@
 
     pub(super) fn join_is_due(&self) -> bool {
         let leads = matches!(self.role_state, RoleState::Leader(_));
-        // A voter may have been removed without having heard of it.
+        // A voter may have been removed without having received that entry.
         let may_be_removed = self.settings.readmit_retired && self.leader.is_none();
         let announces = !self.may_campaign() || may_be_removed;
         !leads && announces && self.now >= self.join_deadline
@@ -52,8 +53,8 @@
         self.join_deadline = self.random_deadline();
     }
 
-    /// Tells all known nodes that this replica isn't a voter and hears from
-    /// no leader.
+    /// Announces to all known nodes that this replica isn't a voter and receives
+    /// nothing from a leader.
     pub(super) fn announce_join(&mut self) {
         const ANY: Incarnation = Incarnation(0);
         self.reset_join_timer();
@@ -70,9 +71,9 @@
         }
     }
 
-    /// Handles the announcement of a replica. If a member's node came back
-    /// with another incarnation, its disk is lost: the old replica is removed
-    /// and the new one becomes a learner, in one committed change.
+    /// Handles the announcement of a replica. If a member's node has another
+    /// incarnation, its disk was lost: one committed change removes the old
+    /// replica and adds the new one as a learner.
     pub(super) fn handle_join_request(&mut self, sender: ReplicaId) {
         let readmits = self.settings.readmit_retired;
         let membership = self.membership();
@@ -97,8 +98,7 @@
         }
     }
 
-    /// Makes a learner that waits for it a voter, once it has durably caught
-    /// up.
+    /// Promotes a joining voter to voter once it has durably caught up.
     pub(super) fn promote_if_caught_up(&mut self, replica: ReplicaId) {
         let joins = |member: super::Member| member.role == MemberRole::JoiningVoter;
         let joining = self.membership().member(replica.node).is_some_and(joins);
@@ -118,9 +118,9 @@
         self.append_entry(EntryPayload::Membership(membership))
     }
 
-    /// Whether another change must wait: for the one before, and for the
-    /// first entry of the term, without which an earlier leader's change
-    /// might still be open.
+    /// Whether another change must wait until the previous change and the first
+    /// entry of the term are committed. Before the latter, a change of an earlier
+    /// leader might still be uncommitted.
     fn change_in_progress(&self) -> bool {
         let RoleState::Leader(leadership) = &self.role_state else {
             return true;
@@ -137,8 +137,9 @@
         progress.is_some_and(|progress| progress.has_caught_up(now, commit_index, limit))
     }
 
-    /// Whether the replica answered within the election timeout. Then its
-    /// disk isn't lost, and another process uses its node's name.
+    /// Whether the replica responded within the election timeout. If so, its
+    /// disk isn't lost, and the announcement comes from another process that
+    /// uses the same node.
     fn responded_recently(&self, replica: ReplicaId) -> bool {
         let RoleState::Leader(leadership) = &self.role_state else {
             return false;
--- a/crates/petrellatch-core/src/consensus/membership_history.rs
+++ b/crates/petrellatch-core/src/consensus/membership_history.rs
@@ -1,13 +1,13 @@
-//! Which membership held at which index.
+//! The memberships in effect at each index of the log.
 
 use super::entry::{EntryPayload, LogEntry, LogIndex};
 use super::membership::Membership;
 
-/// The memberships of the log in memory. One is in effect as soon as its
-/// entry is in the log, committed or not.
+/// The memberships of the log in memory. A membership is in effect as soon as
+/// its entry is in the log, committed or not.
 #[derive(Debug)]
 pub(super) struct MembershipHistory {
-    /// Never empty; in the order of their indices.
+    /// Never empty; ordered by index.
     versions: Vec<MembershipVersion>,
 }
 
@@ -33,14 +33,14 @@
         self.last().index
     }
 
-    /// The membership that holds at `index`.
+    /// The membership in effect at `index`.
     pub(super) fn at(&self, index: LogIndex) -> &Membership {
         let mut versions = self.versions.iter().rev();
-        let holding = versions.find(|version| version.index <= index);
-        &holding.unwrap_or(&self.versions[0]).membership
+        let effective = versions.find(|version| version.index <= index);
+        &effective.unwrap_or(&self.versions[0]).membership
     }
 
-    /// Notes an entry that was appended to the log. Returns whether the
+    /// Records an entry that was appended to the log. Returns whether the
     /// current membership changed.
     pub(super) fn record(&mut self, entry: &LogEntry) -> bool {
         let EntryPayload::Membership(membership) = &entry.payload else {
@@ -53,7 +53,7 @@
         true
     }
 
-    /// Forgets entries from `index` on. Returns whether the current
+    /// Drops the memberships from `index` on. Returns whether the current
     /// membership changed.
     pub(super) fn truncate_from(&mut self, index: LogIndex) -> bool {
         let before = self.versions.len();
@@ -63,7 +63,7 @@
         self.versions.len() != before
     }
 
-    /// Forgets what held before `index` only.
+    /// Drops the memberships that were replaced at or before `index`.
     pub(super) fn compact_to(&mut self, index: LogIndex) {
         while self.versions.len() > 1 && self.versions[1].index <= index {
             self.versions.remove(0);
--- a/crates/petrellatch-core/src/consensus/mod.rs
+++ b/crates/petrellatch-core/src/consensus/mod.rs
@@ -1,4 +1,4 @@
-//! A replicated log that survives crashes, cut-off machines and lost disks.
+//! A replicated log that survives crashes, network partitions and lost disks.
 //!
 //! A group of three or five [`Replica`]s agrees on one sequence of commands.
 //! The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote,
@@ -6,51 +6,52 @@
 //! *replica incarnations*: every data folder carries a number drawn when it
 //! was formatted, and a node that lost its folder is a different replica.
 //!
-//! The module does no input or output. A driver feeds [`Replica`] with
-//! messages, timeouts and finished disk writes, and carries out what
+//! The module does no I/O. An event loop feeds [`Replica`] with messages,
+//! timeouts and completed disk writes, and executes the outputs that
 //! [`Replica::poll_output`] returns. Commands and snapshots are opaque bytes.
 //!
 //! # Guarantees
 //!
-//! As long as disks keep what they synced, whatever messages are lost,
-//! doubled, delayed or reordered and whichever processes stop or freeze:
+//! As long as disks keep synced data, these hold under message loss,
+//! duplication, delay and reordering, and under crashes and process pauses:
 //!
-//! - At most one replica leads in a term.
-//! - A command handed out by [`ReplicaOutput::Apply`] at one replica is handed
-//!   out by all, at the same index and in the same order, and never reverted.
-//!   It is durable at a quorum of voters before it is handed out.
-//! - A proposal that is handed out with the position that
-//!   [`Replica::propose`] returned is accepted for good.
-//! - [`ReplicaOutput::ReadReady`] is given only by a replica that a quorum
-//!   confirmed as leader after the read was requested, and after everything
-//!   accepted before the request was handed out there.
-//! - A leader without a quorum stops leading by its own clock, before any
+//! - There is at most one leader per term.
+//! - A command emitted by [`ReplicaOutput::Apply`] at one replica is emitted
+//!   by all, at the same index and in the same order, and never reverted. It
+//!   is durable at a quorum of voters before it is emitted.
+//! - A proposal is committed for good once it is emitted with the position
+//!   that [`Replica::propose`] returned.
+//! - [`ReplicaOutput::ReadReady`] is emitted only by a replica that a quorum
+//!   confirmed as leader after the read was requested, and after it has
+//!   emitted all commands committed before the request.
+//! - A leader that loses its quorum steps down by its own clock before any
 //!   other replica can be elected, if clock rates differ by no more than
-//!   [`ReplicaSettings::clock_drift_margin_per_mille`]. A process that was
-//!   frozen notices with the first input.
-//! - A replica that lost its disk counts for nothing until it has durably
-//!   caught up and a committed change admitted it. If a quorum of the voters
-//!   keeps its disks between two such changes, nothing accepted is lost.
+//!   [`ReplicaSettings::clock_drift_margin_per_mille`]. After a process pause
+//!   it detects the loss on the first input.
+//! - A replica that lost its disk doesn't count for quorums until it has
+//!   durably caught up and a committed change has made it a voter. No committed
+//!   entry is lost if a quorum of the voters keeps its disks between two such
+//!   changes.
 //! - Every encoded message is smaller than
 //!   [`MAX_CONSENSUS_MESSAGE_BYTES`](petrellatch_proto::consensus::MAX_CONSENSUS_MESSAGE_BYTES).
 //!
-//! Not guaranteed: progress without a quorum of live voters, and protection
-//! against replicas that send false messages.
+//! Not guaranteed: progress without a quorum of running voters, and protection
+//! against replicas that send false messages (Byzantine faults).
 //!
 //! # Lost disks
 //!
-//! The driver must draw a fresh incarnation whenever it formats a folder on
-//! its own. Replicas that are no voters and hear from no leader announce
-//! themselves to all known nodes. If the node belongs to a member with another
-//! incarnation, which has been silent for an election timeout, the leader
-//! commits one change that removes the old replica and adds the new one as a
-//! learner, and promotes the learner by another change once it has durably
-//! caught up. Until the first change commits the lost replica counts for the
-//! size of the quorum.
+//! The event loop must draw a new incarnation whenever it formats a folder
+//! automatically. A replica that isn't a voter and receives nothing from a
+//! leader announces itself to all known nodes. If its node is a member with
+//! another incarnation, which has been silent for an election timeout, the
+//! leader commits one change that removes the old replica and adds the new one
+//! as a learner, and promotes the learner by another change once it has durably
+//! caught up. Until the first change is committed, the lost replica still
+//! counts towards the size of the quorum.
 //!
 //! # Example
 //!
-//! A group of one. With more replicas the driver also carries
+//! A group of one replica. With more replicas the event loop also delivers
 //! [`ReplicaOutput::Send`] to [`Replica::handle_message`] of the receiver.
 //!
 //! ```
--- a/crates/petrellatch-core/src/consensus/output.rs
+++ b/crates/petrellatch-core/src/consensus/output.rs
@@ -1,4 +1,4 @@
-//! What a replica wants its driver to do, and its refusals.
+//! Outputs of a replica for its event loop, and the errors of its methods.
 
 use petrellatch_proto::consensus::ConsensusMessage;
 use snafu::Snafu;
@@ -10,40 +10,39 @@
 use super::membership::{Membership, ReplicaId};
 use super::persistence::PersistRequest;
 
-/// The part that a replica plays in the current term.
+/// Role of a replica in the current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would win an election.
+    /// Sends pre-vote requests to find out whether it would win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Replicates the log.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// Why a candidacy ended without a leader in its term, as far as the candidate
-/// knows.
+/// Why a candidacy ended although the candidate has seen no leader of its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ElectionLoss {
-    /// So many voters refused that it could not win.
+    /// Too many voters denied their votes for it to win.
     Denied,
-    /// Too few voters answered in time.
+    /// Too few voters responded in time.
     NoAnswer,
-    /// Somebody began a higher term.
+    /// Another replica started a higher term.
     HigherTerm,
 }
 
 impl ElectionLoss {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [ElectionLoss; 3] = [
         ElectionLoss::Denied,
         ElectionLoss::NoAnswer,
         ElectionLoss::HigherTerm,
     ];
 
-    /// The name in logs and metrics.
+    /// Name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             ElectionLoss::Denied => "denied",
@@ -53,18 +52,18 @@
     }
 }
 
-/// Something for the driver to do, in this order.
+/// An action for the event loop. Actions must be executed in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaOutput {
-    /// Send a message. It may get lost, doubled or late.
+    /// Send a message. It may be lost, duplicated or delayed.
     Send {
         /// The receiving node.
         to: NodeId,
         /// The message.
         message: ConsensusMessage,
     },
-    /// Write and sync, then call `Replica::handle_persisted`. The replica
-    /// asks for the next write only after that.
+    /// Write and sync to disk, then call `Replica::handle_persisted`. The
+    /// replica requests the next write only after that.
     Persist(PersistRequest),
     /// Apply a committed command to the application's state.
     Apply {
@@ -82,21 +81,20 @@
         /// The state, as given to `Replica::install_application_snapshot`.
         bytes: Vec<u8>,
     },
-    /// Hand over the application's state by
+    /// Take a snapshot of the application's state and pass it to
     /// `Replica::install_application_snapshot`.
     SnapshotWanted {
         /// Last entry that has been applied.
         index: LogIndex,
     },
-    /// A read may be served from the application's state, which covers
-    /// `index` by now.
+    /// Serve a read from the application's state, which covers `index`.
     ReadReady {
         /// Token of the request.
         token: u64,
-        /// Everything accepted before the request lies at or below it.
+        /// Everything committed before the request is at or below this index.
         index: LogIndex,
     },
-    /// Leadership could not be confirmed; the read must not be served.
+    /// Reject a read: leadership could not be confirmed.
     ReadLost {
         /// Token of the request.
         token: u64,
@@ -105,7 +103,7 @@
     /// another entry took its place, or a snapshot covers it. The proposer
     /// must treat the outcome as unknown.
     ProposalLost {
-        /// What `Replica::propose` returned.
+        /// Position that `Replica::propose` returned.
         position: LogPosition,
     },
     /// Role or term changed.
@@ -115,33 +113,33 @@
         /// The term.
         term: Term,
     },
-    /// This replica stood for election, and the term ended before it heard a
-    /// leader of it.
+    /// This replica was a candidate, and the term ended before it received a
+    /// message from a leader of that term.
     ElectionLost {
         /// The term.
         term: Term,
         /// Why it was not elected.
         reason: ElectionLoss,
     },
-    /// Another membership is in effect. It may not be committed yet.
+    /// The membership in effect changed. It may not be committed yet.
     MembershipChanged(Membership),
 }
 
-/// Refusal by a replica that doesn't lead, or can't be sure that it does.
+/// Error of a replica that isn't the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("this replica is not the leader"))]
 pub struct NotLeader {
-    /// Who may be the leader.
+    /// The node that may be the leader, if one is known.
     pub hint: Option<NodeId>,
 }
 
-/// Why a proposal was refused. It has not been and will not be applied.
+/// Why a proposal was refused. The command is not appended to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// This replica doesn't lead.
+    /// This replica isn't the leader, or is transferring leadership.
     #[snafu(display("{source}"), context(false))]
     ProposalNotLeader {
-        /// Where to ask instead.
+        /// The replica that may be the leader.
         source: NotLeader,
     },
     /// The command exceeds `MAX_COMMAND_BYTES`.
@@ -152,23 +150,23 @@
         /// The limit.
         limit: usize,
     },
-    /// Too much is waiting to be committed; try again later.
-    #[snafu(display("{bytes} bytes wait to be committed already"))]
+    /// Too many bytes are uncommitted; the caller may retry later.
+    #[snafu(display("{bytes} bytes are not committed yet"))]
     Overloaded {
-        /// Size of what waits.
+        /// Size of the uncommitted entries.
         bytes: usize,
     },
 }
 
-/// What the leader knows of another member.
+/// Replication state of another member, as seen by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProgress {
     /// The member.
     pub replica: ReplicaId,
     /// Highest entry known to be durable there.
     pub match_index: LogIndex,
-    /// When the leader sent the last message that was answered.
+    /// When the leader sent the latest message that the member responded to.
     pub last_contact: Option<Timestamp>,
-    /// Whether a snapshot is under way to it.
+    /// Whether the leader is sending it a snapshot.
     pub receives_snapshot: bool,
 }
--- a/crates/petrellatch-core/src/consensus/persistence.rs
+++ b/crates/petrellatch-core/src/consensus/persistence.rs
@@ -1,24 +1,24 @@
-//! What a replica keeps on disk, and how it asks for it to be written.
+//! Persistent state of a replica and the requests that write it.
 
 use std::sync::Arc;
 
 use super::entry::{LogEntry, LogIndex, LogPosition, Term};
 use super::membership::{Membership, ReplicaId};
 
-/// The state that must be on disk before any message that depends on it
-/// leaves the replica.
+/// Term and vote. They must be on disk before any message that depends on them
+/// is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// Receiver of this replica's vote in `term`.
+    /// Candidate that received this replica's vote in `term`.
     pub voted_for: Option<ReplicaId>,
 }
 
 /// The application's state after the entry at `position`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Last entry that the snapshot covers. Index 0 is the state before the
+    /// Last entry that the snapshot covers. Index 0 means the state before the
     /// first entry.
     pub position: LogPosition,
     /// Membership as of that entry.
@@ -27,7 +27,7 @@
     pub data: Vec<u8>,
 }
 
-/// Everything read back from disk at start.
+/// State that is read back from disk at start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistentState {
     /// Term and vote.
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PersistTicket(pub u64);
 
-/// A write that the driver must make durable. The parts are applied in the
-/// order of the fields; the request counts only when all of it is synced.
+/// A write that the event loop must make durable. The fields are applied in
+/// their order; the request is complete only when all of them are synced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistRequest {
-    /// To be handed back to `Replica::handle_persisted` once all is synced.
+    /// Passed to `Replica::handle_persisted` once everything is synced.
     pub ticket: PersistTicket,
     /// Replaces the hard state.
     pub hard_state: Option<HardState>,
@@ -64,8 +64,8 @@
         *self == PersistentState::default()
     }
 
-    /// Applies a request in memory, as a disk would: the effect that
-    /// `petrellatch-storage` has on its files. Simulated disks use it.
+    /// Applies a request in memory with the same effect that
+    /// `petrellatch-storage` has on its files. Used by simulated disks.
     pub fn apply(&mut self, request: &PersistRequest) {
         if let Some(hard_state) = request.hard_state {
             self.hard_state = hard_state;
--- a/crates/petrellatch-core/src/consensus/progress.rs
+++ b/crates/petrellatch-core/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one other member, and what it may send to it.
+//! Replication progress of one other member, and its flow control.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,38 +10,38 @@
 use super::membership::ReplicaId;
 use super::persistence::Snapshot;
 
-/// How many unanswered append messages may be on their way to one member.
+/// Maximum number of append requests to one member without a response.
 const MAX_IN_FLIGHT_APPENDS: usize = 16;
 
 /// How entries are sent to a member.
 #[derive(Debug)]
 pub(super) enum ReplicationState {
-    /// Where the logs agree is being found out, one message at a time.
+    /// Finds the index up to which the logs match, one message at a time.
     Probe {
-        /// Whether a message waits for its answer.
+        /// Whether a message awaits its response.
         sent: bool,
     },
-    /// Entries are sent ahead of the answers.
+    /// Sends entries without waiting for responses.
     Replicate {
-        /// Last index of each unanswered message.
+        /// Last index of each message that awaits its response.
         in_flight: VecDeque<LogIndex>,
     },
-    /// The member needs entries that are compacted already.
+    /// Sends a snapshot, because the member needs compacted entries.
     Snapshot(SnapshotTransfer),
 }
 
-/// A snapshot on its way to a member.
+/// State of sending a snapshot to a member.
 #[derive(Debug)]
 pub(super) struct SnapshotTransfer {
     pub(super) snapshot: Arc<Snapshot>,
     pub(super) digest: u64,
-    /// What the member needs next, in bytes.
+    /// Offset of the data that the member needs next, in bytes.
     pub(super) offset: u64,
-    /// Whether the chunk at `offset` waits for its answer.
+    /// Whether the chunk at `offset` awaits its response.
     pub(super) sent: bool,
 }
 
-/// The leader's record of one other member.
+/// Replication progress of one other member, as tracked by the leader.
 #[derive(Debug)]
 pub(super) struct Progress {
     pub(super) replica: ReplicaId,
@@ -50,11 +50,11 @@
     /// The next entry to send.
     pub(super) next_index: LogIndex,
     pub(super) state: ReplicationState,
-    /// When the last message that was answered had been sent.
+    /// Send time of the latest message that the member responded to.
     pub(super) last_contact: Option<Timestamp>,
-    /// Highest leadership confirmation round that was answered.
+    /// Highest leadership confirmation round that the member acknowledged.
     pub(super) acknowledged_round: u64,
-    /// What the member must reach in the current catch-up round.
+    /// Index that the member must reach in the current catch-up round.
     catch_up_target: LogIndex,
     catch_up_since: Timestamp,
 }
@@ -73,10 +73,10 @@
         }
     }
 
-    /// Whether the member has durably caught up: with everything committed,
-    /// or, since entries may come without pause, within `limit` with what was
-    /// committed when the current round began. Begins the next round if need
-    /// be.
+    /// Whether the member has durably caught up: it has all committed entries,
+    /// or, since entries may arrive continuously, it took at most `limit` to
+    /// reach the commit index at the start of the current round. Starts the
+    /// next round if a round took longer.
     pub(super) fn has_caught_up(
         &mut self,
         now: Timestamp,
@@ -95,14 +95,14 @@
         round_time <= limit
     }
 
-    /// Notes an answer to a message sent at `sent_at` in `round`.
+    /// Records a response to a message sent at `sent_at` in `round`.
     pub(super) fn record_contact(&mut self, sent_at: Timestamp, round: u64) {
         self.last_contact = self.last_contact.max(Some(sent_at));
         self.acknowledged_round = self.acknowledged_round.max(round);
     }
 
-    /// Notes that the member's log agrees with the leader's up to `index` and
-    /// is durable there.
+    /// Records that the member's log durably matches the leader's up to
+    /// `index`.
     pub(super) fn record_match(&mut self, index: LogIndex) {
         self.match_index = self.match_index.max(index);
         self.next_index = self.next_index.max(self.match_index + 1);
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Notes that the member lacks the entry at `refused`, and may agree up to
-    /// `possible_match`.
+    /// Records that the member's log doesn't match at `refused`, and can match
+    /// up to `possible_match`.
     pub(super) fn record_refusal(&mut self, refused: LogIndex, possible_match: LogIndex) {
         let stale = match self.state {
             ReplicationState::Probe { .. } => refused + 1 != self.next_index,
@@ -148,7 +148,7 @@
         });
     }
 
-    /// Whether another append with entries may be sent now.
+    /// Whether another append request with entries may be sent now.
     pub(super) fn may_send_entries(&self) -> bool {
         match &self.state {
             ReplicationState::Probe { sent } => !sent,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Notes that entries up to `last` were sent, or nothing but a probe.
+    /// Records that entries up to `last` or a probe were sent.
     pub(super) fn record_sent(&mut self, last: LogIndex) {
         match &mut self.state {
             ReplicationState::Probe { sent } => *sent = true,
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Lets an unanswered probe or chunk be sent again.
+    /// Allows a probe or chunk without a response to be sent again.
     pub(super) fn allow_retry(&mut self) {
         match &mut self.state {
             ReplicationState::Probe { sent } => *sent = false,
--- a/crates/petrellatch-core/src/consensus/reads.rs
+++ b/crates/petrellatch-core/src/consensus/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that are served only by a replica that proved to lead.
+//! Linearizable reads, served after a quorum has confirmed the leadership.
 
 use crate::Timestamp;
 
@@ -7,17 +7,21 @@
 use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Asks for a read that sees everything accepted before. It is answered
-    /// by [`ReplicaOutput::ReadReady`] after a quorum confirmed that this
-    /// replica still leads, or by [`ReplicaOutput::ReadLost`].
+    /// Requests a read that sees everything committed before. It results in
+    /// [`ReplicaOutput::ReadReady`] after a quorum has confirmed that this
+    /// replica still leads, or in [`ReplicaOutput::ReadLost`].
+    ///
+    /// # Errors
+    ///
+    /// Fails if this replica isn't the leader.
     pub fn request_read(&mut self, now: Timestamp, token: u64) -> Result<(), NotLeader> {
         self.observe_clock(now);
         let refusal = self.not_leader();
         let RoleState::Leader(leadership) = &mut self.role_state else {
             return Err(refusal);
         };
-        // What earlier leaders committed is known only once the first entry
-        // of this term is committed.
+        // The commit index of earlier terms is certain only once the first
+        // entry of this term is committed.
         let index = self.commit_index.max(leadership.first_index);
         leadership.round_requested = true;
         leadership.reads.push_back(PendingRead {
@@ -25,11 +29,11 @@
             index,
             round: leadership.round + 1,
         });
-        self.answer_reads();
+        self.complete_reads();
         Ok(())
     }
 
-    /// Starts a confirmation round if reads wait for one.
+    /// Starts a confirmation round if pending reads need one.
     pub(super) fn start_requested_round(&mut self) {
         let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
@@ -42,13 +46,13 @@
         self.send_heartbeats();
     }
 
-    /// Answers the reads whose round is confirmed and whose index is applied.
-    pub(super) fn answer_reads(&mut self) {
+    /// Completes the reads whose round is confirmed and whose index is applied.
+    pub(super) fn complete_reads(&mut self) {
         let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let confirmed_round = self.confirmed_round(leadership);
-        while let Some(read) = self.next_answerable_read(confirmed_round) {
+        while let Some(read) = self.take_completable_read(confirmed_round) {
             self.emit(ReplicaOutput::ReadReady {
                 token: read.token,
                 index: read.index,
@@ -56,20 +60,20 @@
         }
     }
 
-    fn next_answerable_read(&mut self, confirmed_round: u64) -> Option<PendingRead> {
+    fn take_completable_read(&mut self, confirmed_round: u64) -> Option<PendingRead> {
         let applied_index = self.applied_index;
         let RoleState::Leader(leadership) = &mut self.role_state else {
             return None;
         };
         let read = leadership.reads.front()?;
-        let answerable = read.round <= confirmed_round && read.index <= applied_index;
-        if !answerable {
+        let is_completable = read.round <= confirmed_round && read.index <= applied_index;
+        if !is_completable {
             return None;
         }
         leadership.reads.pop_front()
     }
 
-    /// The last round that a quorum answered.
+    /// The last round that a quorum acknowledged.
     fn confirmed_round(&self, leadership: &Leadership) -> u64 {
         const ALWAYS: u64 = u64::MAX;
         if self.settings.mutations.skip_quorum_check {
--- a/crates/petrellatch-core/src/consensus/replica.rs
+++ b/crates/petrellatch-core/src/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, its inputs and its outputs.
+//! The Raft replica: its state, inputs and outputs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Range;
@@ -40,45 +40,45 @@
     pub(super) applied_index: LogIndex,
     pub(super) role_state: RoleState,
     pub(super) leader: Option<NodeId>,
-    /// When a candidate asks again for votes that it lacks.
+    /// When a candidate repeats its requests for missing votes.
     pub(super) vote_retry_at: Timestamp,
-    /// Pre-votes of this life.
+    /// Number of pre-votes started since the process start.
     pre_votes: u32,
     pub(super) startup_election: StartupElection,
     /// Why this replica was not elected in the current term.
     pub(super) lost_election: Option<ElectionLoss>,
-    /// When a leader was last heard from. Unless voters may elect at their
-    /// start, the start counts as such, because what was promised before it is
-    /// not known any more.
+    /// Time of the last message from a leader. Initialized with the start time
+    /// unless `elects_at_start` is set: the previous run may have promised a
+    /// leader not to vote, and such promises aren't stored.
     pub(super) last_leader_contact: Option<Timestamp>,
     pub(super) election_deadline: Timestamp,
     pub(super) join_deadline: Timestamp,
-    /// Nodes of the group, as far as the settings name them.
+    /// Other nodes of the group that are named in the settings.
     pub(super) configured_peers: BTreeSet<NodeId>,
     pub(super) assembly: Option<SnapshotAssembly>,
-    /// The write that makes an installed snapshot durable, after which the
-    /// application gets it.
+    /// The write that makes an installed snapshot durable. The application gets
+    /// the snapshot once it completes.
     pub(super) pending_restore: Option<PersistTicket>,
     pub(super) writes: WriteQueue,
     pub(super) own_proposals: BTreeMap<LogIndex, Term>,
-    /// Applied index at which a snapshot was last asked for.
+    /// Applied index at which a snapshot was last requested from the application.
     pub(super) snapshot_requested_at: LogIndex,
     pub(super) outputs: VecDeque<ReplicaOutput>,
     announced_role: (Role, Term),
 }
 
-/// How long a replica waits for a leader before it stands for election, in
+/// How long a replica waits for a leader before it starts a pre-vote, in
 /// election timeouts.
 const ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 1.0..2.0;
-/// Between two pre-votes as long as no leader was heard in this life, in
-/// election timeouts, and how many of them may follow each other so soon.
+/// Interval between pre-votes of a startup election, in election timeouts.
 const STARTUP_PRE_VOTE_INTERVAL_IN_TIMEOUTS: Range<f64> = 0.2..0.4;
+/// Number of pre-votes after which the ordinary election delay applies.
 const MAX_STARTUP_PRE_VOTES: u32 = 50;
-/// How long a voter that starts waits for the candidate that it voted for, in
-/// election timeouts.
+/// How long a voter waits for the candidate that it voted for in a startup
+/// election, in election timeouts.
 const STARTUP_ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 0.4..0.8;
 
-/// State of the part that the replica plays.
+/// The replica's role and the state that belongs to it.
 #[derive(Debug)]
 pub(super) enum RoleState {
     Follower,
@@ -94,7 +94,7 @@
 }
 
 impl Replica {
-    /// Starts a replica from what was read back from disk.
+    /// Starts a replica from the state read back from disk.
     pub fn new(now: Timestamp, settings: ReplicaSettings, start: ReplicaStart) -> Replica {
         let id = ReplicaId {
             node: start.id,
@@ -161,7 +161,7 @@
         replica
     }
 
-    /// Handles a message from the replica on `from`.
+    /// Handles a message from the replica on node `from`.
     pub fn handle_message(&mut self, now: Timestamp, from: NodeId, message: ConsensusMessage) {
         self.observe_clock(now);
         if from == self.id.node || !self.is_addressed(&message) {
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Does what has become due. Call it when [`Replica::poll_timeout`] is
-    /// reached; earlier calls do no harm.
+    /// Runs the timers that have expired. Call it when the time that
+    /// [`Replica::poll_timeout`] returned is reached; earlier calls are harmless.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.observe_clock(now);
         if self.heartbeat_is_due() {
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Notes that everything asked for by [`ReplicaOutput::Persist`] up to
-    /// this ticket is synced to disk.
+    /// Notes that all [`ReplicaOutput::Persist`] requests up to this ticket are
+    /// synced to disk.
     pub fn handle_persisted(&mut self, now: Timestamp, ticket: PersistTicket) {
         self.observe_clock(now);
         let released = self.writes.complete(ticket);
@@ -234,8 +234,8 @@
         self.continue_transfer();
     }
 
-    /// Returns the next thing to do. Messages with entries and disk writes are
-    /// made here, so that inputs handled together share them.
+    /// Returns the next output. Messages with entries and disk writes are
+    /// created here, so that inputs handled together are batched into one.
     pub fn poll_output(&mut self) -> Option<ReplicaOutput> {
         self.announce_role();
         if self.outputs.is_empty() {
@@ -245,7 +245,7 @@
         self.outputs.pop_front()
     }
 
-    /// Returns when [`Replica::handle_timeout`] is wanted.
+    /// Returns when [`Replica::handle_timeout`] must be called next.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
         if let RoleState::Leader(leadership) = &self.role_state {
             if self.settings.mutations.skip_quorum_check {
@@ -262,15 +262,16 @@
             return Some(self.election_deadline.min(self.vote_retry_at));
         }
         if self.may_campaign() {
-            let stands_at = self.candidacy_due_at();
-            return stands_at.or(Some(self.election_deadline));
+            let candidacy_due_at = self.candidacy_due_at();
+            return candidacy_due_at.or(Some(self.election_deadline));
         }
         Some(self.join_deadline)
     }
 
-    /// Takes the time of an input. A leader first finds out whether its
-    /// quorum has been silent for too long by its own clock, for example
-    /// because the process was frozen, before it does anything else.
+    /// Advances the clock to the time of an input. A leader first checks
+    /// whether its quorum has been silent for too long by its own clock, for
+    /// example after a process pause, and steps down before it handles the
+    /// input.
     pub(super) fn observe_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         let RoleState::Leader(leadership) = &self.role_state else {
@@ -315,7 +316,7 @@
         self.outputs.push_back(output);
     }
 
-    /// A random time at which this replica stops waiting for a leader.
+    /// Draws a random time at which this replica stops waiting for a leader.
     pub(super) fn random_deadline(&mut self) -> Timestamp {
         self.deadline_after(match self.in_startup_election() {
             true => STARTUP_ELECTION_DELAY_IN_TIMEOUTS,
@@ -323,7 +324,8 @@
         })
     }
 
-    /// At the start there is no leader to wait for, unless it was heard before.
+    /// Starts the first election at once in a startup election, where there is
+    /// no leader to wait for.
     fn reset_first_election_timer(&mut self) {
         match self.in_startup_election() {
             true => self.election_deadline = self.now,
@@ -331,8 +333,8 @@
         }
     }
 
-    /// A replica that starts asks again soon: others of its quorum may start a
-    /// little later.
+    /// Sets the time of the next pre-vote. In a startup election it follows
+    /// soon, because other voters of the quorum may start a little later.
     pub(super) fn reset_pre_vote_timer(&mut self) {
         self.pre_votes += 1;
         let timeouts = match self.in_startup_election() && self.pre_votes <= MAX_STARTUP_PRE_VOTES {
@@ -342,7 +344,7 @@
         self.election_deadline = self.deadline_after(timeouts);
     }
 
-    /// A random time, in election timeouts from now.
+    /// Draws a random time in this range of election timeouts from now.
     fn deadline_after(&mut self, timeouts: Range<f64>) -> Timestamp {
         let factor = self.random.random_range(timeouts);
         self.now + self.settings.election_timeout.mul_f64(factor)
--- a/crates/petrellatch-core/src/consensus/sending.rs
+++ b/crates/petrellatch-core/src/consensus/sending.rs
@@ -1,4 +1,4 @@
-//! Sending messages at once, or when what they depend on is durable.
+//! Sending messages, at once or when the state they depend on is durable.
 
 use petrellatch_proto::consensus::{ConsensusBody, ConsensusMessage};
 
@@ -7,13 +7,13 @@
 use super::replica::Replica;
 
 impl Replica {
-    /// Sends a message that depends on nothing that isn't durable.
+    /// Sends a message that depends on durable state only.
     pub(super) fn send(&mut self, to: ReplicaId, body: ConsensusBody) {
         let output = self.message_to(to, body);
         self.outputs.push_back(output);
     }
 
-    /// Sends a message once everything that was changed so far is durable.
+    /// Sends a message once all changes made so far are durable.
     pub(super) fn send_durably(&mut self, to: ReplicaId, body: ConsensusBody) {
         let output = self.message_to(to, body);
         let barrier = self.writes.barrier(&self.log);
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Whether the message is meant for this incarnation of the node.
+    /// Whether the message is addressed to this incarnation of the node or to
+    /// any.
     pub(super) fn is_addressed(&self, message: &ConsensusMessage) -> bool {
         const ANY: u64 = 0;
         let receiver = message.to_incarnation;
--- a/crates/petrellatch-core/src/consensus/snapshot_assembly.rs
+++ b/crates/petrellatch-core/src/consensus/snapshot_assembly.rs
@@ -1,4 +1,4 @@
-//! Putting a snapshot together from its chunks.
+//! Assembly of a snapshot from its chunks.
 
 use std::hash::Hasher;
 
@@ -9,7 +9,7 @@
 use super::membership::Membership;
 use super::persistence::Snapshot;
 
-/// A snapshot that arrives in chunks.
+/// A snapshot that is received in chunks.
 #[derive(Debug)]
 pub(super) struct SnapshotAssembly {
     position: LogPosition,
@@ -20,8 +20,8 @@
 }
 
 impl SnapshotAssembly {
-    /// Starts the assembly of the snapshot to which `chunk` belongs. `None`
-    /// if the chunk is malformed.
+    /// Starts to assemble the snapshot that `chunk` belongs to. `None` if the
+    /// chunk is malformed.
     pub(super) fn start(chunk: &SnapshotChunk) -> Option<Self> {
         let membership = chunk.membership.as_ref()?;
         Some(SnapshotAssembly {
@@ -33,22 +33,22 @@
         })
     }
 
-    /// Whether `chunk` belongs to this snapshot. Replicas may encode the same
-    /// state differently, so the digest counts too.
+    /// Whether `chunk` belongs to this snapshot. The digest is compared as well,
+    /// since replicas may encode the same state differently.
     pub(super) fn matches(&self, chunk: &SnapshotChunk) -> bool {
         self.position == position_of(chunk)
             && self.total_bytes == chunk.total_bytes
             && self.digest == chunk.digest
     }
 
-    /// Adds a chunk's data if it is the one needed next.
+    /// Appends the data of a chunk if it is the next one needed.
     pub(super) fn add(&mut self, chunk: &SnapshotChunk) {
         if chunk.offset == self.next_offset() {
             self.data.extend_from_slice(&chunk.data);
         }
     }
 
-    /// Position of the data needed next, in bytes.
+    /// Offset of the next data needed, in bytes.
     pub(super) fn next_offset(&self) -> u64 {
         self.data.len() as u64
     }
@@ -57,7 +57,7 @@
         self.next_offset() >= self.total_bytes
     }
 
-    /// Returns the snapshot, or `None` if its data is damaged.
+    /// Returns the snapshot, or `None` if its data is corrupt.
     pub(super) fn finish(self) -> Option<Snapshot> {
         let intact = self.next_offset() == self.total_bytes && digest(&self.data) == self.digest;
         intact.then_some(Snapshot {
--- a/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
+++ b/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
@@ -15,7 +15,8 @@
 use super::snapshot_assembly::{SnapshotAssembly, digest};
 
 impl Replica {
-    /// Lets `peer` have the newest snapshot instead of compacted entries.
+    /// Starts to send the newest snapshot to `peer`, in place of compacted
+    /// entries.
     pub(super) fn start_snapshot(&mut self, peer: NodeId) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Sends the chunk that `peer` needs, unless its answer is awaited.
+    /// Sends the next chunk to `peer`, unless a response is still awaited.
     pub(super) fn send_snapshot_chunk(&mut self, peer: NodeId) {
         let chunk_bytes = self.settings.chunk_limit_bytes();
         let sent_at_micros = self.now.as_micros();
@@ -122,10 +123,11 @@
             transfer.offset = response.next_offset;
             transfer.sent = false;
         }
-        self.answer_reads();
+        self.complete_reads();
     }
 
-    /// The assembly to which `chunk` belongs, started anew if need be.
+    /// Returns the assembly that `chunk` belongs to, or starts a new one. `None`
+    /// if the chunk is malformed.
     fn assembly_for(&mut self, chunk: &SnapshotChunk) -> Option<SnapshotAssembly> {
         match self.assembly.take() {
             Some(assembly) if assembly.matches(chunk) => Some(assembly),
--- a/crates/petrellatch-core/src/consensus/startup_election.rs
+++ b/crates/petrellatch-core/src/consensus/startup_election.rs
@@ -1,12 +1,16 @@
-//! Elections of voters that start together, for example after a loss of power.
+//! Fast elections among voters that start together, for example after a power
+//! loss.
 //!
-//! A voter that has heard no leader in this life asks for pre-votes as soon as
-//! it starts. That tells the others that it is there: each of them asks it in
-//! turn, so the last voter of a quorum sets the election off. All of them may
-//! then have a quorum of pre-votes at once, so they stand in the order of their
-//! rank: the longest log first, then the highest term, then the lowest node. The
-//! start is over once a voter has voted in vain in some terms.
-//! Nothing of this is needed for safety, which rests on terms, logs and durable
+//! A voter that has received nothing from a leader since its start sends
+//! pre-vote requests as soon as it starts. The request also shows the other
+//! voters that it is running: each of them sends it a request in return, so the
+//! voter that completes a quorum triggers the election when it starts. Several
+//! voters may then have a quorum of pre-votes at the same time, so they become
+//! candidates in the order of their rank: the most up-to-date log first, then
+//! the highest term, then the lowest node id. A voter leaves these rules once it
+//! has voted in several terms without getting a leader.
+//!
+//! Safety doesn't depend on these rules: it rests on terms, logs and durable
 //! votes alone.
 
 use std::cmp::Reverse;
@@ -20,32 +24,32 @@
 use super::output::ElectionLoss;
 use super::replica::{Replica, RoleState};
 
-/// How much later than the one before it each further rank stands, in election
-/// timeouts: a sync and the way of a vote request.
+/// Delay between the candidacies of consecutive ranks, in election timeouts:
+/// enough for a disk sync and the delivery of a vote request.
 const RANK_DELAY_IN_TIMEOUTS: f64 = 0.1;
-/// How long a pre-candidate counts after it was heard, in election timeouts;
-/// longer than between two of its pre-votes.
+/// How long a voter counts as running after its last pre-vote request, in
+/// election timeouts. Longer than the interval between its pre-votes.
 const PRE_CANDIDATE_TTL_IN_TIMEOUTS: f64 = 0.5;
-/// How long a voter leaves a candidate to itself after its vote, in election
-/// timeouts.
+/// How long after its vote a voter denies pre-votes and ignores responses to
+/// its own, so that the candidate can win, in election timeouts.
 const CANDIDATE_GRACE_IN_TIMEOUTS: f64 = 0.3;
-/// In so many terms a voter votes by these rules. If they got no leader, syncs
-/// or messages take too long for the short waits, and it goes on with the
-/// ordinary ones.
+/// A voter leaves the startup rules once it has voted in more terms than this.
+/// If these terms got no leader, disk syncs or messages take too long for the
+/// short delays, and the ordinary ones apply.
 const MAX_STARTUP_TERMS: usize = 2;
 
-/// What a voter knows before it has heard a leader.
+/// State of a voter that has not received a message from a leader yet.
 #[derive(Debug, Default)]
 pub(super) struct StartupElection {
-    /// Voters that asked for pre-votes in this life.
+    /// Voters that sent pre-vote requests since this process started.
     competitors: BTreeMap<NodeId, CompetingPreCandidate>,
-    /// Since when a quorum would vote for this replica.
+    /// When a quorum of pre-votes was reached.
     pre_vote_quorum_since: Option<Timestamp>,
-    /// When it voted last.
+    /// Time of the last vote, until its candidate is known to have given up.
     last_vote_at: Option<Timestamp>,
-    /// Voters that denied this candidate their vote.
+    /// Voters that denied this candidate their votes.
     denied: BTreeSet<NodeId>,
-    /// Terms of this life in which it voted.
+    /// Terms in which this replica voted since the process started.
     voted_terms: BTreeSet<Term>,
 }
 
@@ -57,15 +61,16 @@
 }
 
 impl Replica {
-    /// Whether voters may elect at once, and this life has neither heard a
-    /// leader nor voted in vain too often.
+    /// Whether the startup rules apply: the settings permit them, no leader was
+    /// seen since the process started, and not too many terms failed.
     pub(super) fn in_startup_election(&self) -> bool {
         let may_elect = self.settings.elects_at_start && self.last_leader_contact.is_none();
         may_elect && self.startup_election.voted_terms.len() <= MAX_STARTUP_TERMS
     }
 
-    /// Notes a voter that asks for pre-votes. Returns whether it has to be asked
-    /// as well: it is new, or may answer differently in its new term.
+    /// Notes a voter that requested a pre-vote. Returns whether it must be sent
+    /// a request as well: it has just started, or may decide differently in its
+    /// new term.
     pub(super) fn note_pre_candidate(
         &mut self,
         competitor: ReplicaId,
@@ -76,7 +81,7 @@
             return false;
         }
         if self.hard_state.voted_for == Some(competitor) && term >= self.hard_state.term {
-            // It has given up the term of that vote.
+            // The candidate that got this vote has given up its candidacy.
             self.startup_election.last_vote_at = None;
         }
         let last_seen = self.now;
@@ -92,7 +97,8 @@
         previous.is_none_or(|previous| previous.term != term || !self.is_alive(&previous))
     }
 
-    /// Whether this replica leaves a candidate that it voted for to itself.
+    /// Whether this replica voted so recently that it must not support or
+    /// start another candidacy.
     pub(super) fn defers_to_candidate(&self) -> bool {
         let limit = self
             .settings
@@ -113,29 +119,33 @@
             .insert(self.hard_state.term);
     }
 
-    /// Lets others be elected: the candidate of the last vote has given up.
+    /// Lets this replica grant pre-votes again, because the candidate of its
+    /// last vote has given up.
     pub(super) fn stop_deferring_to_candidate(&mut self) {
         self.startup_election.last_vote_at = None;
     }
 
-    /// Whether this pre-candidate must take over the term of a voter that it
-    /// can't elect, because that voter denies any lower one.
+    /// Whether this pre-candidate must adopt the term of a voter whose log is
+    /// less up to date: it can't vote for that voter, which in turn denies
+    /// requests for lower terms.
     pub(super) fn must_adopt_term_of(&self, competitor: ReplicaId, position: LogPosition) -> bool {
         let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
-        let waits = is_pre_candidate && self.startup_election.pre_vote_quorum_since.is_none();
-        waits
+        let lacks_quorum =
+            is_pre_candidate && self.startup_election.pre_vote_quorum_since.is_none();
+        lacks_quorum
             && self.in_startup_election()
             && self.is_current_member(competitor)
             && position < self.log.last_position()
     }
 
-    /// Whether this pre-candidate has a quorum and only waits for its turn.
+    /// Whether this pre-candidate has a quorum of pre-votes and only waits for
+    /// the delay of its rank.
     pub(super) fn waits_for_rank_delay(&self) -> bool {
         let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
         is_pre_candidate && self.startup_election.pre_vote_quorum_since.is_some()
     }
 
-    /// Forgets what belonged to a former candidacy.
+    /// Clears the state of a previous candidacy.
     pub(super) fn reset_candidacy(&mut self) {
         self.startup_election.pre_vote_quorum_since = None;
         self.startup_election.denied.clear();
@@ -148,7 +158,8 @@
             .get_or_insert(now);
     }
 
-    /// When this pre-candidate may ask for votes, if a quorum would vote for it.
+    /// When this pre-candidate becomes a candidate. `None` without a quorum of
+    /// pre-votes.
     pub(super) fn candidacy_due_at(&self) -> Option<Timestamp> {
         let since = self.startup_election.pre_vote_quorum_since?;
         if !self.in_startup_election() {
@@ -158,7 +169,7 @@
         Some(since + self.settings.election_timeout.mul_f64(wait))
     }
 
-    /// Pre-candidates that go first.
+    /// Number of running voters that become candidates before this one.
     fn rank(&self) -> usize {
         let own = (
             self.log.last_position(),
@@ -174,8 +185,8 @@
             .count()
     }
 
-    /// Notes that a voter refused this candidate, which gives up at once if the
-    /// voters that have started can't elect it any more.
+    /// Notes that a voter denied its vote. The candidate gives up at once if
+    /// the running voters can no longer elect it.
     pub(super) fn note_denial(&mut self, voter: NodeId) {
         let RoleState::Candidate { granted } = &self.role_state else {
             return;
--- a/crates/petrellatch-core/src/consensus/status.rs
+++ b/crates/petrellatch-core/src/consensus/status.rs
@@ -1,4 +1,4 @@
-//! What a replica tells about itself.
+//! Read access to the state of a replica.
 
 use crate::identity::NodeId;
 
@@ -13,7 +13,7 @@
         self.id
     }
 
-    /// The part that the replica plays.
+    /// The replica's current role.
     pub fn role(&self) -> Role {
         match self.role_state {
             RoleState::Follower => Role::Follower,
@@ -28,23 +28,23 @@
         self.hard_state.term
     }
 
-    /// The leader of the current term, if it is known. It may have been
-    /// replaced already.
+    /// The leader of the current term, if known. It may already have been
+    /// replaced.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The last entry that was handed out for application.
+    /// Index of the last entry that was emitted to the application.
     pub fn applied_index(&self) -> LogIndex {
         self.applied_index
     }
 
-    /// The last entry of the log, committed or not.
+    /// Position of the last entry of the log, committed or not.
     pub fn last_position(&self) -> LogPosition {
         self.log.last_position()
     }
@@ -54,12 +54,14 @@
         self.memberships.current()
     }
 
-    /// Index of the entry that set the membership in effect; it only grows.
+    /// Index of the entry that set the membership in effect. Increases with every
+    /// committed change.
     pub fn membership_index(&self) -> LogIndex {
         self.memberships.current_index()
     }
 
-    /// What this leader knows of the other members; empty if it doesn't lead.
+    /// Replication progress of the other members; empty unless this replica
+    /// leads.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
         match &self.role_state {
             RoleState::Leader(leadership) => leadership.peer_progress(),
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Replicas of nodes that are no members and announced themselves to this
-    /// leader. An operator may add them.
+    /// Replicas that announced themselves to this leader and whose nodes aren't
+    /// members. An operator may add them.
     pub fn waiting_replicas(&self) -> Vec<ReplicaId> {
         match &self.role_state {
             RoleState::Leader(leadership) => leadership.waiting_replicas(),
--- a/crates/petrellatch-core/src/consensus/transfer.rs
+++ b/crates/petrellatch-core/src/consensus/transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership that is handed over before a planned stop.
+//! Leadership transfer before a planned stop.
 
 use petrellatch_proto::consensus::{ConsensusBody, TransferRequest};
 
@@ -9,14 +9,19 @@
 use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Hands leadership to the voter that has the whole log, as soon as there
-    /// is one and everything proposed is committed. Until then proposals are
-    /// refused. If that takes longer than an election timeout this replica
-    /// goes on leading.
+    /// Transfers leadership to a voter that has the complete log, as soon as
+    /// there is one and all proposals are applied. Until then proposals are
+    /// refused. If that takes longer than an election timeout, the transfer is
+    /// abandoned and this replica remains the leader.
     ///
-    /// The leader steps down before it asks the other one to take over. So it
-    /// is sure of its quorum no more when the other one is elected, although
-    /// the voters don't wait until they have missed it.
+    /// The leader steps down before it requests the target to start an
+    /// election. It therefore no longer relies on its quorum when the target is
+    /// elected, although the voters grant their votes without waiting for the
+    /// election timeout.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this replica isn't the leader.
     pub fn transfer_leadership(&mut self, now: Timestamp) -> Result<(), NotLeader> {
         self.observe_clock(now);
         let refusal = self.not_leader();
@@ -29,9 +34,9 @@
         Ok(())
     }
 
-    /// Stops leading without a successor, for example because the own disk
-    /// does not answer. The other voters elect one of them once they miss the
-    /// heartbeats.
+    /// Steps down without a successor, for example because the disk of this
+    /// replica doesn't respond. The other voters elect a leader once their
+    /// election timeouts expire.
     pub fn resign(&mut self, now: Timestamp) {
         self.observe_clock(now);
         if matches!(self.role_state, RoleState::Leader(_)) {
@@ -40,7 +45,7 @@
         }
     }
 
-    /// Whether this leader waits for somebody to hand over to.
+    /// Whether this leader waits for a voter that is ready for a transfer.
     pub fn is_transferring(&self) -> bool {
         match &self.role_state {
             RoleState::Leader(leadership) => leadership.transfer_deadline.is_some(),
@@ -50,7 +55,7 @@
         }
     }
 
-    /// Hands over if somebody is ready to take over, or gives up.
+    /// Completes a transfer if a voter is ready, or abandons it at its deadline.
     pub(super) fn continue_transfer(&mut self) {
         if !self.is_transferring() {
             return;
@@ -58,16 +63,16 @@
         if let Some(successor) = self.transfer_target() {
             self.transfer_to(successor);
         } else if let RoleState::Leader(leadership) = &mut self.role_state {
-            let is_over = leadership
+            let has_expired = leadership
                 .transfer_deadline
                 .is_some_and(|at| at <= self.now);
-            if is_over {
+            if has_expired {
                 leadership.transfer_deadline = None;
             }
         }
     }
 
-    /// The voter that has the whole log and answered last.
+    /// The voter that has the complete log and responded most recently.
     fn transfer_target(&self) -> Option<ReplicaId> {
         let last_index = self.log.last_index();
         let RoleState::Leader(leadership) = &self.role_state else {
@@ -95,8 +100,8 @@
         self.send(successor, ConsensusBody::TransferRequest(request));
     }
 
-    /// The leader asks this replica to take over. A request of an earlier
-    /// term, or of somebody who does not lead, has no effect.
+    /// Starts an election on request of the leader. A request of an earlier
+    /// term, or of a replica that isn't the leader, has no effect.
     pub(super) fn handle_transfer_request(&mut self, sender: ReplicaId, term: u64) {
         let is_follower = matches!(self.role_state, RoleState::Follower);
         let from_leader = self.leader == Some(sender.node) && term == self.hard_state.term;
--- a/crates/petrellatch-core/src/consensus/wire.rs
+++ b/crates/petrellatch-core/src/consensus/wire.rs
@@ -1,5 +1,5 @@
 //! Conversion between the module's types and the `prost` messages. Storage
-//! uses it too, so that disk and wire share one encoding.
+//! also uses it, so that files and messages share one encoding.
 
 use petrellatch_proto::consensus::{
     EntryBody, EntryMessage, HardStateRecord, MemberMessage, MemberRoleMessage, MembershipMessage,
@@ -13,11 +13,12 @@
 use super::membership::{Member, MemberRole, Membership, ReplicaId};
 use super::persistence::{HardState, Snapshot};
 
-/// A message or record lacks a part or holds an unknown value.
+/// Error of a message or record in which a field is missing or has an unknown
+/// value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{part} is missing or unknown"))]
 pub struct MalformedMessage {
-    /// What is missing or unknown.
+    /// The field that is missing or unknown.
     pub part: &'static str,
 }
 
--- a/crates/petrellatch-core/src/consensus/write_queue.rs
+++ b/crates/petrellatch-core/src/consensus/write_queue.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to disk, and what waits for it to be durable.
+//! Pending disk writes, and outputs that are deferred until they are durable.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use super::output::ReplicaOutput;
 use super::persistence::{HardState, PersistRequest, PersistTicket, Snapshot};
 
-/// Collects changes until the next write. One write is outstanding at a time;
-/// what changes meanwhile goes into the next one, so that a slow disk gets
-/// fewer, larger writes.
+/// Collects changes for the next write. Only one write is outstanding at a time;
+/// changes made meanwhile go into the next one, so that a slow disk gets fewer,
+/// larger writes.
 #[derive(Debug)]
 pub(super) struct WriteQueue {
     next_ticket: PersistTicket,
@@ -18,9 +18,9 @@
     hard_state_changed: bool,
     snapshot: Option<Arc<Snapshot>>,
     truncate_from: Option<LogIndex>,
-    /// First entry that no write contains yet.
+    /// Index of the first entry that isn't part of a write yet.
     unwritten_from: LogIndex,
-    /// Last entry that is durable.
+    /// Index of the last durable entry.
     durable_index: LogIndex,
     deferred: VecDeque<DeferredOutput>,
 }
@@ -39,7 +39,7 @@
 }
 
 impl WriteQueue {
-    /// Starts with a log that is durable up to `last_index`.
+    /// Creates a queue for a log that is durable up to `last_index`.
     pub(super) fn new(last_index: LogIndex) -> Self {
         WriteQueue {
             next_ticket: PersistTicket(1),
@@ -57,7 +57,7 @@
         self.durable_index
     }
 
-    /// Whether term and vote are durable.
+    /// Whether the term and the vote are durable.
     pub(super) fn hard_state_is_durable(&self) -> bool {
         let outstanding = self.outstanding.as_ref();
         let in_write = outstanding.is_some_and(|write| write.has_hard_state);
@@ -72,7 +72,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    /// Notes that the log lost its entries from `index` on.
+    /// Notes that the log was truncated from `index` on.
     pub(super) fn note_truncation(&mut self, index: LogIndex) {
         let last_kept = index.saturating_sub(1);
         self.durable_index = self.durable_index.min(last_kept);
@@ -96,7 +96,8 @@
         self.truncate_from = Some(index + 1);
     }
 
-    /// The write after which everything noted so far is durable.
+    /// The write after which all changes noted so far are durable. `None` if
+    /// they are durable already.
     pub(super) fn barrier(&self, log: &Log) -> Option<PersistTicket> {
         if self.has_changes(log) {
             return Some(self.next_ticket);
@@ -111,7 +112,7 @@
         });
     }
 
-    /// Makes the next write, unless one is outstanding or nothing changed.
+    /// Returns the next write, unless one is outstanding or nothing changed.
     pub(super) fn next_request(
         &mut self,
         hard_state: HardState,
@@ -138,8 +139,8 @@
         Some(request)
     }
 
-    /// Notes that everything up to `ticket` is durable and returns the outputs
-    /// that waited for it.
+    /// Notes that all writes up to `ticket` are durable and returns the outputs
+    /// deferred until then.
     pub(super) fn complete(&mut self, ticket: PersistTicket) -> Vec<ReplicaOutput> {
         let completed = self.outstanding.take_if(|write| write.ticket <= ticket);
         let Some(write) = completed else {
