--- a/crates/petrellatch-core/tests/consensus/candidate.rs
+++ b/crates/petrellatch-core/tests/consensus/candidate.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn from(node: u64, term: u64, body: ConsensusBody) -> (NodeId, ConsensusMessage) {
+fn message_from(node: u64, term: u64, body: ConsensusBody) -> (NodeId, ConsensusMessage) {
     let message = ConsensusMessage {
         from_incarnation: id(node).incarnation.0,
         to_incarnation: 0,
@@ -33,20 +33,20 @@
 }
 
 /// Lets a replica write what it wants; returns whom it asked for a vote.
-fn settle(replica: &mut Replica, now: Timestamp) -> Vec<u64> {
-    let mut asked = Vec::new();
+fn process_outputs(replica: &mut Replica, now: Timestamp) -> Vec<u64> {
+    let mut requested = Vec::new();
     while let Some(output) = replica.poll_output() {
         match output {
             ReplicaOutput::Persist(request) => replica.handle_persisted(now, request.ticket),
             ReplicaOutput::Send { to, message } => {
                 if matches!(message.body, Some(ConsensusBody::VoteRequest(_))) {
-                    asked.push(to.0);
+                    requested.push(to.0);
                 }
             }
             _ => {}
         }
     }
-    asked
+    requested
 }
 
 /// A replica of five that has become a candidate, with two pre-votes.
@@ -60,11 +60,11 @@
     };
     let mut now = Timestamp::from_millis(10_000);
     let mut replica = Replica::new(now, ReplicaSettings::default(), start);
-    settle(&mut replica, now);
+    process_outputs(&mut replica, now);
     while replica.role() != Role::PreCandidate {
         now = now + MILLI;
         replica.handle_timeout(now);
-        settle(&mut replica, now);
+        process_outputs(&mut replica, now);
     }
     for node in [2, 3] {
         let proposed_term = replica.term() + 1;
@@ -73,49 +73,49 @@
             granted: true,
         };
         let body = ConsensusBody::PreVoteResponse(granted);
-        let (node, message) = from(node, replica.term(), body);
+        let (node, message) = message_from(node, replica.term(), body);
         replica.handle_message(now, node, message);
     }
-    assert_eq!(settle(&mut replica, now), [2, 3, 4, 5]);
+    assert_eq!(process_outputs(&mut replica, now), [2, 3, 4, 5]);
     assert_eq!(replica.role(), Role::Candidate);
     (replica, now)
 }
 
 #[test]
-fn a_candidate_asks_again_who_has_not_voted_for_it() {
+fn candidate_repeats_requests_for_missing_votes() {
     let (mut replica, start) = candidate();
     let vote = ConsensusBody::VoteResponse(VoteResponse { granted: true });
-    let (node, message) = from(2, replica.term(), vote);
+    let (node, message) = message_from(2, replica.term(), vote);
     replica.handle_message(start, node, message);
-    let mut asked = Vec::new();
+    let mut requested = Vec::new();
     let limit = start + ReplicaSettings::default().election_timeout / 2;
     while let Some(due) = replica.poll_timeout().filter(|due| *due < limit) {
         replica.handle_timeout(due);
-        asked.extend(settle(&mut replica, due));
+        requested.extend(process_outputs(&mut replica, due));
     }
     assert_eq!(replica.role(), Role::Candidate);
     for node in [3, 4, 5] {
-        let times = asked.iter().filter(|it| **it == node).count();
+        let times = requested.iter().filter(|it| **it == node).count();
         assert!((1..=4).contains(&times), "{times} times for {node}");
     }
-    assert!(!asked.contains(&2), "it has voted");
+    assert!(!requested.contains(&2), "it has voted");
 }
 
 #[test]
-fn a_vote_that_comes_late_decides() {
+fn late_vote_is_counted() {
     let (mut replica, start) = candidate();
     for (node, millis) in [(2, 1), (5, 300)] {
         let now = start + millis * MILLI;
         let vote = ConsensusBody::VoteResponse(VoteResponse { granted: true });
-        let (node, message) = from(node, replica.term(), vote);
+        let (node, message) = message_from(node, replica.term(), vote);
         replica.handle_message(now, node, message);
-        settle(&mut replica, now);
+        process_outputs(&mut replica, now);
     }
     assert_eq!(replica.role(), Role::Leader);
 }
 
 /// The first replica of three, which has just asked for pre-votes at its start.
-fn starting_replica() -> (Replica, Timestamp) {
+fn started_replica() -> (Replica, Timestamp) {
     let start = ReplicaStart {
         id: id(1).node,
         incarnation: id(1).incarnation,
@@ -130,13 +130,13 @@
     let now = Timestamp::from_millis(10_000);
     let mut replica = Replica::new(now, settings, start);
     replica.handle_timeout(now);
-    settle(&mut replica, now);
+    process_outputs(&mut replica, now);
     (replica, now)
 }
 
 /// Hands the replica a message of this node and term.
-fn hand(replica: &mut Replica, now: Timestamp, node: u64, term: u64, body: ConsensusBody) {
-    let (node, message) = from(node, term, body);
+fn deliver(replica: &mut Replica, now: Timestamp, node: u64, term: u64, body: ConsensusBody) {
+    let (node, message) = message_from(node, term, body);
     replica.handle_message(now, node, message);
 }
 
@@ -161,14 +161,14 @@
 /// A replica of three that stood at its start with the pre-vote of the second
 /// one, which then refuses its vote, so that it gives up.
 fn denied_candidate() -> (Replica, Timestamp) {
-    let (mut replica, now) = starting_replica();
+    let (mut replica, now) = started_replica();
     for (term, body, role) in [
         (0, pre_vote_request(1), Role::PreCandidate),
         (0, pre_vote(1), Role::Candidate),
         (1, vote(false), Role::PreCandidate),
     ] {
-        hand(&mut replica, now, 2, term, body);
-        settle(&mut replica, now);
+        deliver(&mut replica, now, 2, term, body);
+        process_outputs(&mut replica, now);
         assert_eq!(replica.role(), role);
     }
     (replica, now)
@@ -180,7 +180,7 @@
     let (mut replica, now) = denied_candidate();
     for term in terms {
         let heartbeat = ConsensusBody::AppendRequest(AppendRequest::default());
-        let (node, message) = from(3, *term, heartbeat);
+        let (node, message) = message_from(3, *term, heartbeat);
         replica.handle_message(now, node, message);
         assert_eq!(replica.leader(), Some(NodeId(3)));
     }
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_election_counts_as_lost_only_if_its_term_gets_no_leader() {
+fn election_is_reported_lost_only_if_its_term_gets_no_leader() {
     assert_eq!(lost_elections_after_heartbeats(&[1, 2]), []);
     let lost = [(1, ElectionLoss::Denied)];
     assert_eq!(lost_elections_after_heartbeats(&[2]), lost);
@@ -203,13 +203,13 @@
 /// Whether the replica grants the third one a pre-vote after it voted for the
 /// second one in the first term and this request of the second one came.
 fn grants_pre_vote_after(term: u64, request: ConsensusBody) -> bool {
-    let (mut replica, now) = starting_replica();
-    let asks = ConsensusBody::VoteRequest(VoteRequest::default());
-    hand(&mut replica, now, 2, 1, asks);
-    settle(&mut replica, now);
-    hand(&mut replica, now, 2, term, request);
-    settle(&mut replica, now);
-    hand(&mut replica, now, 3, 1, pre_vote_request(2));
+    let (mut replica, now) = started_replica();
+    let vote_request = ConsensusBody::VoteRequest(VoteRequest::default());
+    deliver(&mut replica, now, 2, 1, vote_request);
+    process_outputs(&mut replica, now);
+    deliver(&mut replica, now, 2, term, request);
+    process_outputs(&mut replica, now);
+    deliver(&mut replica, now, 3, 1, pre_vote_request(2));
     let granted = |output: &ReplicaOutput| match output {
         ReplicaOutput::Send { to, message } if *to == id(3).node => {
             let body = &message.body;
@@ -222,38 +222,38 @@
 }
 
 #[test]
-fn only_a_candidate_that_gave_up_releases_its_voters() {
+fn voter_grants_pre_votes_again_only_after_its_candidate_gave_up() {
     assert!(grants_pre_vote_after(1, pre_vote_request(2)));
     let sent_before_its_candidacy = pre_vote_request(1);
     assert!(!grants_pre_vote_after(0, sent_before_its_candidacy));
 }
 
 #[test]
-fn a_voter_that_waits_for_its_turn_stands_no_more_once_it_has_voted() {
-    let (mut replica, now) = starting_replica();
+fn pre_candidate_waiting_for_its_rank_gives_up_once_it_has_voted() {
+    let (mut replica, now) = started_replica();
     // An answer of a higher term: it asks again in that term.
-    hand(&mut replica, now, 3, 1, vote(false));
-    let longer = ConsensusBody::PreVoteRequest(PreVoteRequest {
+    deliver(&mut replica, now, 3, 1, vote(false));
+    let longer_log_request = ConsensusBody::PreVoteRequest(PreVoteRequest {
         proposed_term: 1,
         last_index: 1,
         last_term: 0,
     });
-    hand(&mut replica, now, 2, 0, longer);
-    hand(&mut replica, now, 3, 1, pre_vote(2));
-    settle(&mut replica, now);
+    deliver(&mut replica, now, 2, 0, longer_log_request);
+    deliver(&mut replica, now, 3, 1, pre_vote(2));
+    process_outputs(&mut replica, now);
     assert_eq!(
         replica.role(),
         Role::PreCandidate,
         "the second one is first"
     );
-    let asks = ConsensusBody::VoteRequest(VoteRequest {
+    let vote_request = ConsensusBody::VoteRequest(VoteRequest {
         last_index: 1,
         ..VoteRequest::default()
     });
-    hand(&mut replica, now, 2, 1, asks);
-    settle(&mut replica, now);
+    deliver(&mut replica, now, 2, 1, vote_request);
+    process_outputs(&mut replica, now);
     let later = now + ReplicaSettings::default().election_timeout.mul_f64(0.2);
     replica.handle_timeout(later);
-    settle(&mut replica, later);
+    process_outputs(&mut replica, later);
     assert_eq!(replica.term(), 1, "it stands against its own vote");
 }
--- a/crates/petrellatch-core/tests/consensus/checker.rs
+++ b/crates/petrellatch-core/tests/consensus/checker.rs
@@ -30,7 +30,7 @@
     leaders: BTreeMap<Term, ReplicaId>,
     votes: BTreeMap<(ReplicaId, Term), NodeId>,
     committed: BTreeMap<LogIndex, u64>,
-    read_floors: BTreeMap<u64, LogIndex>,
+    min_read_indices: BTreeMap<u64, LogIndex>,
     pub reads_answered: u64,
     pub snapshots_restored: u64,
     pub violations: Vec<Violation>,
@@ -89,14 +89,14 @@
 
     pub fn read_requested(&mut self, token: u64) {
         let newest = self.committed.last_key_value();
-        let floor = newest.map_or(0, |(index, _)| *index);
-        self.read_floors.insert(token, floor);
+        let min_index = newest.map_or(0, |(index, _)| *index);
+        self.min_read_indices.insert(token, min_index);
     }
 
     pub fn read_answered(&mut self, token: u64, state: &[Applied]) {
         self.reads_answered += 1;
         let seen = state.last().map_or(0, |applied| applied.0);
-        if seen < self.read_floors[&token] {
+        if seen < self.min_read_indices[&token] {
             self.violations.push(Violation::StaleRead(token));
         }
     }
--- a/crates/petrellatch-core/tests/consensus/cluster.rs
+++ b/crates/petrellatch-core/tests/consensus/cluster.rs
@@ -24,7 +24,7 @@
 struct Event {
     node: NodeId,
     /// Life of the node that the event is meant for; `None` for any.
-    life: Option<u64>,
+    run_id: Option<u64>,
     input: Input,
 }
 
@@ -37,7 +37,7 @@
     /// Shortest delay between two zones. Within a zone it is the shortest of all.
     pub zone_delay_micros: u64,
     /// Directions in which nothing gets through.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub blocked: BTreeSet<(NodeId, NodeId)>,
 }
 
 pub struct Cluster {
@@ -74,11 +74,11 @@
 impl Network {
     fn delays_micros(&self, from: NodeId, to: NodeId) -> RangeInclusive<u64> {
         let same_zone = from.0 % self.zones == to.0 % self.zones;
-        let least = match same_zone {
+        let min_delay = match same_zone {
             true => MIN_DELAY_MICROS,
             false => self.zone_delay_micros,
         };
-        least..=least - MIN_DELAY_MICROS + self.max_delay_micros
+        min_delay..=min_delay - MIN_DELAY_MICROS + self.max_delay_micros
     }
 }
 
@@ -95,7 +95,7 @@
     }
 
     /// A group of voters without power, with nothing on their disks yet.
-    pub fn without_power(seed: u64, voters: u64, settings: &ReplicaSettings) -> Cluster {
+    pub fn stopped(seed: u64, voters: u64, settings: &ReplicaSettings) -> Cluster {
         let bootstrap = Membership::of_voters((1..=voters).map(replica_id));
         let mut cluster = Cluster::empty(seed);
         for node in 1..=voters {
@@ -114,7 +114,7 @@
                 max_delay_micros: 2_000,
                 zones: 1,
                 zone_delay_micros: MIN_DELAY_MICROS,
-                cut: BTreeSet::new(),
+                blocked: BTreeSet::new(),
             },
             sync_micros: 1_000,
             checker: Checker::default(),
@@ -134,9 +134,9 @@
             replica: None,
             disk: PersistentState::default(),
             unsynced: None,
-            life: 0,
-            frozen: false,
-            waiting: Vec::new(),
+            run_id: 0,
+            paused: false,
+            queued_inputs: Vec::new(),
             state: Vec::new(),
             clock_per_mille: self.random.random_range(980..=1020),
         };
@@ -155,7 +155,7 @@
     /// Live nodes that think that they lead, the newest term last.
     pub fn leaders(&self) -> Vec<NodeId> {
         let term_if_leader = |(node, state): (&NodeId, &Node)| {
-            let replica = state.replica.as_ref().filter(|_| !state.frozen)?;
+            let replica = state.replica.as_ref().filter(|_| !state.paused)?;
             (replica.role() == Role::Leader).then_some((replica.term(), *node))
         };
         let mut leaders: Vec<_> = self.nodes.iter().filter_map(term_if_leader).collect();
@@ -178,7 +178,7 @@
         let seed = self.random.random();
         let now = self.now;
         self.node(node).start(now, seed);
-        self.drain(node);
+        self.process_outputs(node);
     }
 
     pub fn crash(&mut self, node: NodeId) {
@@ -196,13 +196,13 @@
         self.restart(node);
     }
 
-    pub fn thaw(&mut self, node: NodeId) {
+    pub fn resume(&mut self, node: NodeId) {
         let now = self.now;
         let state = self.node(node);
-        state.frozen = false;
-        for input in std::mem::take(&mut state.waiting) {
+        state.paused = false;
+        for input in std::mem::take(&mut state.queued_inputs) {
             self.node(node).handle(now, input);
-            self.drain(node);
+            self.process_outputs(node);
         }
     }
 
@@ -211,23 +211,23 @@
         let all: Vec<NodeId> = self.nodes.keys().copied().collect();
         for inside in nodes {
             for outside in all.iter().filter(|node| !nodes.contains(node)) {
-                self.network.cut.insert((*inside, *outside));
-                self.network.cut.insert((*outside, *inside));
+                self.network.blocked.insert((*inside, *outside));
+                self.network.blocked.insert((*outside, *inside));
             }
         }
     }
 
     pub fn heal(&mut self) {
-        self.network.cut.clear();
+        self.network.blocked.clear();
     }
 
     /// Calls the running replica of `node` with its local time.
     pub fn call<T>(&mut self, node: NodeId, call: impl FnOnce(&mut Replica, Timestamp) -> T) -> T {
         let now = self.now;
         let state = self.node(node);
-        let local = state.local(now);
+        let local = state.local_time(now);
         let result = call(state.replica.as_mut().expect("the process runs"), local);
-        self.drain(node);
+        self.process_outputs(node);
         result
     }
 
@@ -275,7 +275,7 @@
     pub fn inject(&mut self, from: NodeId, to: NodeId, message: ConsensusMessage) {
         let now = self.now;
         self.node(to).handle(now, Input::Message(from, message));
-        self.drain(to);
+        self.process_outputs(to);
     }
 
     /// Handles the next event or timeout up to `end`.
@@ -296,7 +296,7 @@
             }
             _ => self.handle_event(),
         };
-        self.drain(node);
+        self.process_outputs(node);
         self.check_quorum_leaders();
         true
     }
@@ -305,7 +305,7 @@
         let (_, event) = self.events.pop_first().expect("an event is due");
         let now = self.now;
         let state = self.node(event.node);
-        if event.life.is_some_and(|life| life != state.life) {
+        if event.run_id.is_some_and(|run_id| run_id != state.run_id) {
             return event.node;
         }
         if let Input::Persisted(_) = event.input
@@ -318,28 +318,28 @@
     }
 
     fn check_quorum_leaders(&mut self) {
-        let is_sure = |node: &&Node| {
+        let has_quorum = |node: &&Node| {
             let replica = node.replica.as_ref();
-            replica.is_some_and(|replica| replica.is_leader_with_quorum(node.local(self.now)))
+            replica.is_some_and(|replica| replica.is_leader_with_quorum(node.local_time(self.now)))
         };
-        let count = self.nodes.values().filter(is_sure).count();
+        let count = self.nodes.values().filter(has_quorum).count();
         self.checker.quorum_leaders(count);
     }
 
-    fn drain(&mut self, node: NodeId) {
+    fn process_outputs(&mut self, node: NodeId) {
         loop {
             let state = self.node(node);
-            let Some(replica) = state.replica.as_mut().filter(|_| !state.frozen) else {
+            let Some(replica) = state.replica.as_mut().filter(|_| !state.paused) else {
                 return;
             };
             let Some(output) = replica.poll_output() else {
                 return;
             };
-            self.carry_out(node, output);
+            self.handle_output(node, output);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, output: ReplicaOutput) {
+    fn handle_output(&mut self, node: NodeId, output: ReplicaOutput) {
         let id = self.nodes[&node].id;
         match output {
             ReplicaOutput::Send { to, message } => self.send(id, to, message),
@@ -378,8 +378,8 @@
         let state = self.node(node);
         assert!(state.unsynced.is_none(), "one write at a time");
         state.unsynced = Some(request);
-        let life = Some(state.life);
-        self.schedule(node, life, delay, Input::Persisted(ticket));
+        let run_id = Some(state.run_id);
+        self.schedule(node, run_id, delay, Input::Persisted(ticket));
     }
 
     fn send(&mut self, from: ReplicaId, to: NodeId, message: ConsensusMessage) {
@@ -389,8 +389,8 @@
         {
             self.checker.vote_granted(from, message.term, to);
         }
-        let cut = self.network.cut.contains(&(from.node, to));
-        if cut || !self.nodes.contains_key(&to) {
+        let blocked = self.network.blocked.contains(&(from.node, to));
+        if blocked || !self.nodes.contains_key(&to) {
             return;
         }
         let mut copies = 1;
@@ -408,10 +408,14 @@
         }
     }
 
-    fn schedule(&mut self, node: NodeId, life: Option<u64>, delay_micros: u64, input: Input) {
+    fn schedule(&mut self, node: NodeId, run_id: Option<u64>, delay_micros: u64, input: Input) {
         let at = self.now + Duration::from_micros(delay_micros);
         self.next_event += 1;
-        let event = Event { node, life, input };
+        let event = Event {
+            node,
+            run_id,
+            input,
+        };
         self.events.insert((at, self.next_event), event);
     }
 }
--- a/crates/petrellatch-core/tests/consensus/mutations.rs
+++ b/crates/petrellatch-core/tests/consensus/mutations.rs
@@ -19,7 +19,7 @@
 }
 
 /// Just one fault.
-fn only(fault: impl Fn(&mut ConsensusMutations) -> &mut bool) -> ConsensusMutations {
+fn single_fault(fault: impl Fn(&mut ConsensusMutations) -> &mut bool) -> ConsensusMutations {
     let mut mutations = ConsensusMutations::default();
     *fault(&mut mutations) = true;
     mutations
@@ -38,7 +38,7 @@
 
 /// A command that was applied is replaced, or missing from the log of a later
 /// leader, which has put another entry in its place.
-fn loses_accepted(violation: &Violation) -> bool {
+fn is_committed_entry_lost(violation: &Violation) -> bool {
     matches!(
         violation,
         Violation::CommittedChanged(_) | Violation::OutOfOrder(..)
@@ -54,7 +54,7 @@
     cluster.run_for(Duration::from_secs(1));
 }
 
-fn leader_cut_off_with_a_learner(settings: &ReplicaSettings) -> Vec<Violation> {
+fn isolate_leader_with_a_learner(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 1, settings);
     let change = MembershipChange::AddLearner(replica_id(4));
     let added = cluster.call(leader, |replica, now| {
@@ -69,12 +69,16 @@
 }
 
 #[test]
-fn counting_learners_is_found() {
-    let mutations = only(|mutations| &mut mutations.learner_counts_as_voter);
-    assert_breaks(leader_cut_off_with_a_learner, mutations, loses_accepted);
+fn counting_learners_as_voters_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.learner_counts_as_voter);
+    assert_breaks(
+        isolate_leader_with_a_learner,
+        mutations,
+        is_committed_entry_lost,
+    );
 }
 
-fn crash_of_all_before_the_sync(settings: &ReplicaSettings) -> Vec<Violation> {
+fn crash_all_before_sync(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 0, settings);
     cluster.run_for(Duration::from_secs(1));
     cluster.sync_micros = 100_000;
@@ -89,12 +93,12 @@
 }
 
 #[test]
-fn acknowledging_before_the_sync_is_found() {
-    let mutations = only(|mutations| &mut mutations.acknowledge_before_sync);
-    assert_breaks(crash_of_all_before_the_sync, mutations, loses_accepted);
+fn acknowledging_before_sync_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.acknowledge_before_sync);
+    assert_breaks(crash_all_before_sync, mutations, is_committed_entry_lost);
 }
 
-fn read_at_a_cut_off_leader(settings: &ReplicaSettings) -> Vec<Violation> {
+fn read_at_isolated_leader(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, old) = ready_cluster(3, 0, settings);
     cluster.isolate(&[old]);
     let new_leader = |cluster: &Cluster| cluster.leaders().iter().any(|node| *node != old);
@@ -106,15 +110,15 @@
 }
 
 #[test]
-fn skipping_the_quorum_check_is_found() {
-    let mutations = only(|mutations| &mut mutations.skip_quorum_check);
+fn skipping_the_quorum_check_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.skip_quorum_check);
     let stale = |violation: &Violation| matches!(violation, Violation::StaleRead(_));
-    assert_breaks(read_at_a_cut_off_leader, mutations, stale);
-    let two_sure = |violation: &Violation| *violation == Violation::TwoQuorumLeaders;
-    assert_breaks(read_at_a_cut_off_leader, mutations, two_sure);
+    assert_breaks(read_at_isolated_leader, mutations, stale);
+    let two_quorum_leaders = |violation: &Violation| *violation == Violation::TwoQuorumLeaders;
+    assert_breaks(read_at_isolated_leader, mutations, two_quorum_leaders);
 }
 
-fn voter_restarted_between_two_candidates(settings: &ReplicaSettings) -> Vec<Violation> {
+fn restart_voter_between_two_vote_requests(settings: &ReplicaSettings) -> Vec<Violation> {
     const TERM: u64 = 5;
     let mut cluster = Cluster::start(3, 3, 0, settings);
     let voter = NodeId(1);
@@ -140,13 +144,13 @@
 }
 
 #[test]
-fn forgetting_a_vote_is_found() {
-    let mutations = only(|mutations| &mut mutations.forget_vote_on_restart);
+fn forgetting_a_vote_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.forget_vote_on_restart);
     let double = |violation: &Violation| matches!(violation, Violation::DoubleVote(_));
-    assert_breaks(voter_restarted_between_two_candidates, mutations, double);
+    assert_breaks(restart_voter_between_two_vote_requests, mutations, double);
 }
 
-fn lost_disk_votes_for_a_replica_that_lags(settings: &ReplicaSettings) -> Vec<Violation> {
+fn lose_disk_of_voter_beside_lagging_replica(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 0, settings);
     let nodes = others(&cluster, leader);
     let (lost, lagging) = (nodes[0], nodes[1]);
@@ -160,20 +164,20 @@
 }
 
 #[test]
-fn ignoring_incarnations_is_found() {
-    let mutations = only(|mutations| &mut mutations.ignore_incarnation);
+fn ignoring_incarnations_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.ignore_incarnation);
     assert_breaks(
-        lost_disk_votes_for_a_replica_that_lags,
+        lose_disk_of_voter_beside_lagging_replica,
         mutations,
-        loses_accepted,
+        is_committed_entry_lost,
     );
 }
 
-fn leader_handed_over(settings: &ReplicaSettings) -> Vec<Violation> {
+fn transfer_leadership_from_isolated_leader(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, old) = ready_cluster(3, 0, settings);
     cluster.run_for(Duration::from_secs(1));
-    let begun = cluster.call(old, |replica, now| replica.transfer_leadership(now));
-    begun.expect("it leads");
+    let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
+    started.expect("it leads");
     // The request to take over is on its way already.
     cluster.isolate(&[old]);
     cluster.run_for(Duration::from_secs(1));
@@ -181,8 +185,12 @@
 }
 
 #[test]
-fn leading_on_after_a_transfer_is_found() {
-    let mutations = only(|mutations| &mut mutations.lead_on_after_transfer);
-    let two_sure = |violation: &Violation| *violation == Violation::TwoQuorumLeaders;
-    assert_breaks(leader_handed_over, mutations, two_sure);
+fn leading_on_after_a_transfer_is_detected() {
+    let mutations = single_fault(|mutations| &mut mutations.lead_on_after_transfer);
+    let two_quorum_leaders = |violation: &Violation| *violation == Violation::TwoQuorumLeaders;
+    assert_breaks(
+        transfer_leadership_from_isolated_leader,
+        mutations,
+        two_quorum_leaders,
+    );
 }
--- a/crates/petrellatch-core/tests/consensus/node.rs
+++ b/crates/petrellatch-core/tests/consensus/node.rs
@@ -27,9 +27,9 @@
     /// Handed to the disk but not synced.
     pub unsynced: Option<PersistRequest>,
     /// Number of starts; events of an earlier life are void.
-    pub life: u64,
-    pub frozen: bool,
-    pub waiting: Vec<Input>,
+    pub run_id: u64,
+    pub paused: bool,
+    pub queued_inputs: Vec<Input>,
     pub state: Vec<Applied>,
     /// Rate of this node's clock in thousandths of the true rate.
     pub clock_per_mille: u64,
@@ -37,20 +37,20 @@
 
 impl Node {
     /// The node's clock at the true time `now`.
-    pub fn local(&self, now: Timestamp) -> Timestamp {
+    pub fn local_time(&self, now: Timestamp) -> Timestamp {
         Timestamp::from_micros(now.as_micros() * self.clock_per_mille / 1000)
     }
 
     /// The true time at which the node's clock shows at least `local`.
-    pub fn global(&self, local: Timestamp) -> Timestamp {
+    pub fn true_time(&self, local: Timestamp) -> Timestamp {
         let micros = (local.as_micros() * 1000).div_ceil(self.clock_per_mille);
         Timestamp::from_micros(micros)
     }
 
     pub fn start(&mut self, now: Timestamp, seed: u64) {
-        self.life += 1;
+        self.run_id += 1;
         self.state.clear();
-        self.frozen = false;
+        self.paused = false;
         let start = ReplicaStart {
             id: self.id.node,
             incarnation: self.id.incarnation,
@@ -58,7 +58,7 @@
             persisted: self.disk.clone(),
             bootstrap: self.bootstrap.clone(),
         };
-        let now = self.local(now);
+        let now = self.local_time(now);
         self.replica = Some(Replica::new(now, self.settings.clone(), start));
     }
 
@@ -66,17 +66,17 @@
     pub fn crash(&mut self) {
         self.replica = None;
         self.unsynced = None;
-        self.waiting.clear();
-        self.life += 1;
+        self.queued_inputs.clear();
+        self.run_id += 1;
     }
 
     pub fn handle(&mut self, now: Timestamp, input: Input) {
-        let local = self.local(now);
+        let local = self.local_time(now);
         let Some(replica) = &mut self.replica else {
             return;
         };
-        if self.frozen {
-            self.waiting.push(input);
+        if self.paused {
+            self.queued_inputs.push(input);
             return;
         }
         match input {
@@ -87,8 +87,8 @@
 
     /// When the replica wants to be called, in true time.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let replica = self.replica.as_ref().filter(|_| !self.frozen)?;
-        Some(self.global(replica.poll_timeout()?))
+        let replica = self.replica.as_ref().filter(|_| !self.paused)?;
+        Some(self.true_time(replica.poll_timeout()?))
     }
 
     pub fn encoded_state(&self) -> Vec<u8> {
--- a/crates/petrellatch-core/tests/consensus/return_of_power.rs
+++ b/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
@@ -16,20 +16,20 @@
 
 use crate::cluster::{Cluster, replica_id};
 
-const STARTS: u64 = 1_000;
+const SEED_COUNT: u64 = 1_000;
 const ZONES: u64 = 3;
 const ZONE_DELAY_MICROS: u64 = 3_500;
 const MAX_JITTER_MICROS: u64 = 400;
 /// Most replicas start within this time of each other.
 const START_WINDOW_MICROS: u64 = 500_000;
 /// One in so many starts up to this much later than the others.
-const LATE_ONE_IN: u64 = 6;
-const LATE_MICROS: u64 = 500_000;
+const LATE_START_ONE_IN: u64 = 6;
+const MAX_EXTRA_LATE_MICROS: u64 = 500_000;
 /// The longest log of the group, in entries.
 const LOG_ENTRIES: u64 = 12;
 const LAST_TERM: u64 = 5;
 /// What 99 of 100 starts must keep, from the start of the majority on.
-const AIM: Duration = Duration::from_millis(60);
+const MAX_P99_ELECTION_TIME: Duration = Duration::from_millis(60);
 
 fn settings() -> ReplicaSettings {
     ReplicaSettings {
@@ -84,8 +84,8 @@
     let mut times = BTreeMap::new();
     for node in 1..=voters {
         let mut at = random.random_range(0..START_WINDOW_MICROS);
-        if random.random_range(0..LATE_ONE_IN) == 0 {
-            at = START_WINDOW_MICROS + random.random_range(0..LATE_MICROS);
+        if random.random_range(0..LATE_START_ONE_IN) == 0 {
+            at = START_WINDOW_MICROS + random.random_range(0..MAX_EXTRA_LATE_MICROS);
         }
         while times.contains_key(&at) {
             at += 1;
@@ -96,16 +96,16 @@
 }
 
 /// One return of power.
-struct Return {
+struct RestartOutcome {
     /// From the start of the majority to a leader.
-    time: Duration,
+    election_time: Duration,
     /// Terms that were begun without a leader.
-    lost_terms: u64,
+    leaderless_terms: u64,
 }
 
-fn return_of_power(seed: u64, voters: u64, sync_micros: u64) -> Return {
+fn restart_after_power_loss(seed: u64, voters: u64, sync_micros: u64) -> RestartOutcome {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut cluster = Cluster::without_power(seed, voters, &settings());
+    let mut cluster = Cluster::stopped(seed, voters, &settings());
     cluster.network.zones = ZONES;
     cluster.network.zone_delay_micros = ZONE_DELAY_MICROS;
     cluster.network.max_delay_micros = MAX_JITTER_MICROS;
@@ -116,13 +116,13 @@
     let majority = voters / 2 + 1;
     let mut majority_at = None;
     let mut highest_term = 0;
-    let mut led_at = None;
+    let mut elected_at = None;
     for (started, (at, node)) in (1..).zip(start_times(&mut random, voters)) {
         let at = Timestamp::from_micros(at);
-        led_at = led_at.or_else(|| run_to_leader(&mut cluster, at));
+        elected_at = elected_at.or_else(|| run_until_leader(&mut cluster, at));
         cluster.run_for(at.saturating_since(cluster.now));
         let term = cluster.nodes[&node].disk.hard_state.term;
-        if led_at.is_none() {
+        if elected_at.is_none() {
             highest_term = highest_term.max(term);
         }
         cluster.restart(node);
@@ -131,19 +131,19 @@
         }
     }
     let limit = cluster.now + settings().election_timeout * 20;
-    led_at = led_at.or(run_to_leader(&mut cluster, limit));
-    let (led_at, term) = led_at.expect("a leader");
+    elected_at = elected_at.or(run_until_leader(&mut cluster, limit));
+    let (elected_at, term) = elected_at.expect("a leader");
     // Who starts late, or lost the election, must not disturb the leader.
     cluster.run_for(settings().election_timeout * 3);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
-    Return {
-        time: led_at.saturating_since(majority_at.expect("all start")),
-        lost_terms: term.saturating_sub(highest_term + 1),
+    RestartOutcome {
+        election_time: elected_at.saturating_since(majority_at.expect("all start")),
+        leaderless_terms: term.saturating_sub(highest_term + 1),
     }
 }
 
 /// Runs until a replica leads, or to `end`. Returns when, and its term.
-fn run_to_leader(cluster: &mut Cluster, end: Timestamp) -> Option<(Timestamp, u64)> {
+fn run_until_leader(cluster: &mut Cluster, end: Timestamp) -> Option<(Timestamp, u64)> {
     cluster.run_while(end, |cluster| cluster.leader().is_none());
     let leader = cluster.leader()?;
     let replica = cluster.replica(leader);
@@ -152,75 +152,80 @@
 }
 
 /// Starts the group under many seeds and checks the aim.
-fn check(voters: u64, sync_micros: u64) {
-    let runs = (0..STARTS).map(|seed| return_of_power(seed, voters, sync_micros));
-    let runs: Vec<Return> = runs.collect();
-    let mut times: Vec<Duration> = runs.iter().map(|run| run.time).collect();
+fn check_election_times(voters: u64, sync_micros: u64) {
+    let runs = (0..SEED_COUNT).map(|seed| restart_after_power_loss(seed, voters, sync_micros));
+    let runs: Vec<RestartOutcome> = runs.collect();
+    let mut times: Vec<Duration> = runs.iter().map(|run| run.election_time).collect();
     times.sort_unstable();
-    let at = |share: usize| times[times.len() * share / 100];
-    let lost = runs.iter().filter(|run| run.lost_terms > 0).count();
+    let percentile = |percent: usize| times[times.len() * percent / 100];
+    let lost = runs.iter().filter(|run| run.leaderless_terms > 0).count();
     let waited = runs
         .iter()
-        .filter(|run| run.lost_terms == 0 && run.time > AIM);
+        .filter(|run| run.leaderless_terms == 0 && run.election_time > MAX_P99_ELECTION_TIME);
     let maximum = times[times.len() - 1];
     println!(
         "{voters} voters, sync {sync_micros} us: median {:?}, 90 % {:?}, 99 % {:?}, \
          maximum {maximum:?}; {lost} lost a term, {} waited in one",
-        at(50),
-        at(90),
-        at(99),
+        percentile(50),
+        percentile(90),
+        percentile(99),
         waited.count(),
     );
-    assert!(at(99) <= AIM, "99 of 100 take {:?}", at(99));
+    assert!(
+        percentile(99) <= MAX_P99_ELECTION_TIME,
+        "99 of 100 take {:?}",
+        percentile(99)
+    );
     assert!(maximum <= settings().election_timeout * 2, "{maximum:?}");
 }
 
 #[test]
 fn three_voters_elect_as_soon_as_two_have_started() {
-    check(3, 2_000);
-    check(3, 5_000);
+    check_election_times(3, 2_000);
+    check_election_times(3, 5_000);
 }
 
 #[test]
 fn five_voters_elect_as_soon_as_three_have_started() {
-    check(5, 2_000);
-    check(5, 5_000);
+    check_election_times(5, 2_000);
+    check_election_times(5, 5_000);
 }
 
 #[test]
 fn nine_voters_elect_as_soon_as_five_have_started() {
-    check(9, 2_000);
-    check(9, 5_000);
+    check_election_times(9, 2_000);
+    check_election_times(9, 5_000);
 }
 
 #[test]
 fn fourteen_voters_elect_as_soon_as_eight_have_started() {
-    check(14, 2_000);
-    check(14, 5_000);
+    check_election_times(14, 2_000);
+    check_election_times(14, 5_000);
 }
 
 /// Starts voters with empty disks at once, under one seed, and returns how long
 /// they took to elect a leader.
-fn time_with_slow_disks(seed: u64, voters: u64, sync_micros: u64) -> Duration {
-    let mut cluster = Cluster::without_power(seed, voters, &settings());
+fn election_time_with_slow_disks(seed: u64, voters: u64, sync_micros: u64) -> Duration {
+    let mut cluster = Cluster::stopped(seed, voters, &settings());
     cluster.sync_micros = sync_micros;
     for node in 1..=voters {
         cluster.restart(NodeId(node));
     }
     let limit = cluster.now + settings().election_timeout * 100;
-    let led_at = run_to_leader(&mut cluster, limit);
+    let elected_at = run_until_leader(&mut cluster, limit);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
-    let (led_at, _) = led_at.expect("a leader");
-    led_at.saturating_since(Timestamp::ZERO)
+    let (elected_at, _) = elected_at.expect("a leader");
+    elected_at.saturating_since(Timestamp::ZERO)
 }
 
 #[test]
-fn voters_on_slow_disks_elect_within_some_election_timeouts() {
+fn voters_with_slow_disks_elect_within_eight_election_timeouts() {
     let timeout = settings().election_timeout;
     for sync in [timeout / 4, timeout / 2] {
         for voters in [3, 5, 9] {
             let sync_micros = sync.as_micros() as u64;
-            let times = (0..200).map(|seed| time_with_slow_disks(seed, voters, sync_micros));
+            let times =
+                (0..200).map(|seed| election_time_with_slow_disks(seed, voters, sync_micros));
             let longest = times.max().expect("runs");
             println!("{voters} voters, sync {sync:?}: maximum {longest:?}");
             assert!(longest <= timeout * 8, "{voters} voters: {longest:?}");
--- a/crates/petrellatch-core/tests/consensus/random_faults.rs
+++ b/crates/petrellatch-core/tests/consensus/random_faults.rs
@@ -14,7 +14,7 @@
 
 /// What a run brought about, so that the tests can tell that it happened.
 #[derive(Debug, Default)]
-struct Tally {
+struct RunStats {
     disks_lost: usize,
     committed: usize,
     reads: u64,
@@ -27,7 +27,7 @@
 }
 
 /// Whether every node's present incarnation is a voter and committed as such.
-fn is_repaired(cluster: &Cluster) -> bool {
+fn all_are_voters(cluster: &Cluster) -> bool {
     let Some(membership) = cluster.committed_membership() else {
         return false;
     };
@@ -35,40 +35,40 @@
     nodes.all(|node| membership.is_voter(node.id))
 }
 
-fn inject_fault(cluster: &mut Cluster, tally: &mut Tally) {
+fn inject_fault(cluster: &mut Cluster, stats: &mut RunStats) {
     let node = random_node(cluster);
     let other = random_node(cluster);
     match cluster.random.random_range(0..18) {
         0 => cluster.isolate(&[node]),
         1 => cluster.isolate(&[node, other]),
         2 => {
-            cluster.network.cut.insert((node, other));
+            cluster.network.blocked.insert((node, other));
         }
         3..=5 => cluster.heal(),
-        6 => cluster.node(node).frozen = true,
+        6 => cluster.node(node).paused = true,
         7 => cluster.crash(node),
-        8..=11 => revive(cluster),
+        8..=11 => restart_and_resume_all(cluster),
         12 => cluster.network.loss_percent = cluster.random.random_range(0..20),
         13 => cluster.sync_micros = cluster.random.random_range(200..30_000),
-        14..=16 if is_repaired(cluster) => {
+        14..=16 if all_are_voters(cluster) => {
             cluster.lose_disk(node);
-            tally.disks_lost += 1;
+            stats.disks_lost += 1;
         }
         _ => {}
     }
 }
 
 /// Starts what is down and lets go on what is frozen.
-fn revive(cluster: &mut Cluster) {
+fn restart_and_resume_all(cluster: &mut Cluster) {
     for node in cluster.nodes.keys().copied().collect::<Vec<_>>() {
         if cluster.nodes[&node].replica.is_none() {
             cluster.restart(node);
         }
-        cluster.thaw(node);
+        cluster.resume(node);
     }
 }
 
-fn use_group(cluster: &mut Cluster) {
+fn send_requests(cluster: &mut Cluster) {
     for leader in cluster.leaders() {
         for _ in 0..cluster.random.random_range(0..6) {
             cluster.propose(leader);
@@ -81,13 +81,13 @@
     cluster.heal();
     cluster.network.loss_percent = 0;
     cluster.sync_micros = 1_000;
-    revive(cluster);
+    restart_and_resume_all(cluster);
 }
 
 fn assert_recovers(cluster: &mut Cluster) {
     // A leader that was cut off until now needs time to find out.
     cluster.run_for(Duration::from_secs(2));
-    cluster.run_until("repaired group", is_repaired);
+    cluster.run_until("repaired group", all_are_voters);
     let leader = cluster.leader().expect("a repaired group has a leader");
     let value = cluster.propose(leader).expect("the leader takes proposals");
     let applied = |cluster: &Cluster| {
@@ -97,30 +97,30 @@
     cluster.run_until("last value applied everywhere", applied);
 }
 
-fn run(seed: u64, voters: u64, settings: &ReplicaSettings, tally: &mut Tally) {
+fn run(seed: u64, voters: u64, settings: &ReplicaSettings, stats: &mut RunStats) {
     let mut cluster = Cluster::start(seed, voters, 0, settings);
     cluster.network.duplicate_percent = 5;
     cluster.network.max_delay_micros = 8_000;
     for _ in 0..STEPS {
-        inject_fault(&mut cluster, tally);
-        use_group(&mut cluster);
+        inject_fault(&mut cluster, stats);
+        send_requests(&mut cluster);
         let pause = cluster.random.random_range(5..150);
         cluster.run_for(Duration::from_millis(pause));
     }
     end_faults(&mut cluster);
     assert_recovers(&mut cluster);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
-    tally.committed += cluster.checker.committed_count();
-    tally.reads += cluster.checker.reads_answered;
-    tally.snapshots_restored += cluster.checker.snapshots_restored;
+    stats.committed += cluster.checker.committed_count();
+    stats.reads += cluster.checker.reads_answered;
+    stats.snapshots_restored += cluster.checker.snapshots_restored;
 }
 
 fn run_seeds(seeds: std::ops::Range<u64>, voters: u64, settings: &ReplicaSettings) {
-    let mut tally = Tally::default();
-    seeds.for_each(|seed| run(seed, voters, settings, &mut tally));
-    println!("{voters} voters: {tally:?}");
-    assert!(tally.disks_lost > 0 && tally.snapshots_restored > 0);
-    assert!(tally.committed > 0 && tally.reads > 0);
+    let mut stats = RunStats::default();
+    seeds.for_each(|seed| run(seed, voters, settings, &mut stats));
+    println!("{voters} voters: {stats:?}");
+    assert!(stats.disks_lost > 0 && stats.snapshots_restored > 0);
+    assert!(stats.committed > 0 && stats.reads > 0);
 }
 
 #[test]
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn replicas_that_elect_at_start_keep_every_guarantee_under_random_faults() {
+fn replicas_with_startup_election_keep_every_guarantee_under_random_faults() {
     let settings = ReplicaSettings {
         elects_at_start: true,
         ..test_settings()
--- a/crates/petrellatch-core/tests/consensus/scenarios.rs
+++ b/crates/petrellatch-core/tests/consensus/scenarios.rs
@@ -10,7 +10,7 @@
 
 use crate::cluster::{Cluster, replica_id, test_settings};
 
-const STOPPED_A_MINUTE: Duration = Duration::from_secs(60);
+const ONE_MINUTE: Duration = Duration::from_secs(60);
 
 /// Starts a group and waits until a leader has committed a value.
 pub fn ready_cluster(voters: u64, learners: u64, settings: &ReplicaSettings) -> (Cluster, NodeId) {
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn cut_off_leader_stops_leading_before_another_is_elected() {
+fn isolated_leader_steps_down_before_another_is_elected() {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.isolate(&[old]);
-    let doomed = cluster.propose(old).expect("it can't know yet");
+    let uncommitted = cluster.propose(old).expect("it can't know yet");
     let new_leader = |cluster: &Cluster| cluster.leaders().iter().any(|node| *node != old);
     cluster.run_until("another leader", new_leader);
     assert_eq!(cluster.replica(old).role(), Role::Follower);
@@ -58,22 +58,22 @@
     cluster.heal();
     cluster.run_for(Duration::from_secs(1));
     assert_eq!(cluster.checker.reads_answered, reads);
-    assert!(!cluster.checker.is_committed(doomed));
+    assert!(!cluster.checker.is_committed(uncommitted));
     assert_clean(&cluster);
 }
 
 #[test]
-fn leader_frozen_for_a_minute_serves_nothing_when_it_goes_on() {
+fn leader_paused_for_a_minute_serves_nothing_when_it_resumes() {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.request_read(old);
-    cluster.node(old).frozen = true;
-    cluster.run_for(STOPPED_A_MINUTE);
+    cluster.node(old).paused = true;
+    cluster.run_for(ONE_MINUTE);
     let new = cluster.leader().expect("another leader");
     commit(&mut cluster, new);
-    cluster.node(old).frozen = false;
+    cluster.node(old).paused = false;
     cluster.request_read(old);
     assert_eq!(cluster.propose(old), None);
-    cluster.thaw(old);
+    cluster.resume(old);
     cluster.run_for(Duration::from_secs(1));
     assert_eq!(cluster.leader(), Some(new));
     assert_clean(&cluster);
@@ -83,9 +83,9 @@
 fn returning_replica_does_not_disturb_the_leader() {
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let term = cluster.replica(leader).term();
-    let apart = others(&cluster, leader)[0];
-    cluster.isolate(&[apart]);
-    cluster.run_for(STOPPED_A_MINUTE);
+    let isolated = others(&cluster, leader)[0];
+    cluster.isolate(&[isolated]);
+    cluster.run_for(ONE_MINUTE);
     cluster.heal();
     cluster.run_for(Duration::from_secs(5));
     assert_eq!(cluster.leader(), Some(leader));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn crash_of_all_replicas_loses_nothing_accepted() {
+fn crash_of_all_replicas_loses_no_committed_entry() {
     let (mut cluster, leader) = ready_cluster(5, 0, &test_settings());
     let value = commit(&mut cluster, leader);
     let nodes: Vec<NodeId> = cluster.nodes.keys().copied().collect();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn second_disk_lost_right_after_the_first_repair_loses_nothing() {
+fn second_disk_lost_right_after_the_first_repair_loses_no_committed_entry() {
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let nodes = others(&cluster, leader);
     let value = commit(&mut cluster, leader);
@@ -121,8 +121,8 @@
     let new = cluster.leader().expect("a leader");
     commit(&mut cluster, new);
     let states = cluster.nodes.values().map(|node| &node.state);
-    let holding = states.filter(|state| state.iter().any(|applied| applied.1 == value));
-    assert_eq!(holding.count(), 3);
+    let complete = states.filter(|state| state.iter().any(|applied| applied.1 == value));
+    assert_eq!(complete.count(), 3);
     assert_clean(&cluster);
 }
 
@@ -132,15 +132,15 @@
     let nodes = others(&cluster, leader);
     cluster.isolate(&nodes);
     nodes.iter().for_each(|node| cluster.lose_disk(*node));
-    cluster.run_for(STOPPED_A_MINUTE);
+    cluster.run_for(ONE_MINUTE);
     cluster.heal();
-    cluster.run_for(STOPPED_A_MINUTE);
+    cluster.run_for(ONE_MINUTE);
     assert_eq!(cluster.leader(), None);
     assert_clean(&cluster);
 }
 
 #[test]
-fn few_large_entries_are_compacted_too() {
+fn few_large_entries_are_compacted() {
     let settings = ReplicaSettings {
         compaction_threshold: 1_000_000,
         compaction_bytes: 2_000,
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn retired_replica_is_not_taken_back() {
+fn retired_replica_is_not_readmitted() {
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let node = others(&cluster, leader)[0];
     let old_disk = cluster.nodes[&node].disk.clone();
@@ -169,7 +169,7 @@
     cluster.node(node).disk = old_disk;
     cluster.node(node).id = old_id;
     cluster.restart(node);
-    cluster.run_for(STOPPED_A_MINUTE);
+    cluster.run_for(ONE_MINUTE);
     let leader = cluster.leader().expect("the other two go on");
     assert!(!cluster.replica(leader).membership().contains(old_id));
     assert_clean(&cluster);
@@ -179,8 +179,9 @@
 fn operator_adds_and_removes_members_one_at_a_time() {
     let (mut cluster, leader) = ready_cluster(3, 1, &test_settings());
     let added = NodeId(4);
-    let waits = |cluster: &Cluster| cluster.replica(leader).waiting_replicas() == [replica_id(4)];
-    cluster.run_until("announcement", waits);
+    let is_announced =
+        |cluster: &Cluster| cluster.replica(leader).waiting_replicas() == [replica_id(4)];
+    cluster.run_until("announcement", is_announced);
     let add = MembershipChange::AddVoter(replica_id(4));
     let remove = MembershipChange::Remove(leader);
     let added_first = cluster.call(leader, |replica, now| replica.propose_membership(now, add));
@@ -218,7 +219,7 @@
 }
 
 #[test]
-fn flood_of_proposals_is_shed_while_nothing_commits() {
+fn proposals_are_refused_when_too_much_is_uncommitted() {
     let (mut cluster, leader) = ready_cluster(3, 0, &ReplicaSettings::default());
     let shed = cluster.call(leader, |replica, now| {
         let command = vec![0; MAX_COMMAND_BYTES];
@@ -228,7 +229,7 @@
 }
 
 #[test]
-fn checker_notices_a_changed_entry() {
+fn checker_detects_a_changed_entry() {
     let mut checker = crate::checker::Checker::default();
     checker.applied(NodeId(1), &[(1, 10)]);
     checker.applied(NodeId(2), &[(1, 11)]);
--- a/crates/petrellatch-core/tests/consensus/transfer.rs
+++ b/crates/petrellatch-core/tests/consensus/transfer.rs
@@ -14,8 +14,8 @@
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.run_for(Duration::from_millis(500 + seed_delay));
     let value = cluster.propose(old).expect("it leads");
-    let begun = cluster.call(old, |replica, now| replica.transfer_leadership(now));
-    assert_matches!(begun, Ok(()));
+    let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
+    assert_matches!(started, Ok(()));
     let start = cluster.now;
     let new_leader = |cluster: &Cluster| cluster.leader().is_some_and(|node| node != old);
     cluster.run_until("another leader", new_leader);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn handing_over_takes_a_few_round_trips() {
+fn leadership_transfer_takes_a_few_round_trips() {
     let times = (0..40).map(|run| time_to_next_commit(run * 7));
     let longest = times.max().expect("runs");
     println!("longest time from a planned stop to the next leader's commit: {longest:?}");
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn leader_refuses_proposals_while_it_hands_over_and_goes_on_if_nobody_is_ready() {
+fn transferring_leader_refuses_proposals_and_keeps_leading_if_no_voter_is_ready() {
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let lagging = others(&cluster, leader);
     cluster.run_for(Duration::from_secs(1));
     // Both others live, but their disks are so slow that none is ready.
     cluster.sync_micros = 2_000_000;
     cluster.propose(leader).expect("it leads");
-    let begun = cluster.call(leader, |replica, now| replica.transfer_leadership(now));
-    assert_matches!(begun, Ok(()));
+    let started = cluster.call(leader, |replica, now| replica.transfer_leadership(now));
+    assert_matches!(started, Ok(()));
     let refused = cluster.call(leader, |replica, now| replica.propose(now, vec![0; 8]));
     assert_matches!(refused, Err(ProposeError::ProposalNotLeader { .. }));
     cluster.run_for(test_settings().election_timeout * 2);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn handing_over_under_cuts_and_losses_breaks_no_guarantee() {
+fn leadership_transfer_under_partitions_and_loss_breaks_no_guarantee() {
     for seed in 0..60 {
         let mut cluster = Cluster::start(seed, 3, 0, &test_settings());
         cluster.network.loss_percent = 10;
@@ -96,8 +96,8 @@
         body: Some(ConsensusBody::TransferRequest(TransferRequest {})),
     };
     cluster.inject(leader, follower, request(leader.0, term - 1));
-    let stranger = others(&cluster, leader)[1];
-    cluster.inject(stranger, follower, request(stranger.0, term));
+    let other_follower = others(&cluster, leader)[1];
+    cluster.inject(other_follower, follower, request(other_follower.0, term));
     cluster.run_for(Duration::from_secs(1));
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.replica(leader).term(), term);
