--- a/crates/petrellatch-core/tests/consensus/candidate.rs
+++ b/crates/petrellatch-core/tests/consensus/candidate.rs
@@ -1,4 +1,4 @@
-//! One candidate, message by message.
+//! Elections as seen by a single replica, driven message by message.
 
 use std::time::Duration;
 
@@ -32,7 +32,8 @@
     (NodeId(node), message)
 }
 
-/// Lets a replica write what it wants; returns whom it asked for a vote.
+/// Processes all outputs and completes disk writes at once. Returns the nodes
+/// to which the replica sent a vote request.
 fn process_outputs(replica: &mut Replica, now: Timestamp) -> Vec<u64> {
     let mut requested = Vec::new();
     while let Some(output) = replica.poll_output() {
@@ -49,7 +50,7 @@
     requested
 }
 
-/// A replica of five that has become a candidate, with two pre-votes.
+/// One of five replicas, which became a candidate by two granted pre-votes.
 fn candidate() -> (Replica, Timestamp) {
     let start = ReplicaStart {
         id: id(1).node,
@@ -96,9 +97,15 @@
     assert_eq!(replica.role(), Role::Candidate);
     for node in [3, 4, 5] {
         let times = requested.iter().filter(|it| **it == node).count();
-        assert!((1..=4).contains(&times), "{times} times for {node}");
+        assert!(
+            (1..=4).contains(&times),
+            "{times} vote requests to node {node}"
+        );
     }
-    assert!(!requested.contains(&2), "it has voted");
+    assert!(
+        !requested.contains(&2),
+        "node 2 has granted its vote already"
+    );
 }
 
 #[test]
@@ -114,7 +121,8 @@
     assert_eq!(replica.role(), Role::Leader);
 }
 
-/// The first replica of three, which has just asked for pre-votes at its start.
+/// The first of three replicas, which has just started and sent its pre-vote
+/// requests.
 fn started_replica() -> (Replica, Timestamp) {
     let start = ReplicaStart {
         id: id(1).node,
@@ -134,7 +142,7 @@
     (replica, now)
 }
 
-/// Hands the replica a message of this node and term.
+/// Delivers a message from `node` with `term` to the replica.
 fn deliver(replica: &mut Replica, now: Timestamp, node: u64, term: u64, body: ConsensusBody) {
     let (node, message) = message_from(node, term, body);
     replica.handle_message(now, node, message);
@@ -158,8 +166,8 @@
     ConsensusBody::VoteResponse(VoteResponse { granted })
 }
 
-/// A replica of three that stood at its start with the pre-vote of the second
-/// one, which then refuses its vote, so that it gives up.
+/// One of three replicas, which became a candidate at its start by the pre-vote
+/// of the second one, and gave up when the second one denied its vote.
 fn denied_candidate() -> (Replica, Timestamp) {
     let (mut replica, now) = started_replica();
     for (term, body, role) in [
@@ -174,8 +182,8 @@
     (replica, now)
 }
 
-/// Hands the candidate heartbeats of the third replica as leader of these terms
-/// and returns what it reports.
+/// Delivers heartbeats of the third replica as the leader of these terms to the
+/// candidate. Returns the lost elections that it reports.
 fn lost_elections_after_heartbeats(terms: &[u64]) -> Vec<(u64, ElectionLoss)> {
     let (mut replica, now) = denied_candidate();
     for term in terms {
@@ -200,8 +208,8 @@
     assert_eq!(lost_elections_after_heartbeats(&[2]), lost);
 }
 
-/// Whether the replica grants the third one a pre-vote after it voted for the
-/// second one in the first term and this request of the second one came.
+/// Whether a replica that voted for the second one in term 1 and then received
+/// `request` from it in `term` grants the third one a pre-vote.
 fn grants_pre_vote_after(term: u64, request: ConsensusBody) -> bool {
     let (mut replica, now) = started_replica();
     let vote_request = ConsensusBody::VoteRequest(VoteRequest::default());
@@ -231,7 +239,7 @@
 #[test]
 fn pre_candidate_waiting_for_its_rank_gives_up_once_it_has_voted() {
     let (mut replica, now) = started_replica();
-    // An answer of a higher term: it asks again in that term.
+    // A response with a higher term makes the replica repeat its pre-vote.
     deliver(&mut replica, now, 3, 1, vote(false));
     let longer_log_request = ConsensusBody::PreVoteRequest(PreVoteRequest {
         proposed_term: 1,
@@ -244,7 +252,7 @@
     assert_eq!(
         replica.role(),
         Role::PreCandidate,
-        "the second one is first"
+        "the second replica has the higher rank"
     );
     let vote_request = ConsensusBody::VoteRequest(VoteRequest {
         last_index: 1,
@@ -255,5 +263,9 @@
     let later = now + ReplicaSettings::default().election_timeout.mul_f64(0.2);
     replica.handle_timeout(later);
     process_outputs(&mut replica, later);
-    assert_eq!(replica.term(), 1, "it stands against its own vote");
+    assert_eq!(
+        replica.term(),
+        1,
+        "started an election after voting for another candidate"
+    );
 }
--- a/crates/petrellatch-core/tests/consensus/checker.rs
+++ b/crates/petrellatch-core/tests/consensus/checker.rs
@@ -1,27 +1,27 @@
-//! Checks of the log's guarantees, fed with what every replica does.
+//! Checks the guarantees of the log against the observed actions of all replicas.
 
 use std::collections::BTreeMap;
 
 use petrellatch_core::consensus::{LogIndex, ReplicaId, Term};
 use petrellatch_core::identity::NodeId;
 
-/// One applied command: its index and its value.
+/// Index and value of an applied command.
 pub type Applied = (LogIndex, u64);
 
-/// A broken guarantee.
+/// A violated guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// Two replicas led in one term.
+    /// Two replicas were leader in the same term.
     TwoLeaders(Term),
-    /// Two replicas were sure of their quorum at one moment.
+    /// Two replicas reported at the same time to be leader with a quorum.
     TwoQuorumLeaders,
-    /// A replica voted for two candidates in one term.
+    /// A replica voted for two candidates in the same term.
     DoubleVote(Term),
-    /// Two replicas applied different commands at one index.
+    /// Two replicas applied different commands at the same index.
     CommittedChanged(LogIndex),
-    /// A replica left out or repeated a committed command.
+    /// A replica skipped or repeated a committed command.
     OutOfOrder(NodeId, LogIndex),
-    /// A read didn't see what was applied before it was requested.
+    /// A read missed a command that was applied before the read was requested.
     StaleRead(u64),
 }
 
--- a/crates/petrellatch-core/tests/consensus/cluster.rs
+++ b/crates/petrellatch-core/tests/consensus/cluster.rs
@@ -1,4 +1,5 @@
-//! A group of replicas on a virtual clock, with a faulty network and disks.
+//! Simulated group of replicas on a virtual clock, with a faulty network and
+//! disks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -23,7 +24,7 @@
 #[derive(Clone, Debug)]
 struct Event {
     node: NodeId,
-    /// Life of the node that the event is meant for; `None` for any.
+    /// Process run that the event is addressed to; `None` for any.
     run_id: Option<u64>,
     input: Input,
 }
@@ -32,11 +33,13 @@
     pub loss_percent: u32,
     pub duplicate_percent: u32,
     pub max_delay_micros: u64,
-    /// Number of zones over which the nodes are spread; one for none.
+    /// Number of zones over which the nodes are distributed. One means that all
+    /// nodes are in the same zone.
     pub zones: u64,
-    /// Shortest delay between two zones. Within a zone it is the shortest of all.
+    /// Minimum delay between two zones. Within a zone it is
+    /// [`MIN_DELAY_MICROS`].
     pub zone_delay_micros: u64,
-    /// Directions in which nothing gets through.
+    /// Pairs of sender and receiver between which all messages are dropped.
     pub blocked: BTreeSet<(NodeId, NodeId)>,
 }
 
@@ -83,7 +86,8 @@
 }
 
 impl Cluster {
-    /// Starts a group of `voters` voters and `learners` nodes outside it.
+    /// Starts a group of `voters` voters, and `learners` nodes that aren't
+    /// members yet.
     pub fn start(seed: u64, voters: u64, learners: u64, settings: &ReplicaSettings) -> Cluster {
         let bootstrap = Membership::of_voters((1..=voters).map(replica_id));
         let mut cluster = Cluster::empty(seed);
@@ -94,7 +98,7 @@
         cluster
     }
 
-    /// A group of voters without power, with nothing on their disks yet.
+    /// Creates a group of stopped voters with empty disks.
     pub fn stopped(seed: u64, voters: u64, settings: &ReplicaSettings) -> Cluster {
         let bootstrap = Membership::of_voters((1..=voters).map(replica_id));
         let mut cluster = Cluster::empty(seed);
@@ -152,7 +156,7 @@
         replica.expect("the process runs")
     }
 
-    /// Live nodes that think that they lead, the newest term last.
+    /// Running nodes in the leader role, ordered by term.
     pub fn leaders(&self) -> Vec<NodeId> {
         let term_if_leader = |(node, state): (&NodeId, &Node)| {
             let replica = state.replica.as_ref().filter(|_| !state.paused)?;
@@ -163,7 +167,8 @@
         leaders.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// The membership of the newest leader, if it is committed there.
+    /// The membership of the leader with the highest term, if that leader's
+    /// log is fully committed.
     pub fn committed_membership(&self) -> Option<&Membership> {
         let replica = self.replica(self.leader()?);
         let all_committed = replica.commit_index() == replica.last_position().index;
@@ -185,7 +190,8 @@
         self.node(node).crash();
     }
 
-    /// Ends the process, takes its disk away and starts it on an empty one.
+    /// Crashes the process and restarts it with an empty disk and a new
+    /// incarnation.
     pub fn lose_disk(&mut self, node: NodeId) {
         self.crash(node);
         self.next_incarnation += 1;
@@ -206,7 +212,7 @@
         }
     }
 
-    /// Cuts these nodes off from all others, in both directions.
+    /// Partitions these nodes from all others, in both directions.
     pub fn isolate(&mut self, nodes: &[NodeId]) {
         let all: Vec<NodeId> = self.nodes.keys().copied().collect();
         for inside in nodes {
@@ -231,7 +237,7 @@
         result
     }
 
-    /// Proposes a fresh value at `node` and returns it if that leads.
+    /// Proposes a new value at `node`. Returns the value if it was accepted.
     pub fn propose(&mut self, node: NodeId) -> Option<u64> {
         let value = self.next_value;
         self.next_value += 1;
@@ -244,7 +250,7 @@
         let token = self.next_value;
         self.next_value += 1;
         self.checker.read_requested(token);
-        // A refusal is as good as no answer here.
+        // A refused read is treated like a read without a response.
         let _refused = self.call(node, |replica, now| replica.request_read(now, token));
     }
 
@@ -254,7 +260,7 @@
         self.now = end;
     }
 
-    /// Runs as long as `condition` holds, up to `end`.
+    /// Runs as long as `condition` is true, at most until `end`.
     pub fn run_while(&mut self, end: Timestamp, condition: impl Fn(&Cluster) -> bool) {
         while condition(self) {
             if !self.step(end) {
@@ -264,11 +270,11 @@
         }
     }
 
-    /// Runs until `condition` holds. Panics if it doesn't within 20 seconds.
+    /// Runs until `condition` is true. Panics after 20 seconds of virtual time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Cluster) -> bool) {
         let end = self.now + Duration::from_secs(20);
         while !condition(self) {
-            assert!(self.step(end), "not reached: {what}");
+            assert!(self.step(end), "timed out waiting for {what}");
         }
     }
 
@@ -278,7 +284,8 @@
         self.process_outputs(to);
     }
 
-    /// Handles the next event or timeout up to `end`.
+    /// Handles the next event or timeout until `end`. Returns whether there was
+    /// one.
     fn step(&mut self, end: Timestamp) -> bool {
         let event = self.events.first_key_value().map(|(key, _)| key.0);
         let timeouts = self.nodes.iter();
--- a/crates/petrellatch-core/tests/consensus/mutations.rs
+++ b/crates/petrellatch-core/tests/consensus/mutations.rs
@@ -1,5 +1,5 @@
-//! Every deliberate fault breaks a guarantee, and the checker finds it. The
-//! same runs without the fault are clean.
+//! Every injected fault violates a guarantee, and the checker detects it. The
+//! same scenarios without the fault have no violations.
 
 use std::time::Duration;
 
@@ -18,14 +18,15 @@
     }
 }
 
-/// Just one fault.
+/// Mutations with only one fault enabled.
 fn single_fault(fault: impl Fn(&mut ConsensusMutations) -> &mut bool) -> ConsensusMutations {
     let mut mutations = ConsensusMutations::default();
     *fault(&mut mutations) = true;
     mutations
 }
 
-/// Runs a scenario without and with a fault.
+/// Asserts that a scenario has no violations without a fault, and the expected
+/// one with it.
 fn assert_breaks(
     scenario: impl Fn(&ReplicaSettings) -> Vec<Violation>,
     mutations: ConsensusMutations,
@@ -33,11 +34,14 @@
 ) {
     assert_eq!(scenario(&test_settings()), [], "without the fault");
     let violations = scenario(&settings(mutations));
-    assert!(violations.iter().any(expected), "found: {violations:?}");
+    assert!(
+        violations.iter().any(expected),
+        "expected violation is missing in {violations:?}"
+    );
 }
 
-/// A command that was applied is replaced, or missing from the log of a later
-/// leader, which has put another entry in its place.
+/// Whether an applied command was replaced, or is missing from the log of a
+/// later leader that has another entry at its index.
 fn is_committed_entry_lost(violation: &Violation) -> bool {
     matches!(
         violation,
@@ -45,7 +49,7 @@
     )
 }
 
-/// Lets the group elect a leader and commit, if it can.
+/// Gives the group time to elect a leader and to commit a proposal.
 fn try_to_commit(cluster: &mut Cluster) {
     cluster.run_for(Duration::from_secs(3));
     for leader in cluster.leaders() {
@@ -178,7 +182,7 @@
     cluster.run_for(Duration::from_secs(1));
     let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
     started.expect("it leads");
-    // The request to take over is on its way already.
+    // The transfer request is already in flight.
     cluster.isolate(&[old]);
     cluster.run_for(Duration::from_secs(1));
     cluster.checker.violations
--- a/crates/petrellatch-core/tests/consensus/node.rs
+++ b/crates/petrellatch-core/tests/consensus/node.rs
@@ -1,4 +1,4 @@
-//! One replica with its simulated disk, clock and application.
+//! Simulated node: a replica with its disk, clock and application.
 
 use petrellatch_core::Timestamp;
 use petrellatch_core::consensus::{
@@ -10,7 +10,7 @@
 
 use crate::checker::Applied;
 
-/// An input that a frozen process gets when it goes on.
+/// An input of a process. Inputs of a paused process are queued until it resumes.
 #[derive(Clone, Debug)]
 pub enum Input {
     Message(NodeId, ConsensusMessage),
@@ -24,24 +24,25 @@
     /// `None` while the process is down.
     pub replica: Option<Replica>,
     pub disk: PersistentState,
-    /// Handed to the disk but not synced.
+    /// The write that is passed to the disk but not synced yet.
     pub unsynced: Option<PersistRequest>,
-    /// Number of starts; events of an earlier life are void.
+    /// Incremented at every start and crash. Events of an earlier run are
+    /// dropped.
     pub run_id: u64,
     pub paused: bool,
     pub queued_inputs: Vec<Input>,
     pub state: Vec<Applied>,
-    /// Rate of this node's clock in thousandths of the true rate.
+    /// Rate of this node's clock, in thousandths of the virtual clock's rate.
     pub clock_per_mille: u64,
 }
 
 impl Node {
-    /// The node's clock at the true time `now`.
+    /// The node's clock at the virtual time `now`.
     pub fn local_time(&self, now: Timestamp) -> Timestamp {
         Timestamp::from_micros(now.as_micros() * self.clock_per_mille / 1000)
     }
 
-    /// The true time at which the node's clock shows at least `local`.
+    /// The virtual time at which the node's clock reaches `local`.
     pub fn true_time(&self, local: Timestamp) -> Timestamp {
         let micros = (local.as_micros() * 1000).div_ceil(self.clock_per_mille);
         Timestamp::from_micros(micros)
@@ -62,7 +63,7 @@
         self.replica = Some(Replica::new(now, self.settings.clone(), start));
     }
 
-    /// Ends the process. What isn't synced is lost.
+    /// Ends the process. Writes that aren't synced are lost.
     pub fn crash(&mut self) {
         self.replica = None;
         self.unsynced = None;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// When the replica wants to be called, in true time.
+    /// Virtual time of the replica's next timeout.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let replica = self.replica.as_ref().filter(|_| !self.paused)?;
         Some(self.true_time(replica.poll_timeout()?))
--- a/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
+++ b/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
@@ -1,5 +1,5 @@
-//! Replicas that start one by one after a loss of power, on disks that were
-//! written to different points, and how soon one of them leads.
+//! Election time after a power loss: replicas start one after the other, with
+//! disks that were written to different points.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,15 +20,17 @@
 const ZONES: u64 = 3;
 const ZONE_DELAY_MICROS: u64 = 3_500;
 const MAX_JITTER_MICROS: u64 = 400;
-/// Most replicas start within this time of each other.
+/// Replicas that don't start late start within this time.
 const START_WINDOW_MICROS: u64 = 500_000;
-/// One in so many starts up to this much later than the others.
+/// One of this many replicas starts late.
 const LATE_START_ONE_IN: u64 = 6;
+/// Maximum delay of a late start after the end of the start window.
 const MAX_EXTRA_LATE_MICROS: u64 = 500_000;
-/// The longest log of the group, in entries.
+/// Length of the complete log, in entries.
 const LOG_ENTRIES: u64 = 12;
 const LAST_TERM: u64 = 5;
-/// What 99 of 100 starts must keep, from the start of the majority on.
+/// Limit for the 99th percentile of the time from the start of the majority to
+/// the election of a leader.
 const MAX_P99_ELECTION_TIME: Duration = Duration::from_millis(60);
 
 fn settings() -> ReplicaSettings {
@@ -40,7 +42,8 @@
     }
 }
 
-/// A prefix of the group's log. Some entries are of the term before the last.
+/// The first `count` entries of the group's log. The older entries are of the term
+/// before the last one.
 fn entries(count: u64) -> Vec<LogEntry> {
     let entry = |index| LogEntry {
         position: LogPosition {
@@ -52,8 +55,8 @@
     (1..=count).map(entry).collect()
 }
 
-/// What a voter had on disk when the power went: most have the whole log and
-/// the last term, some lack entries, and some saw an election that failed.
+/// A voter's disk at the power loss: most have the complete log and the last
+/// term, some lack entries, and some are in later terms whose elections failed.
 fn disk(random: &mut ChaCha8Rng, voters: u64) -> PersistentState {
     let missing = match random.random_range(0..3) {
         0 => random.random_range(1..=3),
@@ -79,7 +82,7 @@
     }
 }
 
-/// Moments at which the voters start.
+/// Start times of the voters, in microseconds.
 fn start_times(random: &mut ChaCha8Rng, voters: u64) -> BTreeMap<u64, NodeId> {
     let mut times = BTreeMap::new();
     for node in 1..=voters {
@@ -95,11 +98,11 @@
     times
 }
 
-/// One return of power.
+/// Outcome of one restart after a power loss.
 struct RestartOutcome {
-    /// From the start of the majority to a leader.
+    /// Time from the start of the majority to the election of a leader.
     election_time: Duration,
-    /// Terms that were begun without a leader.
+    /// Number of terms that were started but got no leader.
     leaderless_terms: u64,
 }
 
@@ -133,7 +136,7 @@
     let limit = cluster.now + settings().election_timeout * 20;
     elected_at = elected_at.or(run_until_leader(&mut cluster, limit));
     let (elected_at, term) = elected_at.expect("a leader");
-    // Who starts late, or lost the election, must not disturb the leader.
+    // Replicas that start late or lost the election must not depose the leader.
     cluster.run_for(settings().election_timeout * 3);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
     RestartOutcome {
@@ -142,7 +145,8 @@
     }
 }
 
-/// Runs until a replica leads, or to `end`. Returns when, and its term.
+/// Runs until there is a leader, at most until `end`. Returns the time of the
+/// election and the leader's term.
 fn run_until_leader(cluster: &mut Cluster, end: Timestamp) -> Option<(Timestamp, u64)> {
     cluster.run_while(end, |cluster| cluster.leader().is_none());
     let leader = cluster.leader()?;
@@ -151,7 +155,7 @@
     Some((cluster.now, replica.term()))
 }
 
-/// Starts the group under many seeds and checks the aim.
+/// Restarts the group with many seeds and checks the election times.
 fn check_election_times(voters: u64, sync_micros: u64) {
     let runs = (0..SEED_COUNT).map(|seed| restart_after_power_loss(seed, voters, sync_micros));
     let runs: Vec<RestartOutcome> = runs.collect();
@@ -165,7 +169,7 @@
     let maximum = times[times.len() - 1];
     println!(
         "{voters} voters, sync {sync_micros} us: median {:?}, 90 % {:?}, 99 % {:?}, \
-         maximum {maximum:?}; {lost} lost a term, {} waited in one",
+         maximum {maximum:?}; {lost} with leaderless terms, {} slow without one",
         percentile(50),
         percentile(90),
         percentile(99),
@@ -173,7 +177,7 @@
     );
     assert!(
         percentile(99) <= MAX_P99_ELECTION_TIME,
-        "99 of 100 take {:?}",
+        "99th percentile of the election time is {:?}",
         percentile(99)
     );
     assert!(maximum <= settings().election_timeout * 2, "{maximum:?}");
@@ -203,8 +207,8 @@
     check_election_times(14, 5_000);
 }
 
-/// Starts voters with empty disks at once, under one seed, and returns how long
-/// they took to elect a leader.
+/// Starts voters with empty disks at the same time and returns the time until
+/// they have elected a leader.
 fn election_time_with_slow_disks(seed: u64, voters: u64, sync_micros: u64) -> Duration {
     let mut cluster = Cluster::stopped(seed, voters, &settings());
     cluster.sync_micros = sync_micros;
--- a/crates/petrellatch-core/tests/consensus/random_faults.rs
+++ b/crates/petrellatch-core/tests/consensus/random_faults.rs
@@ -1,5 +1,5 @@
-//! Random faults under many seeds: no guarantee breaks, and the group works
-//! again once the faults end.
+//! Random faults with many seeds: no guarantee is violated, and the group
+//! recovers once the faults end.
 
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
 
 const STEPS: usize = 250;
 
-/// What a run brought about, so that the tests can tell that it happened.
+/// Statistics of the runs, by which the tests check that the faults and
+/// operations took place.
 #[derive(Debug, Default)]
 struct RunStats {
     disks_lost: usize,
@@ -26,7 +27,8 @@
     NodeId(cluster.random.random_range(1..=count))
 }
 
-/// Whether every node's present incarnation is a voter and committed as such.
+/// Whether the current incarnation of every node is a voter in the committed
+/// membership.
 fn all_are_voters(cluster: &Cluster) -> bool {
     let Some(membership) = cluster.committed_membership() else {
         return false;
@@ -58,7 +60,7 @@
     }
 }
 
-/// Starts what is down and lets go on what is frozen.
+/// Restarts all crashed nodes and resumes all paused ones.
 fn restart_and_resume_all(cluster: &mut Cluster) {
     for node in cluster.nodes.keys().copied().collect::<Vec<_>>() {
         if cluster.nodes[&node].replica.is_none() {
@@ -85,16 +87,18 @@
 }
 
 fn assert_recovers(cluster: &mut Cluster) {
-    // A leader that was cut off until now needs time to find out.
+    // A leader that was isolated until now needs time to step down.
     cluster.run_for(Duration::from_secs(2));
-    cluster.run_until("repaired group", all_are_voters);
+    cluster.run_until("all nodes to be voters again", all_are_voters);
     let leader = cluster.leader().expect("a repaired group has a leader");
-    let value = cluster.propose(leader).expect("the leader takes proposals");
+    let value = cluster
+        .propose(leader)
+        .expect("the leader accepts proposals");
     let applied = |cluster: &Cluster| {
         let mut nodes = cluster.nodes.values();
         nodes.all(|node| node.state.iter().any(|applied| applied.1 == value))
     };
-    cluster.run_until("last value applied everywhere", applied);
+    cluster.run_until("the last value to be applied everywhere", applied);
 }
 
 fn run(seed: u64, voters: u64, settings: &ReplicaSettings, stats: &mut RunStats) {
--- a/crates/petrellatch-core/tests/consensus/recovery_time.rs
+++ b/crates/petrellatch-core/tests/consensus/recovery_time.rs
@@ -1,4 +1,4 @@
-//! How long the group needs to recover, in virtual time.
+//! Recovery times of the group after a crash or a lost disk, in virtual time.
 
 use std::time::Duration;
 
@@ -19,7 +19,8 @@
     cluster
 }
 
-/// Measures under many seeds; prints the median and returns the maximum.
+/// Measures the duration of `run` with many seeds, prints the median and returns
+/// the maximum.
 fn measure(what: &str, run: impl Fn(&mut Cluster)) -> Duration {
     let measure_one = |seed| {
         let mut cluster = ready(seed);
@@ -49,7 +50,7 @@
 
 #[test]
 fn lost_disk_is_repaired_within_a_few_election_timeouts() {
-    let maximum = measure("voter again after a lost disk", |cluster| {
+    let maximum = measure("return to voter after a lost disk", |cluster| {
         let leader = cluster.leader().expect("a leader");
         let node = others(cluster, leader)[0];
         cluster.lose_disk(node);
--- a/crates/petrellatch-core/tests/consensus/scenarios.rs
+++ b/crates/petrellatch-core/tests/consensus/scenarios.rs
@@ -1,4 +1,4 @@
-//! Each failure on its own.
+//! Scenarios with one kind of failure each.
 
 use std::time::Duration;
 
@@ -22,7 +22,9 @@
 }
 
 pub fn commit(cluster: &mut Cluster, leader: NodeId) -> u64 {
-    let value = cluster.propose(leader).expect("the leader takes proposals");
+    let value = cluster
+        .propose(leader)
+        .expect("the leader accepts proposals");
     cluster.run_until("commit", |cluster| cluster.checker.is_committed(value));
     value
 }
@@ -46,7 +48,9 @@
 fn isolated_leader_steps_down_before_another_is_elected() {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.isolate(&[old]);
-    let uncommitted = cluster.propose(old).expect("it can't know yet");
+    let uncommitted = cluster
+        .propose(old)
+        .expect("the leader has not detected the partition yet");
     let new_leader = |cluster: &Cluster| cluster.leaders().iter().any(|node| *node != old);
     cluster.run_until("another leader", new_leader);
     assert_eq!(cluster.replica(old).role(), Role::Follower);
@@ -170,7 +174,7 @@
     cluster.node(node).id = old_id;
     cluster.restart(node);
     cluster.run_for(ONE_MINUTE);
-    let leader = cluster.leader().expect("the other two go on");
+    let leader = cluster.leader().expect("the other two have a leader");
     assert!(!cluster.replica(leader).membership().contains(old_id));
     assert_clean(&cluster);
 }
--- a/crates/petrellatch-core/tests/consensus/transfer.rs
+++ b/crates/petrellatch-core/tests/consensus/transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership that is handed over before a planned stop.
+//! Leadership transfer before a planned stop.
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::cluster::{Cluster, replica_id, test_settings};
 use crate::scenarios::{commit, others, ready_cluster};
 
-/// Hands over and returns the time until another leader has committed.
+/// Transfers leadership and returns the time until another leader has committed
+/// a value.
 fn time_to_next_commit(seed_delay: u64) -> Duration {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.run_for(Duration::from_millis(500 + seed_delay));
@@ -21,10 +22,7 @@
     cluster.run_until("another leader", new_leader);
     let new = cluster.leader().expect("just found");
     commit(&mut cluster, new);
-    assert!(
-        cluster.checker.is_committed(value),
-        "nothing proposed is lost"
-    );
+    assert!(cluster.checker.is_committed(value), "the proposal was lost");
     assert_eq!(cluster.checker.violations, []);
     cluster.now.saturating_since(start)
 }
@@ -45,7 +43,7 @@
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let lagging = others(&cluster, leader);
     cluster.run_for(Duration::from_secs(1));
-    // Both others live, but their disks are so slow that none is ready.
+    // Both followers respond, but their disks are too slow to be ready.
     cluster.sync_micros = 2_000_000;
     cluster.propose(leader).expect("it leads");
     let started = cluster.call(leader, |replica, now| replica.transfer_leadership(now));
@@ -54,7 +52,10 @@
     assert_matches!(refused, Err(ProposeError::ProposalNotLeader { .. }));
     cluster.run_for(test_settings().election_timeout * 2);
     assert_eq!(cluster.leader(), Some(leader));
-    assert!(cluster.propose(leader).is_some(), "it goes on leading");
+    assert!(
+        cluster.propose(leader).is_some(),
+        "the leader accepts proposals again"
+    );
     let followers = lagging.iter().map(|node| cluster.replica(*node).role());
     assert!(followers.eq([Role::Follower; 2]));
     assert_eq!(cluster.checker.violations, []);
