--- a/crates/petrellatch-core/src/consensus/leadership.rs
+++ b/crates/petrellatch-core/src/consensus/leadership.rs
@@ -89,8 +89,8 @@
     }
 
     pub(super) fn note_waiting_replica(&mut self, replica: ReplicaId) {
-        let known = self.waiting.contains_key(&replica.node);
-        if known || self.waiting.len() < MAX_WAITING_REPLICAS {
+        let is_listed = self.waiting.contains_key(&replica.node);
+        if is_listed || self.waiting.len() < MAX_WAITING_REPLICAS {
             self.waiting.insert(replica.node, replica.incarnation);
         }
     }
--- a/crates/petrellatch-core/src/consensus/membership_change.rs
+++ b/crates/petrellatch-core/src/consensus/membership_change.rs
@@ -45,8 +45,8 @@
         let leads = matches!(self.role_state, RoleState::Leader(_));
         // A voter may have been removed without having received that entry.
         let may_be_removed = self.settings.readmit_retired && self.leader.is_none();
-        let announces = !self.may_campaign() || may_be_removed;
-        !leads && announces && self.now >= self.join_deadline
+        let may_announce = !self.may_campaign() || may_be_removed;
+        !leads && may_announce && self.now >= self.join_deadline
     }
 
     pub(super) fn reset_join_timer(&mut self) {
--- a/crates/petrellatch-core/tests/consensus/mutations.rs
+++ b/crates/petrellatch-core/tests/consensus/mutations.rs
@@ -116,8 +116,8 @@
 #[test]
 fn skipping_the_quorum_check_is_detected() {
     let mutations = single_fault(|mutations| &mut mutations.skip_quorum_check);
-    let stale = |violation: &Violation| matches!(violation, Violation::StaleRead(_));
-    assert_breaks(read_at_isolated_leader, mutations, stale);
+    let stale_read = |violation: &Violation| matches!(violation, Violation::StaleRead(_));
+    assert_breaks(read_at_isolated_leader, mutations, stale_read);
     let two_quorum_leaders = |violation: &Violation| *violation == Violation::TwoQuorumLeaders;
     assert_breaks(read_at_isolated_leader, mutations, two_quorum_leaders);
 }
@@ -150,8 +150,12 @@
 #[test]
 fn forgetting_a_vote_is_detected() {
     let mutations = single_fault(|mutations| &mut mutations.forget_vote_on_restart);
-    let double = |violation: &Violation| matches!(violation, Violation::DoubleVote(_));
-    assert_breaks(restart_voter_between_two_vote_requests, mutations, double);
+    let double_vote = |violation: &Violation| matches!(violation, Violation::DoubleVote(_));
+    assert_breaks(
+        restart_voter_between_two_vote_requests,
+        mutations,
+        double_vote,
+    );
 }
 
 fn lose_disk_of_voter_beside_lagging_replica(settings: &ReplicaSettings) -> Vec<Violation> {
--- a/crates/petrellatch-core/tests/consensus/node.rs
+++ b/crates/petrellatch-core/tests/consensus/node.rs
@@ -43,7 +43,7 @@
     }
 
     /// The virtual time at which the node's clock reaches `local`.
-    pub fn true_time(&self, local: Timestamp) -> Timestamp {
+    pub fn virtual_time(&self, local: Timestamp) -> Timestamp {
         let micros = (local.as_micros() * 1000).div_ceil(self.clock_per_mille);
         Timestamp::from_micros(micros)
     }
@@ -89,7 +89,7 @@
     /// Virtual time of the replica's next timeout.
     pub fn next_timeout(&self) -> Option<Timestamp> {
         let replica = self.replica.as_ref().filter(|_| !self.paused)?;
-        Some(self.true_time(replica.poll_timeout()?))
+        Some(self.virtual_time(replica.poll_timeout()?))
     }
 
     pub fn encoded_state(&self) -> Vec<u8> {
--- a/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
+++ b/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
@@ -162,18 +162,18 @@
     let mut times: Vec<Duration> = runs.iter().map(|run| run.election_time).collect();
     times.sort_unstable();
     let percentile = |percent: usize| times[times.len() * percent / 100];
-    let lost = runs.iter().filter(|run| run.leaderless_terms > 0).count();
-    let waited = runs
+    let leaderless = runs.iter().filter(|run| run.leaderless_terms > 0).count();
+    let slow = runs
         .iter()
         .filter(|run| run.leaderless_terms == 0 && run.election_time > MAX_P99_ELECTION_TIME);
     let maximum = times[times.len() - 1];
     println!(
         "{voters} voters, sync {sync_micros} us: median {:?}, 90 % {:?}, 99 % {:?}, \
-         maximum {maximum:?}; {lost} with leaderless terms, {} slow without one",
+         maximum {maximum:?}; {leaderless} with leaderless terms, {} slow without one",
         percentile(50),
         percentile(90),
         percentile(99),
-        waited.count(),
+        slow.count(),
     );
     assert!(
         percentile(99) <= MAX_P99_ELECTION_TIME,
--- a/crates/petrellatch-core/tests/consensus/transfer.rs
+++ b/crates/petrellatch-core/tests/consensus/transfer.rs
@@ -11,9 +11,9 @@
 
 /// Transfers leadership and returns the time until another leader has committed
 /// a value.
-fn time_to_next_commit(seed_delay: u64) -> Duration {
+fn time_to_next_commit(extra_delay_millis: u64) -> Duration {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
-    cluster.run_for(Duration::from_millis(500 + seed_delay));
+    cluster.run_for(Duration::from_millis(500 + extra_delay_millis));
     let value = cluster.propose(old).expect("it leads");
     let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
     assert_matches!(started, Ok(()));
