--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -19,7 +19,7 @@
 pub struct ReplicaId {
     /// The node.
     pub node: NodeId,
-    /// Drawn when the data folder was formatted.
+    /// Incarnation of the data folder, drawn when it was formatted.
     pub incarnation: Incarnation,
 }
 
@@ -58,7 +58,7 @@
     AddLearner(ReplicaId),
     /// Adds a replica as a learner and promotes it once it has caught up.
     AddVoter(ReplicaId),
-    /// Makes a learner that has durably caught up a voter.
+    /// Promotes a learner that has durably caught up to voter.
     Promote(NodeId),
     /// Removes a member.
     Remove(NodeId),
@@ -68,7 +68,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum MembershipError {
-    /// This replica doesn't lead.
+    /// This replica isn't the leader.
     #[snafu(display("{source}"), context(false))]
     ChangeNotLeader {
         /// The replica that may be the leader.
@@ -89,7 +89,7 @@
         /// The node of the request.
         node: NodeId,
     },
-    /// The learner lacks committed entries.
+    /// The learner has not durably caught up with the committed entries.
     #[snafu(display("learner {node} has not caught up"))]
     NotCaughtUp {
         /// The node of the request.
