--- a/crates/petrellatch-core/src/consensus/apply.rs
+++ b/crates/petrellatch-core/src/consensus/apply.rs
@@ -1,4 +1,4 @@
-//! Changes of the log itself, and handing out what is committed.
+//! Changes to the log and the snapshot, and output of committed entries.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 use super::membership_history::MembershipHistory;
 use super::output::ReplicaOutput;
 use super::persistence::{PersistTicket, Snapshot};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Takes over the application's state after the entry at `index`, so that
-    /// the log up to it can be dropped. An index that isn't applied yet or is
-    /// covered by a newer snapshot is ignored.
+    /// Stores the application's state as of the entry at `index`, so that the
+    /// log can be compacted up to it. Ignored if `index` isn't applied yet or is
+    /// covered by a newer snapshot.
     pub fn install_application_snapshot(
         &mut self,
         now: Timestamp,
@@ -21,8 +21,8 @@
         bytes: Vec<u8>,
     ) {
         self.observe_clock(now);
-        let applied = index <= self.applied_index && self.pending_restore.is_none();
-        if !applied || index <= self.snapshot_index() {
+        let is_applied = index <= self.applied_index && self.pending_restore.is_none();
+        if !is_applied || index <= self.snapshot_index() {
             return;
         }
         let Some(term) = self.log.term_at(index) else {
@@ -35,7 +35,7 @@
         });
         self.writes.note_snapshot(Arc::clone(&snapshot));
         self.snapshot = Some(snapshot);
-        // Some entries stay in memory for followers that are a little behind.
+        // Followers that lag a little are sent entries instead of a snapshot.
         let kept = self.settings.compaction_threshold / 2;
         let dropped = index.saturating_sub(kept).max(self.log.base_index());
         self.log.compact_to(dropped);
@@ -46,16 +46,17 @@
         let membership_changed = self.memberships.record(&entry);
         self.log.append(entry);
         if membership_changed {
-            self.follow_membership();
+            self.apply_membership();
         }
     }
 
-    /// Removes uncommitted entries that another leader's log contradicts.
+    /// Removes uncommitted entries from `index` on, which conflict with the
+    /// leader's log.
     pub(super) fn truncate_log(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.writes.note_truncation(index);
         if self.memberships.truncate_from(index) {
-            self.follow_membership();
+            self.apply_membership();
         }
         let lost = self.own_proposals.split_off(&index);
         for (index, term) in lost {
@@ -64,12 +65,12 @@
         }
     }
 
-    /// Takes over a snapshot that a leader sent.
+    /// Installs a snapshot received from the leader.
     pub(super) fn install_received_snapshot(&mut self, snapshot: Snapshot) {
         let position = snapshot.position;
         let index = position.index;
         let snapshot = Arc::new(snapshot);
-        self.lose_proposals_covered_by(index);
+        self.report_proposals_lost_up_to(index);
         if self.log.term_at(index) == Some(position.term) {
             self.log.compact_to(index);
             self.memberships.compact_to(index);
@@ -78,13 +79,13 @@
         }
         self.commit_index = index;
         self.applied_index = index;
-        self.snapshot_wanted_at = index;
+        self.snapshot_requested_at = index;
         self.writes.note_snapshot(Arc::clone(&snapshot));
         self.snapshot = Some(snapshot);
         self.pending_restore = self.writes.barrier(&self.log);
     }
 
-    /// Hands an installed snapshot to the application once it is durable.
+    /// Emits an installed snapshot to the application once it is durable.
     pub(super) fn finish_restore(&mut self, persisted: PersistTicket) {
         let due = self.pending_restore.take_if(|needed| *needed <= persisted);
         if due.is_none() {
@@ -105,8 +106,8 @@
         });
     }
 
-    /// Hands out what is committed and durable here, and answers reads that
-    /// waited for it.
+    /// Emits the entries that are committed and durable at this replica, and
+    /// completes the reads that waited for them.
     pub(super) fn apply_committed(&mut self) {
         let limit = self.commit_index.min(self.own_durable_index());
         while self.pending_restore.is_none() && self.applied_index < limit {
@@ -120,7 +121,7 @@
             self.apply(index, term, payload);
         }
         self.request_snapshot_if_due();
-        self.answer_reads();
+        self.complete_reads();
     }
 
     pub(super) fn snapshot_index(&self) -> LogIndex {
@@ -128,7 +129,7 @@
         snapshot.map_or(0, |snapshot| snapshot.position.index)
     }
 
-    /// The last entry of the own log that counts as durable.
+    /// Index of the last entry of this replica's log that counts as durable.
     pub(super) fn own_durable_index(&self) -> LogIndex {
         if self.settings.mutations.acknowledge_before_sync {
             return self.log.last_index();
@@ -149,14 +150,14 @@
 
     fn replace_log(&mut self, snapshot: &Snapshot) {
         let index = snapshot.position.index;
-        self.lose_proposals_covered_by(LogIndex::MAX);
+        self.report_proposals_lost_up_to(LogIndex::MAX);
         self.log.reset(snapshot.position);
         self.writes.note_replaced_log(index);
         self.memberships = MembershipHistory::new(index, snapshot.membership.clone());
-        self.follow_membership();
+        self.apply_membership();
     }
 
-    fn lose_proposals_covered_by(&mut self, last: LogIndex) {
+    fn report_proposals_lost_up_to(&mut self, last: LogIndex) {
         while let Some(proposal) = self.own_proposals.first_entry() {
             if *proposal.key() > last {
                 return;
@@ -169,17 +170,17 @@
 
     fn request_snapshot_if_due(&mut self) {
         let threshold = self.settings.compaction_threshold;
-        let newest = self.snapshot_index().max(self.snapshot_wanted_at);
+        let newest = self.snapshot_index().max(self.snapshot_requested_at);
         let is_long = self.applied_index.saturating_sub(newest) >= threshold;
         if !is_long && self.applied_bytes_after(newest) < self.compaction_bytes() {
             return;
         }
-        self.snapshot_wanted_at = self.applied_index;
+        self.snapshot_requested_at = self.applied_index;
         let index = self.applied_index;
         self.emit(ReplicaOutput::SnapshotWanted { index });
     }
 
-    /// The size of the applied entries after `index`.
+    /// Total size of the applied entries after `index`, in bytes.
     fn applied_bytes_after(&self, index: LogIndex) -> usize {
         let all = self.log.bytes_after(index);
         all - self.log.bytes_after(self.applied_index).min(all)
@@ -191,12 +192,12 @@
         self.settings.compaction_bytes.max(last_size)
     }
 
-    /// Takes note of another membership in effect.
-    fn follow_membership(&mut self) {
+    /// Handles a change of the membership in effect.
+    fn apply_membership(&mut self) {
         let membership = self.memberships.current().clone();
         let last_index = self.log.last_index();
-        if let Part::Leader(leadership) = &mut self.part {
-            leadership.follow_membership(self.id, &membership, last_index, self.now);
+        if let RoleState::Leader(leadership) = &mut self.role_state {
+            leadership.apply_membership(self.id, &membership, last_index, self.now);
         }
         self.emit(ReplicaOutput::MembershipChanged(membership));
     }
--- a/crates/petrellatch-core/src/consensus/election.rs
+++ b/crates/petrellatch-core/src/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes and the timers that start them.
+//! Elections: pre-votes, votes and the timers that start them.
 
 use std::collections::BTreeSet;
 
@@ -13,14 +13,14 @@
 use super::membership::ReplicaId;
 use super::output::{ElectionLoss, ReplicaOutput};
 use super::persistence::HardState;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
-/// Between two requests of a candidate for the same vote, in election
+/// Interval between a candidate's requests for the same vote, in election
 /// timeouts.
-const TIMEOUTS_BETWEEN_REQUESTS: f64 = 0.2;
+const VOTE_RETRY_INTERVAL_IN_TIMEOUTS: f64 = 0.2;
 
 impl Replica {
-    /// Whether this replica is a voter, as far as it knows.
+    /// Whether this replica is a voter of the membership in its own log.
     pub(super) fn may_campaign(&self) -> bool {
         self.membership().is_voter(self.id)
     }
@@ -30,29 +30,30 @@
     }
 
     pub(super) fn election_is_due(&self) -> bool {
-        let leads = matches!(self.part, Part::Leader(_));
-        let waits = leads || self.awaits_turn();
-        !waits && self.may_campaign() && self.now >= self.election_deadline
+        let leads = matches!(self.role_state, RoleState::Leader(_));
+        let is_blocked = leads || self.waits_for_rank_delay();
+        !is_blocked && self.may_campaign() && self.now >= self.election_deadline
     }
 
-    /// Asks the voters whether they would elect this replica. The term stays,
-    /// so that a replica that was cut off disturbs nobody when it returns.
+    /// Asks the voters whether they would vote for this replica. The term isn't
+    /// incremented, so that a replica that returns from a network partition
+    /// doesn't depose the leader.
     pub(super) fn start_pre_vote(&mut self) {
-        if matches!(self.part, Part::Candidate { .. }) {
-            self.lose_election(ElectionLoss::NoAnswer);
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            self.end_candidacy(ElectionLoss::NoAnswer);
         }
         self.reset_candidacy();
         let granted = BTreeSet::from([self.id.node]);
-        self.part = Part::PreCandidate { granted };
+        self.role_state = RoleState::PreCandidate { granted };
         self.leader = None;
         self.reset_pre_vote_timer();
         for voter in self.other_voters() {
-            self.ask_for_pre_vote(voter);
+            self.request_pre_vote(voter);
         }
         self.evaluate_election();
     }
 
-    fn ask_for_pre_vote(&mut self, voter: ReplicaId) {
+    fn request_pre_vote(&mut self, voter: ReplicaId) {
         let last = self.log.last_position();
         let request = PreVoteRequest {
             proposed_term: self.hard_state.term + 1,
@@ -62,16 +63,17 @@
         self.send_durably(voter, ConsensusBody::PreVoteRequest(request));
     }
 
-    /// Asks a voter that has just started for what this replica needs.
-    fn ask_newcomer(&mut self, voter: ReplicaId, term: Term) {
-        match self.part {
-            Part::PreCandidate { .. } => self.ask_for_pre_vote(voter),
-            // A voter of a higher term could only end this candidacy.
-            Part::Candidate { .. } if term <= self.hard_state.term => {
-                self.ask_for_vote(voter, false);
+    /// Sends a voter that has just started the request that fits this
+    /// replica's role.
+    fn request_from_started_voter(&mut self, voter: ReplicaId, term: Term) {
+        match self.role_state {
+            RoleState::PreCandidate { .. } => self.request_pre_vote(voter),
+            // A voter in a higher term would only end this candidacy.
+            RoleState::Candidate { .. } if term <= self.hard_state.term => {
+                self.request_vote(voter, false);
             }
-            Part::Candidate { .. } => {}
-            Part::Follower | Part::Leader(_) => {}
+            RoleState::Candidate { .. } => {}
+            RoleState::Follower | RoleState::Leader(_) => {}
         }
     }
 
@@ -85,18 +87,18 @@
             term: request.last_term,
             index: request.last_index,
         };
-        let must_be_asked = self.note_rival(sender, sender_term, last);
-        if self.needs_term_of(sender, last) {
-            self.observe_term_at_start(sender_term);
+        let needs_request = self.note_pre_candidate(sender, sender_term, last);
+        if self.must_adopt_term_of(sender, last) {
+            self.observe_term_and_retry_pre_vote(sender_term);
         }
-        if must_be_asked {
-            self.ask_newcomer(sender, sender_term);
+        if needs_request {
+            self.request_from_started_voter(sender, sender_term);
         }
-        let held_back = self.holds_back();
-        let granted = !self.hears_leader()
+        let defers = self.defers_to_candidate();
+        let granted = !self.has_recent_leader_contact()
             && request.proposed_term > self.hard_state.term
             && last >= self.log.last_position()
-            && !held_back;
+            && !defers;
         if !granted && sender_term > self.hard_state.term {
             return;
         }
@@ -113,16 +115,16 @@
         term: Term,
         response: &PreVoteResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
-        if self.holds_back() {
-            // It answers what this replica asked before it voted.
+        if self.defers_to_candidate() {
+            // The response belongs to a request from before the latest vote.
             return;
         }
-        self.observe_term_at_start(term);
+        self.observe_term_and_retry_pre_vote(term);
         let awaited = response.proposed_term == self.hard_state.term + 1;
-        if let Part::PreCandidate { granted } = &mut self.part
+        if let RoleState::PreCandidate { granted } = &mut self.role_state
             && awaited
             && response.granted
         {
@@ -137,7 +139,7 @@
         term: Term,
         request: &VoteRequest,
     ) {
-        if self.hears_leader() && !request.transferred {
+        if self.has_recent_leader_contact() && !request.transferred {
             return;
         }
         self.observe_term(term);
@@ -147,7 +149,7 @@
             self.writes.note_hard_state();
         }
         if granted {
-            // A pre-candidate that waits for its turn waits no more.
+            // A pre-candidate that waits for its rank delay drops its candidacy.
             self.reset_candidacy();
             self.note_own_vote();
             self.reset_election_timer();
@@ -162,10 +164,10 @@
         term: Term,
         response: &VoteResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
-        self.observe_term_at_start(term);
+        self.observe_term_and_retry_pre_vote(term);
         if term != self.hard_state.term {
             return;
         }
@@ -173,18 +175,18 @@
             self.note_denial(sender.node);
             return;
         }
-        if let Part::Candidate { granted } = &mut self.part {
+        if let RoleState::Candidate { granted } = &mut self.role_state {
             granted.insert(sender.node);
             self.evaluate_election();
         }
     }
 
-    /// Counts a candidate's vote for itself, which must be durable like any
-    /// other.
+    /// Counts a candidate's vote for itself once it is durable, as required of
+    /// any vote.
     pub(super) fn count_own_vote(&mut self) {
         let vote_is_durable = self.writes.barrier(&self.log).is_none();
         let own = self.id.node;
-        if let Part::Candidate { granted } = &mut self.part
+        if let RoleState::Candidate { granted } = &mut self.role_state
             && vote_is_durable
         {
             granted.insert(own);
@@ -192,19 +194,19 @@
         }
     }
 
-    /// Whether the sender's votes and acknowledgements count at all: it must
-    /// be a member with exactly this incarnation.
-    pub(super) fn counts(&self, sender: ReplicaId) -> bool {
+    /// Whether the sender is a member with exactly this incarnation. Votes and
+    /// acknowledgements of any other replica are ignored.
+    pub(super) fn is_current_member(&self, sender: ReplicaId) -> bool {
         if self.settings.mutations.ignore_incarnation {
             return self.membership().member(sender.node).is_some();
         }
         self.membership().contains(sender)
     }
 
-    /// Whether a leader was heard from so recently that no other one may be
-    /// elected with this replica's help.
-    fn hears_leader(&self) -> bool {
-        let leads = matches!(self.part, Part::Leader(_));
+    /// Whether a message from a leader arrived within the election timeout, so
+    /// that this replica must not vote for another one.
+    fn has_recent_leader_contact(&self) -> bool {
+        let leads = matches!(self.role_state, RoleState::Leader(_));
         let is_recent = |at| self.now.saturating_since(at) < self.settings.election_timeout;
         leads || self.last_leader_contact.is_some_and(is_recent)
     }
@@ -223,49 +225,51 @@
         self.membership().voters().filter(others).collect()
     }
 
-    /// Moves on if a quorum agreed.
+    /// Advances to candidate or leader if a quorum has granted its votes.
     fn evaluate_election(&mut self) {
-        match &self.part {
-            Part::PreCandidate { granted } if self.is_quorum(granted) => {
+        match &self.role_state {
+            RoleState::PreCandidate { granted } if self.is_quorum(granted) => {
                 self.note_pre_vote_quorum();
-                self.stand_if_due();
+                self.start_election_if_due();
             }
-            Part::Candidate { granted } if self.is_quorum(granted) => self.become_leader(),
+            RoleState::Candidate { granted } if self.is_quorum(granted) => self.become_leader(),
             _ => {}
         }
     }
 
-    /// Asks for votes if a quorum would grant them and nobody else goes first.
-    pub(super) fn stand_if_due(&mut self) {
-        let is_pre_candidate = matches!(self.part, Part::PreCandidate { .. });
-        let is_due = self.candidacy_at().is_some_and(|at| self.now >= at);
+    /// Starts an election if a quorum has granted pre-votes and the delay of
+    /// this replica's rank has passed.
+    pub(super) fn start_election_if_due(&mut self) {
+        let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
+        let is_due = self.candidacy_due_at().is_some_and(|at| self.now >= at);
         if is_pre_candidate && is_due {
             self.start_election(false);
         }
     }
 
-    /// Enters a higher term that an answer told. Voters that start ask again at
-    /// once: the answers to what they asked are void.
-    fn observe_term_at_start(&mut self, term: Term) {
+    /// Enters a higher term seen in a message. In a startup election the
+    /// pre-vote is then repeated at once, because responses to requests of the
+    /// lower term no longer count.
+    fn observe_term_and_retry_pre_vote(&mut self, term: Term) {
         let is_higher = term > self.hard_state.term;
         self.observe_term(term);
-        if is_higher && self.is_starting() && self.may_campaign() {
+        if is_higher && self.in_startup_election() && self.may_campaign() {
             self.start_pre_vote();
         }
     }
 
     /// Ends a candidacy, if there is one. Another candidate may still win the
-    /// term, so the loss is reported with the next one.
-    pub(super) fn lose_election(&mut self, reason: ElectionLoss) {
-        if matches!(self.part, Part::Candidate { .. }) {
-            self.part = Part::Follower;
-            self.forget_own_vote();
+    /// term, so the loss is reported only when the next term begins.
+    pub(super) fn end_candidacy(&mut self, reason: ElectionLoss) {
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            self.role_state = RoleState::Follower;
+            self.stop_deferring_to_candidate();
             self.lost_election = Some(reason);
         }
     }
 
-    /// Reports a lost candidacy at the end of its term, unless a leader of that
-    /// term was heard.
+    /// Reports a lost candidacy at the end of its term, unless that term got a
+    /// leader.
     pub(super) fn report_lost_election(&mut self) {
         if let Some(reason) = self.lost_election.take() {
             let term = self.hard_state.term;
@@ -281,8 +285,8 @@
         count >= membership.quorum_size()
     }
 
-    /// Asks for votes in the next term. `transferred` says that the leader of
-    /// this term has stepped down in favour of this replica.
+    /// Starts an election in the next term. `transferred` means that the leader
+    /// of the current term has stepped down in favour of this replica.
     pub(super) fn start_election(&mut self, transferred: bool) {
         self.report_lost_election();
         self.hard_state = HardState {
@@ -290,19 +294,19 @@
             voted_for: Some(self.id),
         };
         self.writes.note_hard_state();
-        self.part = Part::Candidate {
+        self.role_state = RoleState::Candidate {
             granted: BTreeSet::new(),
         };
         self.reset_candidacy();
         self.note_own_vote();
         self.reset_election_timer();
-        self.ask_for_votes(transferred);
+        self.request_votes(transferred);
     }
 
-    /// Asks the voters who have not voted for this candidate. A request may
-    /// get lost, or come before its voter has started.
-    fn ask_for_votes(&mut self, transferred: bool) {
-        let Part::Candidate { granted } = &self.part else {
+    /// Requests the votes that this candidate is missing. Earlier requests may
+    /// have been lost, or have arrived before the voter had started.
+    fn request_votes(&mut self, transferred: bool) {
+        let RoleState::Candidate { granted } = &self.role_state else {
             return;
         };
         let is_missing = |voter: &ReplicaId| !granted.contains(&voter.node);
@@ -310,14 +314,14 @@
         let interval = self
             .settings
             .election_timeout
-            .mul_f64(TIMEOUTS_BETWEEN_REQUESTS);
-        self.ask_again_at = self.now + interval;
+            .mul_f64(VOTE_RETRY_INTERVAL_IN_TIMEOUTS);
+        self.vote_retry_at = self.now + interval;
         for voter in voters {
-            self.ask_for_vote(voter, transferred);
+            self.request_vote(voter, transferred);
         }
     }
 
-    fn ask_for_vote(&mut self, voter: ReplicaId, transferred: bool) {
+    fn request_vote(&mut self, voter: ReplicaId, transferred: bool) {
         let last = self.log.last_position();
         let request = VoteRequest {
             last_index: last.index,
@@ -327,11 +331,11 @@
         self.send_durably(voter, ConsensusBody::VoteRequest(request));
     }
 
-    /// Repeats what a candidate asked for, if that is due.
+    /// Repeats a candidate's vote requests when they are due.
     pub(super) fn repeat_vote_requests(&mut self) {
-        let is_candidate = matches!(self.part, Part::Candidate { .. });
-        if is_candidate && self.now >= self.ask_again_at {
-            self.ask_for_votes(false);
+        let is_candidate = matches!(self.role_state, RoleState::Candidate { .. });
+        if is_candidate && self.now >= self.vote_retry_at {
+            self.request_votes(false);
         }
     }
 
@@ -339,8 +343,8 @@
         let first_index = self.log.last_index() + 1;
         let mut leadership = Leadership::new(self.now, first_index);
         let membership = self.memberships.current();
-        leadership.follow_membership(self.id, membership, self.log.last_index(), self.now);
-        self.part = Part::Leader(leadership);
+        leadership.apply_membership(self.id, membership, self.log.last_index(), self.now);
+        self.role_state = RoleState::Leader(leadership);
         self.leader = Some(self.id.node);
         self.append_entry(EntryPayload::NoOperation);
         self.send_heartbeats();
--- a/crates/petrellatch-core/src/consensus/replica.rs
+++ b/crates/petrellatch-core/src/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, its inputs and its outputs.
+//! The Raft replica: its state, inputs and outputs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::Range;
@@ -20,7 +20,7 @@
 use super::persistence::{HardState, PersistRequest, PersistTicket, Snapshot};
 use super::settings::{ReplicaSettings, ReplicaStart};
 use super::snapshot_assembly::SnapshotAssembly;
-use super::start_of_group::StartOfGroup;
+use super::startup_election::StartupElection;
 use super::write_queue::WriteQueue;
 
 /// One replica of the log. See the [module page](super) for its guarantees
@@ -38,49 +38,49 @@
     pub(super) memberships: MembershipHistory,
     pub(super) commit_index: LogIndex,
     pub(super) applied_index: LogIndex,
-    pub(super) part: Part,
+    pub(super) role_state: RoleState,
     pub(super) leader: Option<NodeId>,
-    /// When a candidate asks again for votes that it lacks.
-    pub(super) ask_again_at: Timestamp,
-    /// Pre-votes of this life.
+    /// When a candidate repeats its requests for missing votes.
+    pub(super) vote_retry_at: Timestamp,
+    /// Number of pre-votes started since the process start.
     pre_votes: u32,
-    pub(super) start_of_group: StartOfGroup,
+    pub(super) startup_election: StartupElection,
     /// Why this replica was not elected in the current term.
     pub(super) lost_election: Option<ElectionLoss>,
-    /// When a leader was last heard from. Unless voters may elect at their
-    /// start, the start counts as such, because what was promised before it is
-    /// not known any more.
+    /// Time of the last message from a leader. Initialized with the start time
+    /// unless `elects_at_start` is set: the previous run may have promised a
+    /// leader not to vote, and such promises aren't stored.
     pub(super) last_leader_contact: Option<Timestamp>,
     pub(super) election_deadline: Timestamp,
     pub(super) join_deadline: Timestamp,
-    /// Nodes of the group, as far as the settings name them.
+    /// Other nodes of the group that are named in the settings.
     pub(super) configured_peers: BTreeSet<NodeId>,
     pub(super) assembly: Option<SnapshotAssembly>,
-    /// The write that makes an installed snapshot durable, after which the
-    /// application gets it.
+    /// The write that makes an installed snapshot durable. The application gets
+    /// the snapshot once it completes.
     pub(super) pending_restore: Option<PersistTicket>,
     pub(super) writes: WriteQueue,
     pub(super) own_proposals: BTreeMap<LogIndex, Term>,
-    /// Applied index at which a snapshot was last asked for.
-    pub(super) snapshot_wanted_at: LogIndex,
+    /// Applied index at which a snapshot was last requested from the application.
+    pub(super) snapshot_requested_at: LogIndex,
     pub(super) outputs: VecDeque<ReplicaOutput>,
     announced_role: (Role, Term),
 }
 
-/// How long a replica waits for a leader before it stands for election, in
+/// How long a replica waits for a leader before it starts a pre-vote, in
 /// election timeouts.
-const TIMEOUTS_WITHOUT_LEADER: Range<f64> = 1.0..2.0;
-/// Between two pre-votes as long as no leader was heard in this life, in
-/// election timeouts, and how many of them may follow each other so soon.
-const TIMEOUTS_BETWEEN_PRE_VOTES_AT_START: Range<f64> = 0.2..0.4;
-const MAX_QUICK_PRE_VOTES: u32 = 50;
-/// How long a voter that starts waits for the candidate that it voted for, in
-/// election timeouts.
-const TIMEOUTS_FOR_CANDIDATE_AT_START: Range<f64> = 0.4..0.8;
+const ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 1.0..2.0;
+/// Interval between pre-votes of a startup election, in election timeouts.
+const STARTUP_PRE_VOTE_INTERVAL_IN_TIMEOUTS: Range<f64> = 0.2..0.4;
+/// Number of pre-votes after which the ordinary election delay applies.
+const MAX_STARTUP_PRE_VOTES: u32 = 50;
+/// How long a voter waits for the candidate that it voted for in a startup
+/// election, in election timeouts.
+const STARTUP_ELECTION_DELAY_IN_TIMEOUTS: Range<f64> = 0.4..0.8;
 
-/// State of the part that the replica plays.
+/// The replica's role and the state that belongs to it.
 #[derive(Debug)]
-pub(super) enum Part {
+pub(super) enum RoleState {
     Follower,
     PreCandidate {
         /// Voters that would grant their vote.
@@ -94,7 +94,7 @@
 }
 
 impl Replica {
-    /// Starts a replica from what was read back from disk.
+    /// Starts a replica from the state read back from disk.
     pub fn new(now: Timestamp, settings: ReplicaSettings, start: ReplicaStart) -> Replica {
         let id = ReplicaId {
             node: start.id,
@@ -137,21 +137,21 @@
             memberships,
             commit_index: base.index,
             applied_index: base.index,
-            part: Part::Follower,
+            role_state: RoleState::Follower,
             leader: None,
             last_leader_contact: (!settings.elects_at_start).then_some(now),
             election_deadline: now,
             pre_votes: 0,
-            start_of_group: StartOfGroup::default(),
+            startup_election: StartupElection::default(),
             lost_election: None,
-            ask_again_at: now,
+            vote_retry_at: now,
             join_deadline: now,
             configured_peers,
             assembly: None,
             pending_restore: None,
             writes,
             own_proposals: BTreeMap::new(),
-            snapshot_wanted_at: base.index,
+            snapshot_requested_at: base.index,
             outputs: VecDeque::new(),
             settings,
         };
@@ -161,7 +161,7 @@
         replica
     }
 
-    /// Handles a message from the replica on `from`.
+    /// Handles a message from the replica on node `from`.
     pub fn handle_message(&mut self, now: Timestamp, from: NodeId, message: ConsensusMessage) {
         self.observe_clock(now);
         if from == self.id.node || !self.is_addressed(&message) {
@@ -203,14 +203,14 @@
         }
     }
 
-    /// Does what has become due. Call it when [`Replica::poll_timeout`] is
-    /// reached; earlier calls do no harm.
+    /// Runs the timers that have expired. Call it when the time that
+    /// [`Replica::poll_timeout`] returned is reached; earlier calls are harmless.
     pub fn handle_timeout(&mut self, now: Timestamp) {
         self.observe_clock(now);
         if self.heartbeat_is_due() {
             self.send_heartbeats();
         }
-        self.stand_if_due();
+        self.start_election_if_due();
         if self.election_is_due() {
             self.start_pre_vote();
         }
@@ -221,8 +221,8 @@
         }
     }
 
-    /// Notes that everything asked for by [`ReplicaOutput::Persist`] up to
-    /// this ticket is synced to disk.
+    /// Notes that all [`ReplicaOutput::Persist`] requests up to this ticket are
+    /// synced to disk.
     pub fn handle_persisted(&mut self, now: Timestamp, ticket: PersistTicket) {
         self.observe_clock(now);
         let released = self.writes.complete(ticket);
@@ -234,8 +234,8 @@
         self.continue_transfer();
     }
 
-    /// Returns the next thing to do. Messages with entries and disk writes are
-    /// made here, so that inputs handled together share them.
+    /// Returns the next output. Messages with entries and disk writes are
+    /// created here, so that inputs handled together are batched into one.
     pub fn poll_output(&mut self) -> Option<ReplicaOutput> {
         self.announce_role();
         if self.outputs.is_empty() {
@@ -245,9 +245,9 @@
         self.outputs.pop_front()
     }
 
-    /// Returns when [`Replica::handle_timeout`] is wanted.
+    /// Returns when [`Replica::handle_timeout`] must be called next.
     pub fn poll_timeout(&self) -> Option<Timestamp> {
-        if let Part::Leader(leadership) = &self.part {
+        if let RoleState::Leader(leadership) = &self.role_state {
             if self.settings.mutations.skip_quorum_check {
                 return Some(leadership.next_heartbeat);
             }
@@ -258,22 +258,23 @@
             ];
             return candidates.into_iter().flatten().min();
         }
-        if matches!(self.part, Part::Candidate { .. }) {
-            return Some(self.election_deadline.min(self.ask_again_at));
+        if matches!(self.role_state, RoleState::Candidate { .. }) {
+            return Some(self.election_deadline.min(self.vote_retry_at));
         }
         if self.may_campaign() {
-            let stands_at = self.candidacy_at();
-            return stands_at.or(Some(self.election_deadline));
+            let candidacy_due_at = self.candidacy_due_at();
+            return candidacy_due_at.or(Some(self.election_deadline));
         }
         Some(self.join_deadline)
     }
 
-    /// Takes the time of an input. A leader first finds out whether its
-    /// quorum has been silent for too long by its own clock, for example
-    /// because the process was frozen, before it does anything else.
+    /// Advances the clock to the time of an input. A leader first checks
+    /// whether its quorum has been silent for too long by its own clock, for
+    /// example after a process pause, and steps down before it handles the
+    /// input.
     pub(super) fn observe_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return;
         };
         let lost_quorum = self.now >= self.step_down_deadline(leadership);
@@ -288,9 +289,9 @@
         if term <= self.hard_state.term {
             return;
         }
-        self.lose_election(ElectionLoss::HigherTerm);
+        self.end_candidacy(ElectionLoss::HigherTerm);
         self.report_lost_election();
-        self.forget_own_vote();
+        self.stop_deferring_to_candidate();
         self.hard_state = HardState {
             term,
             voted_for: None,
@@ -302,8 +303,8 @@
 
     pub(super) fn become_follower(&mut self) {
         self.reset_candidacy();
-        let former = std::mem::replace(&mut self.part, Part::Follower);
-        if let Part::Leader(leadership) = former {
+        let previous = std::mem::replace(&mut self.role_state, RoleState::Follower);
+        if let RoleState::Leader(leadership) = previous {
             for read in leadership.reads {
                 self.emit(ReplicaOutput::ReadLost { token: read.token });
             }
@@ -315,34 +316,35 @@
         self.outputs.push_back(output);
     }
 
-    /// A random time at which this replica stops waiting for a leader.
+    /// Draws a random time at which this replica stops waiting for a leader.
     pub(super) fn random_deadline(&mut self) -> Timestamp {
-        self.deadline_after(match self.is_starting() {
-            true => TIMEOUTS_FOR_CANDIDATE_AT_START,
-            false => TIMEOUTS_WITHOUT_LEADER,
+        self.deadline_after(match self.in_startup_election() {
+            true => STARTUP_ELECTION_DELAY_IN_TIMEOUTS,
+            false => ELECTION_DELAY_IN_TIMEOUTS,
         })
     }
 
-    /// At the start there is no leader to wait for, unless it was heard before.
+    /// Starts the first election at once in a startup election, where there is
+    /// no leader to wait for.
     fn reset_first_election_timer(&mut self) {
-        match self.is_starting() {
+        match self.in_startup_election() {
             true => self.election_deadline = self.now,
             false => self.reset_election_timer(),
         }
     }
 
-    /// A replica that starts asks again soon: others of its quorum may start a
-    /// little later.
+    /// Sets the time of the next pre-vote. In a startup election it follows
+    /// soon, because other voters of the quorum may start a little later.
     pub(super) fn reset_pre_vote_timer(&mut self) {
         self.pre_votes += 1;
-        let timeouts = match self.is_starting() && self.pre_votes <= MAX_QUICK_PRE_VOTES {
-            true => TIMEOUTS_BETWEEN_PRE_VOTES_AT_START,
-            false => TIMEOUTS_WITHOUT_LEADER,
+        let timeouts = match self.in_startup_election() && self.pre_votes <= MAX_STARTUP_PRE_VOTES {
+            true => STARTUP_PRE_VOTE_INTERVAL_IN_TIMEOUTS,
+            false => ELECTION_DELAY_IN_TIMEOUTS,
         };
         self.election_deadline = self.deadline_after(timeouts);
     }
 
-    /// A random time, in election timeouts from now.
+    /// Draws a random time in this range of election timeouts from now.
     fn deadline_after(&mut self, timeouts: Range<f64>) -> Timestamp {
         let factor = self.random.random_range(timeouts);
         self.now + self.settings.election_timeout.mul_f64(factor)
--- a/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
+++ b/crates/petrellatch-core/src/consensus/snapshot_transfer.rs
@@ -11,11 +11,12 @@
 use super::follower::Echo;
 use super::membership::ReplicaId;
 use super::progress::ReplicationState;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 use super::snapshot_assembly::{SnapshotAssembly, digest};
 
 impl Replica {
-    /// Lets `peer` have the newest snapshot instead of compacted entries.
+    /// Starts to send the newest snapshot to `peer`, in place of compacted
+    /// entries.
     pub(super) fn start_snapshot(&mut self, peer: NodeId) {
         let Some(snapshot) = self.snapshot.clone() else {
             return;
@@ -26,11 +27,11 @@
         }
     }
 
-    /// Sends the chunk that `peer` needs, unless its answer is awaited.
+    /// Sends the next chunk to `peer`, unless a response is still awaited.
     pub(super) fn send_snapshot_chunk(&mut self, peer: NodeId) {
         let chunk_bytes = self.settings.chunk_limit_bytes();
         let sent_at_micros = self.now.as_micros();
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return;
         };
         let round = leadership.round;
@@ -72,7 +73,7 @@
             round: chunk.round,
             sent_at_micros: chunk.sent_at_micros,
         };
-        if !self.follow(sender, term, echo) {
+        if !self.accept_leader(sender, term, echo) {
             return;
         }
         if chunk.index <= self.commit_index {
@@ -103,7 +104,7 @@
         term: Term,
         response: &SnapshotChunkResponse,
     ) {
-        if !self.counts(sender) {
+        if !self.is_current_member(sender) {
             return;
         }
         self.observe_term(term);
@@ -122,10 +123,11 @@
             transfer.offset = response.next_offset;
             transfer.sent = false;
         }
-        self.answer_reads();
+        self.complete_reads();
     }
 
-    /// The assembly to which `chunk` belongs, started anew if need be.
+    /// Returns the assembly that `chunk` belongs to, or starts a new one. `None`
+    /// if the chunk is malformed.
     fn assembly_for(&mut self, chunk: &SnapshotChunk) -> Option<SnapshotAssembly> {
         match self.assembly.take() {
             Some(assembly) if assembly.matches(chunk) => Some(assembly),
--- a/crates/petrellatch-core/src/consensus/status.rs
+++ b/crates/petrellatch-core/src/consensus/status.rs
@@ -1,11 +1,11 @@
-//! What a replica tells about itself.
+//! Read access to the state of a replica.
 
 use crate::identity::NodeId;
 
 use super::entry::{LogIndex, LogPosition, Term};
 use super::membership::{Membership, ReplicaId};
 use super::output::{NotLeader, PeerProgress, Role};
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
     /// The replica's identity.
@@ -13,13 +13,13 @@
         self.id
     }
 
-    /// The part that the replica plays.
+    /// The replica's current role.
     pub fn role(&self) -> Role {
-        match self.part {
-            Part::Follower => Role::Follower,
-            Part::PreCandidate { .. } => Role::PreCandidate,
-            Part::Candidate { .. } => Role::Candidate,
-            Part::Leader(_) => Role::Leader,
+        match self.role_state {
+            RoleState::Follower => Role::Follower,
+            RoleState::PreCandidate { .. } => Role::PreCandidate,
+            RoleState::Candidate { .. } => Role::Candidate,
+            RoleState::Leader(_) => Role::Leader,
         }
     }
 
@@ -28,23 +28,23 @@
         self.hard_state.term
     }
 
-    /// The leader of the current term, if it is known. It may have been
-    /// replaced already.
+    /// The leader of the current term, if known. It may already have been
+    /// replaced.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The last entry that was handed out for application.
+    /// Index of the last entry that was emitted to the application.
     pub fn applied_index(&self) -> LogIndex {
         self.applied_index
     }
 
-    /// The last entry of the log, committed or not.
+    /// Position of the last entry of the log, committed or not.
     pub fn last_position(&self) -> LogPosition {
         self.log.last_position()
     }
@@ -54,25 +54,31 @@
         self.memberships.current()
     }
 
-    /// Index of the entry that set the membership in effect; it only grows.
+    /// Index of the entry that set the membership in effect. Increases with every
+    /// committed change.
     pub fn membership_index(&self) -> LogIndex {
         self.memberships.current_index()
     }
 
-    /// What this leader knows of the other members; empty if it doesn't lead.
+    /// Replication progress of the other members; empty unless this replica
+    /// leads.
     pub fn peer_progress(&self) -> Vec<PeerProgress> {
-        match &self.part {
-            Part::Leader(leadership) => leadership.peer_progress(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => Vec::new(),
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.peer_progress(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                Vec::new()
+            }
         }
     }
 
-    /// Replicas of nodes that are no members and announced themselves to this
-    /// leader. An operator may add them.
+    /// Replicas that announced themselves to this leader and whose nodes aren't
+    /// members. An operator may add them.
     pub fn waiting_replicas(&self) -> Vec<ReplicaId> {
-        match &self.part {
-            Part::Leader(leadership) => leadership.waiting_replicas(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => Vec::new(),
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.waiting_replicas(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                Vec::new()
+            }
         }
     }
 
--- a/crates/petrellatch-core/src/consensus/transfer.rs
+++ b/crates/petrellatch-core/src/consensus/transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership that is handed over before a planned stop.
+//! Leadership transfer before a planned stop.
 
 use petrellatch_proto::consensus::{ConsensusBody, TransferRequest};
 
@@ -6,22 +6,27 @@
 
 use super::membership::ReplicaId;
 use super::output::NotLeader;
-use super::replica::{Part, Replica};
+use super::replica::{Replica, RoleState};
 
 impl Replica {
-    /// Hands leadership to the voter that has the whole log, as soon as there
-    /// is one and everything proposed is committed. Until then proposals are
-    /// refused. If that takes longer than an election timeout this replica
-    /// goes on leading.
+    /// Transfers leadership to a voter that has the complete log, as soon as
+    /// there is one and all proposals are applied. Until then proposals are
+    /// refused. If that takes longer than an election timeout, the transfer is
+    /// abandoned and this replica remains the leader.
     ///
-    /// The leader steps down before it asks the other one to take over. So it
-    /// is sure of its quorum no more when the other one is elected, although
-    /// the voters don't wait until they have missed it.
+    /// The leader steps down before it requests the target to start an
+    /// election. It therefore no longer relies on its quorum when the target is
+    /// elected, although the voters grant their votes without waiting for the
+    /// election timeout.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this replica isn't the leader.
     pub fn transfer_leadership(&mut self, now: Timestamp) -> Result<(), NotLeader> {
         self.observe_clock(now);
         let refusal = self.not_leader();
         let deadline = self.now + self.settings.election_timeout;
-        let Part::Leader(leadership) = &mut self.part else {
+        let RoleState::Leader(leadership) = &mut self.role_state else {
             return Err(refusal);
         };
         leadership.transfer_deadline = Some(deadline);
@@ -29,46 +34,48 @@
         Ok(())
     }
 
-    /// Stops leading without a successor, for example because the own disk
-    /// does not answer. The other voters elect one of them once they miss the
-    /// heartbeats.
+    /// Steps down without a successor, for example because the disk of this
+    /// replica doesn't respond. The other voters elect a leader once their
+    /// election timeouts expire.
     pub fn resign(&mut self, now: Timestamp) {
         self.observe_clock(now);
-        if matches!(self.part, Part::Leader(_)) {
+        if matches!(self.role_state, RoleState::Leader(_)) {
             self.become_follower();
             self.leader = None;
         }
     }
 
-    /// Whether this leader waits for somebody to hand over to.
+    /// Whether this leader waits for a voter that is ready for a transfer.
     pub fn is_transferring(&self) -> bool {
-        match &self.part {
-            Part::Leader(leadership) => leadership.transfer_deadline.is_some(),
-            Part::Follower | Part::PreCandidate { .. } | Part::Candidate { .. } => false,
+        match &self.role_state {
+            RoleState::Leader(leadership) => leadership.transfer_deadline.is_some(),
+            RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
+                false
+            }
         }
     }
 
-    /// Hands over if somebody is ready to take over, or gives up.
+    /// Completes a transfer if a voter is ready, or abandons it at its deadline.
     pub(super) fn continue_transfer(&mut self) {
         if !self.is_transferring() {
             return;
         }
-        if let Some(successor) = self.ready_successor() {
-            self.hand_over_to(successor);
-        } else if let Part::Leader(leadership) = &mut self.part {
-            let is_over = leadership
+        if let Some(successor) = self.transfer_target() {
+            self.transfer_to(successor);
+        } else if let RoleState::Leader(leadership) = &mut self.role_state {
+            let has_expired = leadership
                 .transfer_deadline
                 .is_some_and(|at| at <= self.now);
-            if is_over {
+            if has_expired {
                 leadership.transfer_deadline = None;
             }
         }
     }
 
-    /// The voter that has the whole log and answered last.
-    fn ready_successor(&self) -> Option<ReplicaId> {
+    /// The voter that has the complete log and responded most recently.
+    fn transfer_target(&self) -> Option<ReplicaId> {
         let last_index = self.log.last_index();
-        let Part::Leader(leadership) = &self.part else {
+        let RoleState::Leader(leadership) = &self.role_state else {
             return None;
         };
         if self.applied_index < last_index {
@@ -82,10 +89,10 @@
             .map(|peer| peer.replica)
     }
 
-    fn hand_over_to(&mut self, successor: ReplicaId) {
+    fn transfer_to(&mut self, successor: ReplicaId) {
         if !self.settings.mutations.lead_on_after_transfer {
             self.become_follower();
-        } else if let Part::Leader(leadership) = &mut self.part {
+        } else if let RoleState::Leader(leadership) = &mut self.role_state {
             leadership.transfer_deadline = None;
         }
         self.leader = Some(successor.node);
@@ -93,12 +100,12 @@
         self.send(successor, ConsensusBody::TransferRequest(request));
     }
 
-    /// The leader asks this replica to take over. A request of an earlier
-    /// term, or of somebody who does not lead, has no effect.
+    /// Starts an election on request of the leader. A request of an earlier
+    /// term, or of a replica that isn't the leader, has no effect.
     pub(super) fn handle_transfer_request(&mut self, sender: ReplicaId, term: u64) {
-        let is_follower = matches!(self.part, Part::Follower);
+        let is_follower = matches!(self.role_state, RoleState::Follower);
         let from_leader = self.leader == Some(sender.node) && term == self.hard_state.term;
-        if is_follower && from_leader && self.counts(sender) && self.may_campaign() {
+        if is_follower && from_leader && self.is_current_member(sender) && self.may_campaign() {
             self.start_election(true);
             self.leader = None;
         }
--- a/crates/petrellatch-core/tests/consensus/checker.rs
+++ b/crates/petrellatch-core/tests/consensus/checker.rs
@@ -1,27 +1,27 @@
-//! Checks of the log's guarantees, fed with what every replica does.
+//! Checks the guarantees of the log against the observed actions of all replicas.
 
 use std::collections::BTreeMap;
 
 use petrellatch_core::consensus::{LogIndex, ReplicaId, Term};
 use petrellatch_core::identity::NodeId;
 
-/// One applied command: its index and its value.
+/// Index and value of an applied command.
 pub type Applied = (LogIndex, u64);
 
-/// A broken guarantee.
+/// A violated guarantee.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// Two replicas led in one term.
+    /// Two replicas were leader in the same term.
     TwoLeaders(Term),
-    /// Two replicas were sure of their quorum at one moment.
+    /// Two replicas reported at the same time to be leader with a quorum.
     TwoQuorumLeaders,
-    /// A replica voted for two candidates in one term.
+    /// A replica voted for two candidates in the same term.
     DoubleVote(Term),
-    /// Two replicas applied different commands at one index.
+    /// Two replicas applied different commands at the same index.
     CommittedChanged(LogIndex),
-    /// A replica left out or repeated a committed command.
+    /// A replica skipped or repeated a committed command.
     OutOfOrder(NodeId, LogIndex),
-    /// A read didn't see what was applied before it was requested.
+    /// A read missed a command that was applied before the read was requested.
     StaleRead(u64),
 }
 
@@ -30,7 +30,7 @@
     leaders: BTreeMap<Term, ReplicaId>,
     votes: BTreeMap<(ReplicaId, Term), NodeId>,
     committed: BTreeMap<LogIndex, u64>,
-    read_floors: BTreeMap<u64, LogIndex>,
+    min_read_indices: BTreeMap<u64, LogIndex>,
     pub reads_answered: u64,
     pub snapshots_restored: u64,
     pub violations: Vec<Violation>,
@@ -89,14 +89,14 @@
 
     pub fn read_requested(&mut self, token: u64) {
         let newest = self.committed.last_key_value();
-        let floor = newest.map_or(0, |(index, _)| *index);
-        self.read_floors.insert(token, floor);
+        let min_index = newest.map_or(0, |(index, _)| *index);
+        self.min_read_indices.insert(token, min_index);
     }
 
     pub fn read_answered(&mut self, token: u64, state: &[Applied]) {
         self.reads_answered += 1;
         let seen = state.last().map_or(0, |applied| applied.0);
-        if seen < self.read_floors[&token] {
+        if seen < self.min_read_indices[&token] {
             self.violations.push(Violation::StaleRead(token));
         }
     }
--- a/crates/petrellatch-core/tests/consensus/cluster.rs
+++ b/crates/petrellatch-core/tests/consensus/cluster.rs
@@ -1,4 +1,5 @@
-//! A group of replicas on a virtual clock, with a faulty network and disks.
+//! Simulated group of replicas on a virtual clock, with a faulty network and
+//! disks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::RangeInclusive;
@@ -23,8 +24,8 @@
 #[derive(Clone, Debug)]
 struct Event {
     node: NodeId,
-    /// Life of the node that the event is meant for; `None` for any.
-    life: Option<u64>,
+    /// Process run that the event is addressed to; `None` for any.
+    run_id: Option<u64>,
     input: Input,
 }
 
@@ -32,12 +33,14 @@
     pub loss_percent: u32,
     pub duplicate_percent: u32,
     pub max_delay_micros: u64,
-    /// Number of zones over which the nodes are spread; one for none.
+    /// Number of zones over which the nodes are distributed. One means that all
+    /// nodes are in the same zone.
     pub zones: u64,
-    /// Shortest delay between two zones. Within a zone it is the shortest of all.
+    /// Minimum delay between two zones. Within a zone it is
+    /// [`MIN_DELAY_MICROS`].
     pub zone_delay_micros: u64,
-    /// Directions in which nothing gets through.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    /// Pairs of sender and receiver between which all messages are dropped.
+    pub blocked: BTreeSet<(NodeId, NodeId)>,
 }
 
 pub struct Cluster {
@@ -74,16 +77,17 @@
 impl Network {
     fn delays_micros(&self, from: NodeId, to: NodeId) -> RangeInclusive<u64> {
         let same_zone = from.0 % self.zones == to.0 % self.zones;
-        let least = match same_zone {
+        let min_delay = match same_zone {
             true => MIN_DELAY_MICROS,
             false => self.zone_delay_micros,
         };
-        least..=least - MIN_DELAY_MICROS + self.max_delay_micros
+        min_delay..=min_delay - MIN_DELAY_MICROS + self.max_delay_micros
     }
 }
 
 impl Cluster {
-    /// Starts a group of `voters` voters and `learners` nodes outside it.
+    /// Starts a group of `voters` voters, and `learners` nodes that aren't
+    /// members yet.
     pub fn start(seed: u64, voters: u64, learners: u64, settings: &ReplicaSettings) -> Cluster {
         let bootstrap = Membership::of_voters((1..=voters).map(replica_id));
         let mut cluster = Cluster::empty(seed);
@@ -94,8 +98,8 @@
         cluster
     }
 
-    /// A group of voters without power, with nothing on their disks yet.
-    pub fn without_power(seed: u64, voters: u64, settings: &ReplicaSettings) -> Cluster {
+    /// Creates a group of stopped voters with empty disks.
+    pub fn stopped(seed: u64, voters: u64, settings: &ReplicaSettings) -> Cluster {
         let bootstrap = Membership::of_voters((1..=voters).map(replica_id));
         let mut cluster = Cluster::empty(seed);
         for node in 1..=voters {
@@ -114,7 +118,7 @@
                 max_delay_micros: 2_000,
                 zones: 1,
                 zone_delay_micros: MIN_DELAY_MICROS,
-                cut: BTreeSet::new(),
+                blocked: BTreeSet::new(),
             },
             sync_micros: 1_000,
             checker: Checker::default(),
@@ -134,9 +138,9 @@
             replica: None,
             disk: PersistentState::default(),
             unsynced: None,
-            life: 0,
-            frozen: false,
-            waiting: Vec::new(),
+            run_id: 0,
+            paused: false,
+            queued_inputs: Vec::new(),
             state: Vec::new(),
             clock_per_mille: self.random.random_range(980..=1020),
         };
@@ -152,10 +156,10 @@
         replica.expect("the process runs")
     }
 
-    /// Live nodes that think that they lead, the newest term last.
+    /// Running nodes in the leader role, ordered by term.
     pub fn leaders(&self) -> Vec<NodeId> {
         let term_if_leader = |(node, state): (&NodeId, &Node)| {
-            let replica = state.replica.as_ref().filter(|_| !state.frozen)?;
+            let replica = state.replica.as_ref().filter(|_| !state.paused)?;
             (replica.role() == Role::Leader).then_some((replica.term(), *node))
         };
         let mut leaders: Vec<_> = self.nodes.iter().filter_map(term_if_leader).collect();
@@ -163,7 +167,8 @@
         leaders.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// The membership of the newest leader, if it is committed there.
+    /// The membership of the leader with the highest term, if that leader's
+    /// log is fully committed.
     pub fn committed_membership(&self) -> Option<&Membership> {
         let replica = self.replica(self.leader()?);
         let all_committed = replica.commit_index() == replica.last_position().index;
@@ -178,14 +183,15 @@
         let seed = self.random.random();
         let now = self.now;
         self.node(node).start(now, seed);
-        self.drain(node);
+        self.process_outputs(node);
     }
 
     pub fn crash(&mut self, node: NodeId) {
         self.node(node).crash();
     }
 
-    /// Ends the process, takes its disk away and starts it on an empty one.
+    /// Crashes the process and restarts it with an empty disk and a new
+    /// incarnation.
     pub fn lose_disk(&mut self, node: NodeId) {
         self.crash(node);
         self.next_incarnation += 1;
@@ -196,42 +202,42 @@
         self.restart(node);
     }
 
-    pub fn thaw(&mut self, node: NodeId) {
+    pub fn resume(&mut self, node: NodeId) {
         let now = self.now;
         let state = self.node(node);
-        state.frozen = false;
-        for input in std::mem::take(&mut state.waiting) {
+        state.paused = false;
+        for input in std::mem::take(&mut state.queued_inputs) {
             self.node(node).handle(now, input);
-            self.drain(node);
+            self.process_outputs(node);
         }
     }
 
-    /// Cuts these nodes off from all others, in both directions.
+    /// Partitions these nodes from all others, in both directions.
     pub fn isolate(&mut self, nodes: &[NodeId]) {
         let all: Vec<NodeId> = self.nodes.keys().copied().collect();
         for inside in nodes {
             for outside in all.iter().filter(|node| !nodes.contains(node)) {
-                self.network.cut.insert((*inside, *outside));
-                self.network.cut.insert((*outside, *inside));
+                self.network.blocked.insert((*inside, *outside));
+                self.network.blocked.insert((*outside, *inside));
             }
         }
     }
 
     pub fn heal(&mut self) {
-        self.network.cut.clear();
+        self.network.blocked.clear();
     }
 
     /// Calls the running replica of `node` with its local time.
     pub fn call<T>(&mut self, node: NodeId, call: impl FnOnce(&mut Replica, Timestamp) -> T) -> T {
         let now = self.now;
         let state = self.node(node);
-        let local = state.local(now);
+        let local = state.local_time(now);
         let result = call(state.replica.as_mut().expect("the process runs"), local);
-        self.drain(node);
+        self.process_outputs(node);
         result
     }
 
-    /// Proposes a fresh value at `node` and returns it if that leads.
+    /// Proposes a new value at `node`. Returns the value if it was accepted.
     pub fn propose(&mut self, node: NodeId) -> Option<u64> {
         let value = self.next_value;
         self.next_value += 1;
@@ -244,7 +250,7 @@
         let token = self.next_value;
         self.next_value += 1;
         self.checker.read_requested(token);
-        // A refusal is as good as no answer here.
+        // A refused read is treated like a read without a response.
         let _refused = self.call(node, |replica, now| replica.request_read(now, token));
     }
 
@@ -254,7 +260,7 @@
         self.now = end;
     }
 
-    /// Runs as long as `condition` holds, up to `end`.
+    /// Runs as long as `condition` is true, at most until `end`.
     pub fn run_while(&mut self, end: Timestamp, condition: impl Fn(&Cluster) -> bool) {
         while condition(self) {
             if !self.step(end) {
@@ -264,21 +270,22 @@
         }
     }
 
-    /// Runs until `condition` holds. Panics if it doesn't within 20 seconds.
+    /// Runs until `condition` is true. Panics after 20 seconds of virtual time.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Cluster) -> bool) {
         let end = self.now + Duration::from_secs(20);
         while !condition(self) {
-            assert!(self.step(end), "not reached: {what}");
+            assert!(self.step(end), "timed out waiting for {what}");
         }
     }
 
     pub fn inject(&mut self, from: NodeId, to: NodeId, message: ConsensusMessage) {
         let now = self.now;
         self.node(to).handle(now, Input::Message(from, message));
-        self.drain(to);
+        self.process_outputs(to);
     }
 
-    /// Handles the next event or timeout up to `end`.
+    /// Handles the next event or timeout until `end`. Returns whether there was
+    /// one.
     fn step(&mut self, end: Timestamp) -> bool {
         let event = self.events.first_key_value().map(|(key, _)| key.0);
         let timeouts = self.nodes.iter();
@@ -296,7 +303,7 @@
             }
             _ => self.handle_event(),
         };
-        self.drain(node);
+        self.process_outputs(node);
         self.check_quorum_leaders();
         true
     }
@@ -305,7 +312,7 @@
         let (_, event) = self.events.pop_first().expect("an event is due");
         let now = self.now;
         let state = self.node(event.node);
-        if event.life.is_some_and(|life| life != state.life) {
+        if event.run_id.is_some_and(|run_id| run_id != state.run_id) {
             return event.node;
         }
         if let Input::Persisted(_) = event.input
@@ -318,28 +325,28 @@
     }
 
     fn check_quorum_leaders(&mut self) {
-        let is_sure = |node: &&Node| {
+        let has_quorum = |node: &&Node| {
             let replica = node.replica.as_ref();
-            replica.is_some_and(|replica| replica.is_leader_with_quorum(node.local(self.now)))
+            replica.is_some_and(|replica| replica.is_leader_with_quorum(node.local_time(self.now)))
         };
-        let count = self.nodes.values().filter(is_sure).count();
+        let count = self.nodes.values().filter(has_quorum).count();
         self.checker.quorum_leaders(count);
     }
 
-    fn drain(&mut self, node: NodeId) {
+    fn process_outputs(&mut self, node: NodeId) {
         loop {
             let state = self.node(node);
-            let Some(replica) = state.replica.as_mut().filter(|_| !state.frozen) else {
+            let Some(replica) = state.replica.as_mut().filter(|_| !state.paused) else {
                 return;
             };
             let Some(output) = replica.poll_output() else {
                 return;
             };
-            self.carry_out(node, output);
+            self.handle_output(node, output);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, output: ReplicaOutput) {
+    fn handle_output(&mut self, node: NodeId, output: ReplicaOutput) {
         let id = self.nodes[&node].id;
         match output {
             ReplicaOutput::Send { to, message } => self.send(id, to, message),
@@ -378,8 +385,8 @@
         let state = self.node(node);
         assert!(state.unsynced.is_none(), "one write at a time");
         state.unsynced = Some(request);
-        let life = Some(state.life);
-        self.schedule(node, life, delay, Input::Persisted(ticket));
+        let run_id = Some(state.run_id);
+        self.schedule(node, run_id, delay, Input::Persisted(ticket));
     }
 
     fn send(&mut self, from: ReplicaId, to: NodeId, message: ConsensusMessage) {
@@ -389,8 +396,8 @@
         {
             self.checker.vote_granted(from, message.term, to);
         }
-        let cut = self.network.cut.contains(&(from.node, to));
-        if cut || !self.nodes.contains_key(&to) {
+        let blocked = self.network.blocked.contains(&(from.node, to));
+        if blocked || !self.nodes.contains_key(&to) {
             return;
         }
         let mut copies = 1;
@@ -408,10 +415,14 @@
         }
     }
 
-    fn schedule(&mut self, node: NodeId, life: Option<u64>, delay_micros: u64, input: Input) {
+    fn schedule(&mut self, node: NodeId, run_id: Option<u64>, delay_micros: u64, input: Input) {
         let at = self.now + Duration::from_micros(delay_micros);
         self.next_event += 1;
-        let event = Event { node, life, input };
+        let event = Event {
+            node,
+            run_id,
+            input,
+        };
         self.events.insert((at, self.next_event), event);
     }
 }
--- a/crates/petrellatch-core/tests/consensus/node.rs
+++ b/crates/petrellatch-core/tests/consensus/node.rs
@@ -1,4 +1,4 @@
-//! One replica with its simulated disk, clock and application.
+//! Simulated node: a replica with its disk, clock and application.
 
 use petrellatch_core::Timestamp;
 use petrellatch_core::consensus::{
@@ -10,7 +10,7 @@
 
 use crate::checker::Applied;
 
-/// An input that a frozen process gets when it goes on.
+/// An input of a process. Inputs of a paused process are queued until it resumes.
 #[derive(Clone, Debug)]
 pub enum Input {
     Message(NodeId, ConsensusMessage),
@@ -24,33 +24,34 @@
     /// `None` while the process is down.
     pub replica: Option<Replica>,
     pub disk: PersistentState,
-    /// Handed to the disk but not synced.
+    /// The write that is passed to the disk but not synced yet.
     pub unsynced: Option<PersistRequest>,
-    /// Number of starts; events of an earlier life are void.
-    pub life: u64,
-    pub frozen: bool,
-    pub waiting: Vec<Input>,
+    /// Incremented at every start and crash. Events of an earlier run are
+    /// dropped.
+    pub run_id: u64,
+    pub paused: bool,
+    pub queued_inputs: Vec<Input>,
     pub state: Vec<Applied>,
-    /// Rate of this node's clock in thousandths of the true rate.
+    /// Rate of this node's clock, in thousandths of the virtual clock's rate.
     pub clock_per_mille: u64,
 }
 
 impl Node {
-    /// The node's clock at the true time `now`.
-    pub fn local(&self, now: Timestamp) -> Timestamp {
+    /// The node's clock at the virtual time `now`.
+    pub fn local_time(&self, now: Timestamp) -> Timestamp {
         Timestamp::from_micros(now.as_micros() * self.clock_per_mille / 1000)
     }
 
-    /// The true time at which the node's clock shows at least `local`.
-    pub fn global(&self, local: Timestamp) -> Timestamp {
+    /// The virtual time at which the node's clock reaches `local`.
+    pub fn virtual_time(&self, local: Timestamp) -> Timestamp {
         let micros = (local.as_micros() * 1000).div_ceil(self.clock_per_mille);
         Timestamp::from_micros(micros)
     }
 
     pub fn start(&mut self, now: Timestamp, seed: u64) {
-        self.life += 1;
+        self.run_id += 1;
         self.state.clear();
-        self.frozen = false;
+        self.paused = false;
         let start = ReplicaStart {
             id: self.id.node,
             incarnation: self.id.incarnation,
@@ -58,25 +59,25 @@
             persisted: self.disk.clone(),
             bootstrap: self.bootstrap.clone(),
         };
-        let now = self.local(now);
+        let now = self.local_time(now);
         self.replica = Some(Replica::new(now, self.settings.clone(), start));
     }
 
-    /// Ends the process. What isn't synced is lost.
+    /// Ends the process. Writes that aren't synced are lost.
     pub fn crash(&mut self) {
         self.replica = None;
         self.unsynced = None;
-        self.waiting.clear();
-        self.life += 1;
+        self.queued_inputs.clear();
+        self.run_id += 1;
     }
 
     pub fn handle(&mut self, now: Timestamp, input: Input) {
-        let local = self.local(now);
+        let local = self.local_time(now);
         let Some(replica) = &mut self.replica else {
             return;
         };
-        if self.frozen {
-            self.waiting.push(input);
+        if self.paused {
+            self.queued_inputs.push(input);
             return;
         }
         match input {
@@ -85,10 +86,10 @@
         }
     }
 
-    /// When the replica wants to be called, in true time.
+    /// Virtual time of the replica's next timeout.
     pub fn next_timeout(&self) -> Option<Timestamp> {
-        let replica = self.replica.as_ref().filter(|_| !self.frozen)?;
-        Some(self.global(replica.poll_timeout()?))
+        let replica = self.replica.as_ref().filter(|_| !self.paused)?;
+        Some(self.virtual_time(replica.poll_timeout()?))
     }
 
     pub fn encoded_state(&self) -> Vec<u8> {
