--- a/crates/petrellatch-proto/src/admission.rs
+++ b/crates/petrellatch-proto/src/admission.rs
@@ -2,60 +2,62 @@
 
 use crate::endpoint::Endpoint;
 
-/// A flow of a service and the agent that has it.
+/// A flow of a service and the agent that serves it.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct FlowEntry {
     /// The caller's address.
     #[prost(message, required, tag = "1")]
     pub source: Endpoint,
-    /// The agent that has the flow; zero stands for the sender.
+    /// Node of the agent that serves the flow; zero stands for the sender.
     #[prost(fixed64, tag = "2")]
     pub holder: u64,
-    /// The life of that agent.
+    /// Incarnation of that agent.
     #[prost(fixed64, tag = "3")]
     pub holder_incarnation: u64,
 }
 
-/// Says that the sender has applied `generation`, admits no flow in any bucket
-/// that the generation gives to the recipient, and knows of these flows in
-/// them. It is complete when all its parts have arrived.
+/// Hands buckets over to their new owner. The sender has applied `generation`,
+/// no longer admits flows in the buckets that the generation assigns to the
+/// recipient, and lists the open flows in these buckets that it has a record
+/// of. The report is complete when all its parts have arrived.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowReport {
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The generation.
+    /// The placement generation.
     #[prost(uint64, tag = "2")]
     pub generation: u64,
-    /// The number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "3")]
     pub part: u32,
-    /// How many parts there are, at least one.
+    /// Number of parts, at least one.
     #[prost(uint32, tag = "4")]
     pub parts: u32,
     /// The flows of this part.
     #[prost(message, repeated, tag = "5")]
     pub flows: Vec<FlowEntry>,
-    /// The life of the recipient that the sender believes in.
+    /// The recipient's incarnation in the sender's view of the cluster.
     #[prost(fixed64, tag = "6")]
     pub recipient_incarnation: u64,
 }
 
-/// Confirms one part of a flow report.
+/// Acknowledges one part of a flow report.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct FlowReportAck {
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The generation.
+    /// The placement generation.
     #[prost(uint64, tag = "2")]
     pub generation: u64,
-    /// The part.
+    /// Index of the part.
     #[prost(uint32, tag = "3")]
     pub part: u32,
 }
 
-/// The answer of a second candidate about a flow that was passed to it.
+/// Reply of an agent to a new flow that another agent forwarded to it
+/// ([`ForwardKind::Hunted`](crate::data::ForwardKind::Hunted)).
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct HuntReply {
     /// The service.
@@ -67,24 +69,24 @@
     /// Whether the flow was admitted.
     #[prost(bool, tag = "3")]
     pub admitted: bool,
-    /// The load of the back end that was asked.
+    /// Load of the back end that the flow was forwarded for.
     #[prost(message, optional, tag = "4")]
     pub load: Option<LoadReport>,
 }
 
-/// Flows that ended at the sender, so that the admitting agent can forget the
-/// redirects to it.
+/// Flows that ended at the sender. The recipient, which owns their buckets,
+/// removes its redirects of these flows to the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FlowsEnded {
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The caller addresses.
+    /// The callers' addresses.
     #[prost(message, repeated, tag = "2")]
     pub sources: Vec<Endpoint>,
 }
 
-/// The exact load of a back end, told to the other agents of its service.
+/// Exact load of a back end, sent to the other agents of its service.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct LoadReport {
     /// The service.
@@ -93,20 +95,20 @@
     /// The back end.
     #[prost(uint64, tag = "2")]
     pub backend: u64,
-    /// Requests in progress.
+    /// Number of in-flight requests.
     #[prost(uint32, tag = "3")]
     pub busy: u32,
-    /// Open flows.
+    /// Number of open flows.
     #[prost(uint32, tag = "4")]
     pub connections: u32,
-    /// Whether new flows would be refused.
+    /// Whether the back end's agent would refuse a new flow.
     #[prost(bool, tag = "5")]
     pub closed: bool,
-    /// Grows with every report of one life of the sender.
+    /// Sequence number, increasing within one incarnation of the sender.
     #[prost(uint64, tag = "6")]
     pub sequence: u64,
-    /// Whether the back end should get nothing new although it could: it says
-    /// so itself, or it fails requests.
+    /// Whether the back end should get no new flows although it has capacity:
+    /// it reports that it is draining, or it fails requests.
     #[prost(bool, tag = "7")]
     pub withdrawn: bool,
 }
--- a/crates/petrellatch-proto/src/command.rs
+++ b/crates/petrellatch-proto/src/command.rs
@@ -1,11 +1,11 @@
-//! Commands of the replicated log and the operator's changes in them.
+//! Commands of the replicated log, including operators' changes.
 
 use crate::record::{
     BackendRecord, GenerationRecord, MemberRecord, MemberState, PolicyRecord, ServiceRecord,
     ShareRecord,
 };
 
-/// What a drain is about.
+/// The kind of object that an operator drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum DrainTarget {
@@ -13,26 +13,26 @@
     Backend = 0,
     /// A balancer or agent by node name.
     Node = 1,
-    /// All back ends of a zone, also those that come while it is drained.
+    /// All back ends of a zone, including those added while it is drained.
     Zone = 2,
 }
 
 /// Starts or ends a drain.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SetDrain {
-    /// The kind of thing.
+    /// The kind of object.
     #[prost(enumeration = "DrainTarget", tag = "1")]
     pub target: i32,
-    /// Its name.
+    /// Name of the object.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// Whether it drains from now on.
+    /// True to start the drain, false to end it.
     #[prost(bool, tag = "3")]
     pub draining: bool,
 }
 
-/// One edit by an operator. Identifiers inside put records are ignored: the
-/// replicated state finds records by name and assigns identifiers.
+/// One edit by an operator. The `id` fields of put records are ignored: the
+/// replicated state looks records up by name and assigns identifiers.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum EditKind {
     /// Creates or replaces a service by name.
@@ -58,7 +58,7 @@
     SetDrain(SetDrain),
 }
 
-/// A back end as the operator writes it, with its service by name.
+/// A back end as an operator specifies it, with its service by name.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BackendEdit {
     /// The service's name.
@@ -77,13 +77,13 @@
     pub kind: Option<EditKind>,
 }
 
-/// A change by an operator: all its edits take effect, or none.
+/// An atomic change by an operator: either all of its edits take effect or none.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OperatorChange {
-    /// Chosen by the operator's client, the same at every resend.
+    /// Identifier chosen by the operator's client. A retry uses the same one.
     #[prost(string, tag = "1")]
     pub request_id: String,
-    /// The configuration version that the operator had seen.
+    /// The configuration version that the change was written against.
     #[prost(uint64, tag = "2")]
     pub based_on: u64,
     /// The edits.
@@ -91,14 +91,13 @@
     pub edits: Vec<Edit>,
 }
 
-/// The leader found out that a node's life is over: it stopped by itself or
-/// its lease ran out.
+/// Ends a node's incarnation, because the node stopped or its lease expired.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct FenceMember {
-    /// The node.
+    /// The member's node.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// The life.
+    /// The member's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
 }
@@ -106,10 +105,10 @@
 /// Changes the state of a member.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct SetMemberState {
-    /// The node.
+    /// The member's node.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// The life.
+    /// The member's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
     /// The new state.
@@ -123,23 +122,25 @@
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The new generation; refused unless its number follows the newest.
+    /// The new generation. It is refused unless its number is one more than
+    /// the newest generation's.
     #[prost(message, required, tag = "2")]
     pub generation: GenerationRecord,
 }
 
-/// All owners have settled `generation`, so older ones are forgotten.
+/// Removes the generations older than `generation`, because all bucket owners
+/// have settled it: every previous owner has handed over its buckets.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct SettlePlacement {
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// The generation.
+    /// The generation that is settled.
     #[prost(uint64, tag = "2")]
     pub generation: u64,
 }
 
-/// Why an operator's change was refused before it could be applied.
+/// Reason why the leader refused an operator's change before applying it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum RefusalReason {
@@ -147,14 +148,15 @@
     InvalidPolicy = 0,
 }
 
-/// A change that the leader refused by a check that need not give the same
-/// result at every replica. It is logged so that a resend gets the same answer.
+/// An operator's change that the leader refused. The check may give another
+/// result at another replica, so the refusal is logged and a retry of the
+/// change gets the same response from every leader.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RefuseChange {
-    /// The change.
+    /// The refused change.
     #[prost(message, required, tag = "1")]
     pub change: OperatorChange,
-    /// Why it was refused.
+    /// Reason of the refusal.
     #[prost(enumeration = "RefusalReason", tag = "2")]
     pub reason: i32,
     /// The explanation for the operator.
@@ -165,34 +167,34 @@
 /// A command of the replicated log.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum CommandKind {
-    /// By an operator.
+    /// An operator changes the configuration.
     #[prost(message, tag = "1")]
     Change(OperatorChange),
-    /// A balancer or agent joined.
+    /// A balancer or agent joins.
     #[prost(message, tag = "2")]
     RegisterMember(MemberRecord),
-    /// A node's life ended.
+    /// A node's incarnation ends.
     #[prost(message, tag = "3")]
     FenceMember(FenceMember),
-    /// A member's state changed.
+    /// A member's state changes.
     #[prost(message, tag = "4")]
     SetMemberState(SetMemberState),
-    /// A service's placement changed.
+    /// A service gets a new placement generation.
     #[prost(message, tag = "5")]
     SetPlacement(SetPlacement),
-    /// A service's placement settled.
+    /// A service's placement generation is settled.
     #[prost(message, tag = "6")]
     SettlePlacement(SettlePlacement),
-    /// An operator's change was refused.
+    /// The leader refuses an operator's change.
     #[prost(message, tag = "7")]
     RefuseChange(RefuseChange),
-    /// Several commands of the leader that make one version together.
+    /// Several commands of the leader that form one version.
     #[prost(message, tag = "8")]
     Batch(Batch),
 }
 
-/// Commands of the leader about members and placements, carried out one after
-/// another. One without effect doesn't hinder the others.
+/// Commands of the leader about members and placements, applied in order. A
+/// command that can't be applied is skipped; the others still take effect.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Batch {
     /// The commands.
@@ -215,7 +217,7 @@
 }
 
 impl ShareRecord {
-    /// Returns whether the back end receives new flows by this share.
+    /// Returns whether the back end receives new flows, i.e. has a positive weight.
     pub fn receives(&self) -> bool {
         self.weight > 0
     }
--- a/crates/petrellatch-proto/src/consensus.rs
+++ b/crates/petrellatch-proto/src/consensus.rs
@@ -1,10 +1,11 @@
-//! Messages of the replicated log: what replicas of the control group send to
-//! each other, and the records that they keep on disk.
+//! Raft messages between the replicas of a replica group, and the records that
+//! the replicas store on disk.
 //!
 //! Every encoded [`ConsensusMessage`] stays below
-//! [`MAX_CONSENSUS_MESSAGE_BYTES`], so that it fits one datagram together with the sealed envelope around it.
+//! [`MAX_CONSENSUS_MESSAGE_BYTES`], so that it fits one datagram together with
+//! the sealed envelope around it.
 
-/// Upper bound of an encoded [`ConsensusMessage`], in bytes.
+/// Maximum size of an encoded [`ConsensusMessage`], in bytes.
 pub const MAX_CONSENSUS_MESSAGE_BYTES: usize = 58_000;
 
 /// Envelope of every message between two replicas.
@@ -19,7 +20,7 @@
     /// The sender's current term.
     #[prost(uint64, tag = "3")]
     pub term: u64,
-    /// What is asked or answered.
+    /// The request or response.
     #[prost(oneof = "ConsensusBody", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub body: Option<ConsensusBody>,
 }
@@ -27,13 +28,13 @@
 /// The kinds of message between replicas.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ConsensusBody {
-    /// Asks whether a vote would be granted, without starting a term.
+    /// Requests a promise of a vote, without starting a term.
     #[prost(message, tag = "4")]
     PreVoteRequest(PreVoteRequest),
     /// Answers a [`PreVoteRequest`].
     #[prost(message, tag = "5")]
     PreVoteResponse(PreVoteResponse),
-    /// Asks for a vote in the envelope's term.
+    /// Requests a vote in the envelope's term.
     #[prost(message, tag = "6")]
     VoteRequest(VoteRequest),
     /// Answers a [`VoteRequest`].
@@ -42,29 +43,30 @@
     /// Replicates entries; without entries it is a heartbeat.
     #[prost(message, tag = "8")]
     AppendRequest(AppendRequest),
-    /// Answers an [`AppendRequest`], or the end of a snapshot transfer.
+    /// Answers an [`AppendRequest`], or the last chunk of a snapshot transfer.
     #[prost(message, tag = "9")]
     AppendResponse(AppendResponse),
-    /// Carries one part of a snapshot.
+    /// Carries one chunk of a snapshot.
     #[prost(message, tag = "10")]
     SnapshotChunk(SnapshotChunk),
     /// Answers a [`SnapshotChunk`] of a transfer that isn't finished.
     #[prost(message, tag = "11")]
     SnapshotChunkResponse(SnapshotChunkResponse),
-    /// Announces a replica that isn't a voter and hears from no leader.
+    /// Announces a replica that isn't a voter and receives nothing from a leader.
     #[prost(message, tag = "12")]
     JoinRequest(JoinRequest),
-    /// Hands leadership over to the receiver.
+    /// Transfers leadership to the receiver.
     #[prost(message, tag = "13")]
     TransferRequest(TransferRequest),
 }
 
-/// The leader of the envelope's term has stepped down; the receiver, which has
-/// its whole log, is to start an election at once. Further fields may follow.
+/// The leader of the envelope's term has stepped down. The receiver, whose log
+/// contains all of the leader's entries, starts an election immediately. Later
+/// versions may add fields.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct TransferRequest {}
 
-/// Asks whether a vote would be granted in `proposed_term`.
+/// Asks whether the receiver would grant a vote in `proposed_term`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PreVoteRequest {
     /// The term that the sender would start.
@@ -81,7 +83,7 @@
 /// Answers a [`PreVoteRequest`].
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PreVoteResponse {
-    /// The term that was asked for.
+    /// The `proposed_term` of the request.
     #[prost(uint64, tag = "1")]
     pub proposed_term: u64,
     /// Whether the vote would be granted.
@@ -89,7 +91,7 @@
     pub granted: bool,
 }
 
-/// Asks for a vote in the envelope's term.
+/// Requests a vote in the envelope's term.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct VoteRequest {
     /// Index of the candidate's last entry.
@@ -98,8 +100,8 @@
     /// Term of the candidate's last entry.
     #[prost(uint64, tag = "2")]
     pub last_term: u64,
-    /// The leader of the term before has stepped down in favour of the
-    /// sender, so that voters needn't wait until they have missed it.
+    /// Whether the previous leader transferred leadership to the sender.
+    /// Voters then consider the request before their election timeout.
     #[prost(bool, tag = "3")]
     pub transferred: bool,
 }
@@ -128,16 +130,16 @@
     /// The leader's commit index.
     #[prost(uint64, tag = "4")]
     pub commit_index: u64,
-    /// Leadership confirmation round, echoed by the answer.
+    /// Leadership confirmation round, echoed by the response.
     #[prost(uint64, tag = "5")]
     pub round: u64,
     /// Sending time on the leader's clock in microseconds, echoed by the
-    /// answer.
+    /// response.
     #[prost(uint64, tag = "6")]
     pub sent_at_micros: u64,
 }
 
-/// Answers an [`AppendRequest`]. It leaves the follower only after everything
+/// Answers an [`AppendRequest`]. The follower sends it only after everything
 /// that it acknowledges is synced to disk.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct AppendResponse {
@@ -150,7 +152,7 @@
     /// If refused: the `previous_index` of the request.
     #[prost(uint64, tag = "3")]
     pub refused_index: u64,
-    /// If refused: the last index at which the logs may agree.
+    /// If refused: the highest index at which the logs may agree.
     #[prost(uint64, tag = "4")]
     pub hint_index: u64,
     /// If refused: the follower's term at `hint_index`.
@@ -164,7 +166,7 @@
     pub sent_at_micros: u64,
 }
 
-/// One part of a snapshot's data.
+/// One chunk of a snapshot's data.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotChunk {
     /// Index of the last entry that the snapshot covers.
@@ -176,22 +178,22 @@
     /// Membership as of `index`.
     #[prost(message, optional, tag = "3")]
     pub membership: Option<MembershipMessage>,
-    /// Position of `data` in the whole snapshot, in bytes.
+    /// Offset of `data` in the snapshot, in bytes.
     #[prost(uint64, tag = "4")]
     pub offset: u64,
-    /// Size of the whole snapshot in bytes.
+    /// Size of the whole snapshot, in bytes.
     #[prost(uint64, tag = "5")]
     pub total_bytes: u64,
     /// SipHash-1-3 digest of the whole snapshot.
     #[prost(fixed64, tag = "6")]
     pub digest: u64,
-    /// The bytes from `offset` on.
+    /// The snapshot's bytes from `offset` on.
     #[prost(bytes = "vec", tag = "7")]
     pub data: Vec<u8>,
-    /// As in [`AppendRequest`].
+    /// Leadership confirmation round, as in [`AppendRequest`].
     #[prost(uint64, tag = "8")]
     pub round: u64,
-    /// As in [`AppendRequest`].
+    /// Sending time in microseconds, as in [`AppendRequest`].
     #[prost(uint64, tag = "9")]
     pub sent_at_micros: u64,
 }
@@ -202,7 +204,7 @@
     /// The snapshot's index.
     #[prost(uint64, tag = "1")]
     pub index: u64,
-    /// The offset that the follower needs next, in bytes.
+    /// Offset of the next byte that the follower needs.
     #[prost(uint64, tag = "2")]
     pub next_offset: u64,
     /// The chunk's `round`.
@@ -213,7 +215,7 @@
     pub sent_at_micros: u64,
 }
 
-/// Announces the sender, whose identity is in the envelope.
+/// Asks the leader to add the sender, whose identity is in the envelope.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct JoinRequest {}
 
@@ -226,7 +228,7 @@
     /// Term of the leader that created the entry.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// What the entry holds.
+    /// The entry's content.
     #[prost(oneof = "EntryBody", tags = "3, 4, 5")]
     pub body: Option<EntryBody>,
 }
@@ -240,7 +242,7 @@
     /// A command of the application.
     #[prost(bytes, tag = "4")]
     Command(Vec<u8>),
-    /// The whole membership from this entry on.
+    /// The complete membership that applies from this entry on.
     #[prost(message, tag = "5")]
     Membership(MembershipMessage),
 }
@@ -249,7 +251,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct NoOperation {}
 
-/// Identity of a replica: a node and one life of its data folder.
+/// Identity of a replica: a node and one incarnation of its data folder.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReplicaIdMessage {
     /// The node.
@@ -266,20 +268,20 @@
     /// The replica.
     #[prost(message, optional, tag = "1")]
     pub replica: Option<ReplicaIdMessage>,
-    /// The part that it takes.
+    /// Its role in the group.
     #[prost(enumeration = "MemberRoleMessage", tag = "2")]
     pub role: i32,
 }
 
-/// The part that a member takes.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum MemberRoleMessage {
-    /// Not given; refused.
+    /// Not set; a membership with this role is refused.
     Unspecified = 0,
-    /// Counts for quorums.
+    /// Votes and counts for quorums.
     Voter = 1,
-    /// Receives the log only.
+    /// Receives the log but doesn't vote.
     Learner = 2,
     /// Receives the log and becomes a voter once it has caught up.
     JoiningVoter = 3,
@@ -291,7 +293,8 @@
     /// Current members.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<MemberMessage>,
-    /// Replicas that were removed and may not announce themselves again.
+    /// Replicas that were removed. The leader ignores their join requests,
+    /// unless it is set to readmit retired replicas.
     #[prost(message, repeated, tag = "2")]
     pub retired: Vec<ReplicaIdMessage>,
 }
@@ -302,7 +305,7 @@
     /// Highest term seen.
     #[prost(uint64, tag = "1")]
     pub term: u64,
-    /// Receiver of this replica's vote in `term`.
+    /// The candidate that got this replica's vote in `term`, if any.
     #[prost(message, optional, tag = "2")]
     pub voted_for: Option<ReplicaIdMessage>,
 }
@@ -327,7 +330,7 @@
 /// One record of the log file.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct LogRecord {
-    /// What the record does.
+    /// The change that the record makes to the log.
     #[prost(oneof = "LogRecordBody", tags = "1, 2")]
     pub body: Option<LogRecordBody>,
 }
@@ -338,15 +341,15 @@
     /// Appends an entry.
     #[prost(message, tag = "1")]
     Append(EntryMessage),
-    /// Removes all entries from this index on.
+    /// Removes the entry at this index and all later ones.
     #[prost(uint64, tag = "2")]
     TruncateFrom(u64),
 }
 
-/// Identity of a data folder, written when it is formatted.
+/// Identity of a data folder, written when the folder is formatted.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FormatRecord {
-    /// Version of the layout.
+    /// Version of the folder's layout.
     #[prost(uint32, tag = "1")]
     pub version: u32,
     /// The cluster that the folder belongs to.
--- a/crates/petrellatch-proto/src/data.rs
+++ b/crates/petrellatch-proto/src/data.rs
@@ -1,42 +1,42 @@
 //! The datagram that carries one caller packet between balancers and agents.
 
-/// Why a packet is passed on.
+/// Reason why a packet is forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum ForwardKind {
-    /// To the agent that the sender's table names for the bucket.
+    /// To the agent that owns the bucket according to the sender's table.
     Placed = 0,
-    /// To the agent that has the flow.
+    /// To the agent that serves the flow, by a redirect of the bucket's owner.
     Redirected = 1,
-    /// A new flow, to a second candidate that may admit it for the sender.
+    /// A new flow, to a second agent that may admit it in place of the sender.
     Hunted = 2,
-    /// Back to the admitting agent, since the sender does not have the flow.
+    /// Back to the bucket's owner, because the sender doesn't serve the flow.
     NotHere = 3,
 }
 
 /// One caller packet on its way to the agent that serves its flow.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DataDatagram {
-    /// The service by the sender's table.
+    /// The service according to the sender's table.
     #[prost(uint32, tag = "1")]
     pub service: u32,
     /// The bucket of the flow.
     #[prost(uint32, tag = "2")]
     pub bucket: u32,
-    /// The placement generation of the service that the sender used.
+    /// The service's placement generation that the sender used.
     #[prost(uint64, tag = "3")]
     pub generation: u64,
-    /// The back end that is meant.
+    /// The destination back end.
     #[prost(uint64, tag = "4")]
     pub backend: u64,
-    /// The life of the agent that is meant; a packet for another life is
-    /// dropped and counted.
+    /// Incarnation of the destination agent. An agent of another incarnation
+    /// drops the packet and counts it.
     #[prost(fixed64, tag = "5")]
     pub incarnation: u64,
-    /// How many agents have passed it on so far.
+    /// Number of agents that have forwarded the packet so far.
     #[prost(uint32, tag = "6")]
     pub hops: u32,
-    /// Why it was passed on.
+    /// Reason why the packet was forwarded.
     #[prost(enumeration = "ForwardKind", tag = "7")]
     pub kind: i32,
     /// The sending node.
--- a/crates/petrellatch-proto/src/dissemination.rs
+++ b/crates/petrellatch-proto/src/dissemination.rs
@@ -1,22 +1,22 @@
-//! Messages that carry the replicated state down to the daemons and reports,
-//! heartbeats and lease renewals up to the leader.
+//! Messages that distribute the replicated state from the replicas down to the
+//! daemons, and load reports and heartbeats, which renew leases, up to the leader.
 
 use crate::endpoint::Endpoint;
 use crate::record::{MemberRecord, RecordChange};
 
-/// Asks a parent for everything newer than `version`. Resent until answered,
-/// and again whenever the daemon finds out that it lags.
+/// Asks a parent for all changes newer than `version`. The daemon resends it
+/// until a reply arrives, and sends it again when it detects that it lags.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct Subscribe {
-    /// The newest version that the child has applied; zero if none.
+    /// The newest version that the child has applied, or zero if none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// All changes that one version made.
+/// All changes between one version and the previous one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Delta {
-    /// The version that these changes lead to.
+    /// The version that results from the changes.
     #[prost(uint64, tag = "1")]
     pub version: u64,
     /// The changes.
@@ -27,24 +27,25 @@
 /// Consecutive deltas, sent by a parent to a child.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Update {
-    /// The version that the first delta builds on.
+    /// The version that the first delta applies to.
     #[prost(uint64, tag = "1")]
     pub base: u64,
-    /// Deltas of versions `base + 1` and on, without a gap.
+    /// Deltas of the versions from `base + 1` on, without a gap.
     #[prost(message, repeated, tag = "2")]
     pub deltas: Vec<Delta>,
 }
 
-/// One part of the whole state, for a child too far behind for deltas.
+/// One part of a snapshot of the whole state, for a child that lags too far
+/// behind to catch up by deltas.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotPart {
-    /// The version that the whole snapshot is at.
+    /// The version of the snapshot.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The number of this part, from zero.
+    /// Index of this part, from zero.
     #[prost(uint32, tag = "2")]
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts.
     #[prost(uint32, tag = "3")]
     pub parts: u32,
     /// The records of this part, all as puts.
@@ -52,18 +53,18 @@
     pub records: Vec<RecordChange>,
 }
 
-/// Asks for parts of a snapshot that did not arrive.
+/// Requests parts of a snapshot that didn't arrive.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotRequest {
     /// The version of the snapshot.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The parts wanted.
+    /// Indices of the missing parts.
     #[prost(uint32, repeated, tag = "2")]
     pub parts: Vec<u32>,
 }
 
-/// Tells a daemon which parents to use, the best first.
+/// Assigns parents to a daemon, in order of preference.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Attach {
     /// The parents.
@@ -77,48 +78,49 @@
     /// The node.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Where it receives control messages.
+    /// The address where it receives control messages.
     #[prost(message, required, tag = "2")]
     pub control: Endpoint,
 }
 
-/// The load of one back end as its agent sees it.
+/// Load of one back end as its agent measures it.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct BackendLoad {
     /// The back end.
     #[prost(uint64, tag = "1")]
     pub backend: u64,
-    /// Requests in progress.
+    /// Number of in-flight requests.
     #[prost(uint32, tag = "2")]
     pub busy: u32,
-    /// Open flows.
+    /// Number of open flows.
     #[prost(uint32, tag = "3")]
     pub connections: u32,
-    /// Health as the agent judges it, from 0 (down) to 1,000 (well).
+    /// Health as assessed by the agent, from 0 (down) to 1,000 (healthy).
     #[prost(uint32, tag = "4")]
     pub health: u32,
-    /// Whether the back end itself says that it is draining.
+    /// Whether the back end itself reports that it is draining.
     #[prost(bool, tag = "5")]
     pub draining: bool,
 }
 
-/// What one daemon tells the leader at every heartbeat interval.
+/// One daemon's report to the leader, sent at every heartbeat interval.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeartbeatEntry {
     /// The daemon.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Its life.
+    /// The daemon's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Grows by one with every heartbeat of this life. The daemon remembers
-    /// when it sent each, since a lease runs from the sending.
+    /// Sequence number, incremented with every heartbeat of this incarnation.
+    /// The daemon records when it sent each heartbeat, because a lease runs
+    /// from that time.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The newest version in force at the daemon.
+    /// The newest version that is active at the daemon.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// The full record, sent until the leader confirms the registration.
+    /// The daemon's full record, sent until the leader confirms the registration.
     #[prost(message, optional, tag = "5")]
     pub registration: Option<MemberRecord>,
     /// Services whose newest generation is not yet settled at this agent.
@@ -127,56 +129,59 @@
     /// Loads that changed since the last heartbeat.
     #[prost(message, repeated, tag = "7")]
     pub loads: Vec<BackendLoad>,
-    /// The daemon stops: it admits nothing any more and its lease is given up.
+    /// The daemon stops: it admits no more flows and gives its lease back.
     #[prost(bool, tag = "8")]
     pub stopped: bool,
-    /// The daemon wants to leave and waits until it has nothing to do.
+    /// The daemon is shutting down gracefully and waits until it has no work
+    /// left.
     #[prost(bool, tag = "9")]
     pub leaving: bool,
 }
 
-/// Heartbeats, passed up the tree towards the leader and combined on the way.
+/// Heartbeats of several daemons, relayed up the tree towards the leader and
+/// aggregated on the way.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Heartbeat {
-    /// One entry a daemon.
+    /// One entry per daemon.
     #[prost(message, repeated, tag = "1")]
     pub entries: Vec<HeartbeatEntry>,
 }
 
-/// The leader's answer to one heartbeat entry.
+/// The leader's reply to one heartbeat entry.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct HeartbeatAnswer {
     /// The daemon.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// Its life.
+    /// The daemon's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The sequence number that is answered.
+    /// The sequence number of the heartbeat entry.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// The newest committed version when the leader answered.
+    /// The newest committed version when the leader replied.
     #[prost(uint64, tag = "4")]
     pub version: u64,
-    /// The lease, in milliseconds from the sending of the heartbeat; zero
-    /// when none is granted.
+    /// Duration of the lease in milliseconds, from when the daemon sent the
+    /// heartbeat; zero if no lease is granted.
     #[prost(uint32, tag = "5")]
     pub lease_milliseconds: u32,
-    /// Whether the leader has the daemon's registration committed.
+    /// Whether the daemon's registration is committed.
     #[prost(bool, tag = "6")]
     pub registered: bool,
-    /// The life was fenced: the daemon must start a new one.
+    /// Whether the incarnation was fenced; the daemon must then start a new one.
     #[prost(bool, tag = "7")]
     pub fenced: bool,
-    /// The leader's term. A new leader knows no loads: the daemon sends all.
+    /// The leader's term. When it changes, the daemon sends the loads of all its
+    /// back ends, because a new leader starts without any.
     #[prost(uint64, tag = "8")]
     pub term: u64,
 }
 
-/// Answers, passed down the tree the way the heartbeats came.
+/// Replies to heartbeats, relayed down the tree along the heartbeats' path.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HeartbeatReply {
-    /// One answer a daemon.
+    /// One entry per daemon.
     #[prost(message, repeated, tag = "1")]
     pub answers: Vec<HeartbeatAnswer>,
 }
--- a/crates/petrellatch-proto/src/envelope.rs
+++ b/crates/petrellatch-proto/src/envelope.rs
@@ -1,4 +1,4 @@
-//! The frame of every control message.
+//! The envelope of every control message.
 
 use crate::admission::{FlowReport, FlowReportAck, FlowsEnded, HuntReply, LoadReport};
 use crate::dissemination::{
@@ -8,10 +8,10 @@
 /// A control message of any kind.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// Replicated log, already encoded by the consensus module.
+    /// Replicated log: a message that the consensus module has encoded.
     #[prost(bytes, tag = "10")]
     Consensus(Vec<u8>),
-    /// Dissemination: a child asks for news.
+    /// Dissemination: a child asks for updates.
     #[prost(message, tag = "11")]
     Subscribe(Subscribe),
     /// Dissemination: consecutive deltas.
@@ -20,46 +20,46 @@
     /// Dissemination: a part of the whole state.
     #[prost(message, tag = "13")]
     SnapshotPart(SnapshotPart),
-    /// Dissemination: parts that did not arrive.
+    /// Dissemination: a request for missing parts of a snapshot.
     #[prost(message, tag = "14")]
     SnapshotRequest(SnapshotRequest),
-    /// Dissemination: which parents to use.
+    /// Dissemination: the parents that a daemon uses.
     #[prost(message, tag = "15")]
     Attach(Attach),
-    /// Membership: towards the leader.
+    /// Membership: heartbeats of daemons, towards the leader.
     #[prost(message, tag = "16")]
     Heartbeat(Heartbeat),
-    /// Membership: back from the leader.
+    /// Membership: the leader's replies to heartbeats.
     #[prost(message, tag = "17")]
     HeartbeatReply(HeartbeatReply),
-    /// Admission: flows in buckets that the recipient now owns.
+    /// Admission: open flows in buckets that the recipient now owns.
     #[prost(message, tag = "18")]
     FlowReport(FlowReport),
-    /// Admission: confirmation of a flow report part.
+    /// Admission: acknowledgement of one part of a flow report.
     #[prost(message, tag = "19")]
     FlowReportAck(FlowReportAck),
-    /// Admission: answer of a second candidate.
+    /// Admission: reply of an agent to a new flow forwarded by another agent.
     #[prost(message, tag = "20")]
     HuntReply(HuntReply),
     /// Admission: flows that ended.
     #[prost(message, tag = "21")]
     FlowsEnded(FlowsEnded),
-    /// Admission: exact load.
+    /// Admission: exact load of a back end.
     #[prost(message, tag = "22")]
     LoadReport(LoadReport),
 }
 
-/// A control message with its sender and recipient. A message whose recipient
-/// is another node than the receiving one is dropped: the address was reused.
+/// A control message with its sender and recipient. A node drops a message for
+/// another recipient, because its address belonged to that node before.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// The sending node.
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
-    /// The life of the sending node.
+    /// Incarnation of the sending node.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The node that is meant; zero when the sender knows only the address.
+    /// The destination node, or zero if the sender has only its address.
     #[prost(fixed64, tag = "3")]
     pub recipient: u64,
     /// The message.
--- a/crates/petrellatch-proto/src/lib.rs
+++ b/crates/petrellatch-proto/src/lib.rs
@@ -1,10 +1,10 @@
 //! Messages that the processes of petrellatch exchange.
 //!
-//! All messages are `prost` structures written by hand with derive macros, so
-//! the build needs no protocol compiler. [`envelope::Envelope`] carries every
-//! control message between two processes; [`data::DataDatagram`] carries one
-//! caller packet between balancers and agents; [`record`] holds the records of
-//! the replicated state, which are also what dissemination carries;
+//! All messages are Rust types with `prost` derive macros, so the build needs
+//! no protocol compiler. [`envelope::Envelope`] carries every control message
+//! between two processes; [`data::DataDatagram`] carries one caller packet
+//! between balancers and agents; [`record`] defines the records of the
+//! replicated state, which dissemination sends to the daemons;
 //! [`seal::ClusterKey`] authenticates both kinds of datagram.
 
 pub mod admission;
@@ -18,5 +18,5 @@
 pub mod record;
 pub mod seal;
 
-/// The largest encoded control message, in bytes. It fits one UDP datagram.
+/// Maximum size of an encoded control message, in bytes. It fits one UDP datagram.
 pub const MAX_CONTROL_MESSAGE_BYTES: usize = 60_000;
--- a/crates/petrellatch-proto/src/record.rs
+++ b/crates/petrellatch-proto/src/record.rs
@@ -1,28 +1,28 @@
 //! Records of the replicated state.
 //!
-//! The control group replicates them, and dissemination carries them to every
+//! The replica group replicates them, and dissemination sends them to every
 //! daemon as [`RecordChange`] values.
 
 use std::collections::BTreeMap;
 
 use crate::endpoint::Endpoint;
 
-/// What a caller gets when a new flow is refused.
+/// How a new flow is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum RefusalMode {
     /// The flow is reset.
     Reset = 0,
-    /// The flow is accepted and answered with HTTP 503, `Retry-After` and the
-    /// mark that the request did not run.
+    /// The flow is accepted and gets an HTTP 503 response with `Retry-After` and
+    /// a header that marks the request as not processed.
     HttpUnavailable = 1,
 }
 
-/// The job of a process.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum NodeRole {
-    /// A control replica.
+    /// A replica of the configuration.
     Control = 0,
     /// A balancer.
     Balancer = 1,
@@ -30,20 +30,20 @@
     Agent = 2,
 }
 
-/// The state of a member as the control group decided it.
+/// State of a member as committed by the replica group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum MemberState {
-    /// It takes part.
+    /// It serves new flows.
     Live = 0,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes its open flows and gets no new ones.
     Leaving = 1,
 }
 
-/// A service: the address that callers use and how its flows are treated.
+/// A service: the address that callers use, and the settings for its flows.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ServiceRecord {
-    /// Assigned by the control group, never used twice.
+    /// Identifier assigned by the replica group, never reused.
     #[prost(uint32, tag = "1")]
     pub id: u32,
     /// The operator's name for the service.
@@ -52,19 +52,20 @@
     /// The address that callers connect to.
     #[prost(message, required, tag = "3")]
     pub address: Endpoint,
-    /// Into how many buckets the flow-key space is cut.
+    /// Number of buckets that the flow-key space is divided into.
     #[prost(uint32, tag = "4")]
     pub buckets: u32,
-    /// The name of the policy that places its flows.
+    /// Name of the placement policy for its flows.
     #[prost(string, tag = "5")]
     pub policy: String,
-    /// What a refused caller gets.
+    /// How new flows are refused.
     #[prost(enumeration = "RefusalMode", tag = "6")]
     pub refusal: i32,
-    /// New flows a second that one agent admits; zero means no limit.
+    /// Maximum number of new flows per second that one agent admits; zero
+    /// means no limit.
     #[prost(uint32, tag = "7")]
     pub new_flows_per_second: u32,
-    /// Seconds without a packet after which a flow is dropped.
+    /// Idle timeout of a flow, in seconds.
     #[prost(uint32, tag = "8")]
     pub idle_seconds: u32,
 }
@@ -72,7 +73,7 @@
 /// A back end of one service.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct BackendRecord {
-    /// Assigned by the control group, never used twice.
+    /// Identifier assigned by the replica group, never reused.
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// The operator's name for the back end.
@@ -81,22 +82,23 @@
     /// The service that it belongs to.
     #[prost(uint32, tag = "3")]
     pub service: u32,
-    /// The name of the agent node beside it.
+    /// Node name of its agent.
     #[prost(string, tag = "4")]
     pub agent: String,
     /// The zone where it runs.
     #[prost(string, tag = "5")]
     pub zone: String,
-    /// Where the server listens, reachable from its agent.
+    /// The address where the server listens, reachable from its agent.
     #[prost(message, required, tag = "6")]
     pub server: Endpoint,
-    /// Requests that it can work on at once.
+    /// Maximum number of requests that it processes concurrently.
     #[prost(uint32, tag = "7")]
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Maximum number of concurrent connections.
     #[prost(uint32, tag = "8")]
     pub connections: u32,
-    /// Seconds over which a cold start is ramped up; zero means none.
+    /// Duration of the slow start of a cold back end, in seconds; zero means
+    /// no slow start.
     #[prost(uint32, tag = "9")]
     pub warm_up_seconds: u32,
     /// Free-form labels that policies read.
@@ -105,7 +107,7 @@
     /// Whether the operator is draining it.
     #[prost(bool, tag = "11")]
     pub draining: bool,
-    /// Whether its zone is out of service.
+    /// Whether its zone is evacuated.
     #[prost(bool, tag = "12")]
     pub evacuated: bool,
 }
@@ -116,58 +118,60 @@
     /// The operator's name for the policy.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// The expression that says whether a back end may receive flows.
+    /// The expression that decides whether a back end may receive flows.
     #[prost(string, tag = "2")]
     pub eligible: String,
-    /// The expression that says how many it should receive.
+    /// The expression for the back end's relative share of new flows.
     #[prost(string, tag = "3")]
     pub weight: String,
 }
 
-/// A balancer or agent process that the control group knows. A node that was
-/// fenced has no record; a new life of a node replaces its record only after
-/// the old life was fenced.
+/// A balancer or agent process that is registered with the replica group. A
+/// fenced node has no record; a new incarnation of a node gets a record only
+/// after the previous incarnation was fenced.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct MemberRecord {
-    /// The node, derived from its name.
+    /// Node identifier, derived from the node's name.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
-    /// The life of the node that this record is about.
+    /// The node's incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
     /// The node's configured name.
     #[prost(string, tag = "3")]
     pub name: String,
-    /// The node's job.
+    /// The node's role.
     #[prost(enumeration = "NodeRole", tag = "4")]
     pub role: i32,
     /// The zone where it runs.
     #[prost(string, tag = "5")]
     pub zone: String,
-    /// Where it receives control messages.
+    /// The address where it receives control messages.
     #[prost(message, required, tag = "6")]
     pub control: Endpoint,
-    /// Where it receives caller packets.
+    /// The address where it receives callers' packets.
     #[prost(message, required, tag = "7")]
     pub data: Endpoint,
-    /// Whether it is leaving.
+    /// Whether it is live or leaving.
     #[prost(enumeration = "MemberState", tag = "8")]
     pub state: i32,
 }
 
-/// How much of a service one back end receives, and who admits for it.
+/// One back end's share of a service's new flows, and the agent that admits
+/// them.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct ShareRecord {
     /// The back end.
     #[prost(uint64, tag = "1")]
     pub backend: u64,
-    /// Its weight; 1,000 is nominal and zero receives nothing.
+    /// Its weight: 1,000 is nominal; a back end of weight zero receives no new
+    /// flows.
     #[prost(uint32, tag = "2")]
     pub weight: u32,
-    /// The agent node beside the back end.
+    /// Node of the back end's agent.
     #[prost(fixed64, tag = "3")]
     pub node: u64,
-    /// The life of the agent that may admit.
+    /// The agent's incarnation. No other incarnation may admit flows.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
 }
@@ -175,10 +179,10 @@
 /// One version of a service's placement.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct GenerationRecord {
-    /// Grows by one with every placement change of the service.
+    /// Generation number, incremented with every placement change of the service.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// The back ends that take part, ordered by identifier.
+    /// The shares of the back ends, ordered by back-end identifier.
     #[prost(message, repeated, tag = "2")]
     pub shares: Vec<ShareRecord>,
 }
@@ -190,8 +194,8 @@
     }
 
     /// Returns the shares that own buckets: those that receive new flows or,
-    /// if none does, all. The agents of the latter refuse new flows and pass
-    /// packets of open flows on to where these are.
+    /// if none does, all shares. In that case, the agents refuse new flows
+    /// and forward packets of open flows to the agents that serve them.
     pub fn owners(&self) -> impl Iterator<Item = &ShareRecord> {
         let admits = self.admits();
         let shares = self.shares.iter();
@@ -199,14 +203,14 @@
     }
 }
 
-/// The placement of a service: the newest generation last, before it the older
-/// ones whose owners may not all have released their buckets yet.
+/// Placement of a service: the newest generation, and older generations with
+/// owners that may not have handed over their buckets yet.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PlacementRecord {
     /// The service.
     #[prost(uint32, tag = "1")]
     pub service: u32,
-    /// Generations in ascending order; the last one is in force.
+    /// Generations in ascending order; the last one is active.
     #[prost(message, repeated, tag = "2")]
     pub generations: Vec<GenerationRecord>,
 }
@@ -231,7 +235,7 @@
     Placement(PlacementRecord),
 }
 
-/// Names one record.
+/// Identifies one record.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Oneof)]
 pub enum RecordKey {
     /// A service by identifier.
@@ -264,7 +268,7 @@
     }
 }
 
-/// One record put or removed. Exactly one of the two fields is set.
+/// A put or a removal of one record. Exactly one of the two fields is set.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RecordChange {
     /// The record to put.
--- a/crates/petrellatch-proto/src/seal.rs
+++ b/crates/petrellatch-proto/src/seal.rs
@@ -1,4 +1,4 @@
-//! Authentication of datagrams by a key that all processes share.
+//! Authentication of datagrams with a key that all processes share.
 
 use std::hash::Hasher;
 
@@ -6,23 +6,24 @@
 use siphasher::sip128::{Hasher128, SipHasher24};
 use snafu::Snafu;
 
-/// Bytes of the authentication tag in front of every datagram.
+/// Size of the authentication tag at the start of every datagram, in bytes.
 pub const TAG_BYTES: usize = 16;
 
-/// Bytes of the cluster key.
+/// Size of the cluster key, in bytes.
 pub const KEY_BYTES: usize = 16;
 
-/// Why a datagram was not opened.
+/// Reason why a datagram was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum OpenError {
-    /// It is shorter than the authentication tag.
+    /// The datagram is shorter than the authentication tag.
     #[snafu(display("the datagram is shorter than its authentication tag"))]
     TooShort,
-    /// Its tag was made with another key, or it was changed on the way.
-    #[snafu(display("the datagram was not sealed with the cluster key"))]
+    /// The tag doesn't match: it was computed with another key, or the datagram
+    /// was altered in transit.
+    #[snafu(display("the authentication tag doesn't match the datagram and the cluster key"))]
     Foreign,
-    /// Its content is not the expected message.
-    #[snafu(display("the datagram does not hold the expected message"))]
+    /// The content doesn't decode as the expected message type.
+    #[snafu(display("the datagram doesn't decode as the expected message type"))]
     Malformed,
 }
 
@@ -33,19 +34,19 @@
 }
 
 impl ClusterKey {
-    /// Makes a key from its bytes.
+    /// Creates a key from its bytes.
     pub fn new(key: [u8; KEY_BYTES]) -> Self {
         ClusterKey { key }
     }
 
-    /// Encodes `message` and puts its authentication tag in front. The buffer
-    /// is cleared first, so that one buffer serves many datagrams.
+    /// Encodes `message` into `buffer`, with its authentication tag in front.
+    /// The buffer is cleared first, so that callers can reuse it.
     pub fn seal(&self, message: &impl Message, buffer: &mut Vec<u8>) {
         buffer.clear();
         buffer.resize(TAG_BYTES, 0);
         message
             .encode(buffer)
-            .expect("a vector grows as far as encoding needs");
+            .expect("encoding into a vector doesn't run out of space");
         let tag = self.tag(&buffer[TAG_BYTES..]);
         buffer[..TAG_BYTES].copy_from_slice(&tag);
     }
