--- a/crates/petrellatch-storage/src/frame.rs
+++ b/crates/petrellatch-storage/src/frame.rs
@@ -15,7 +15,7 @@
     /// An intact record.
     Intact(&'a [u8]),
     /// The file ends before the record does.
-    CutShort,
+    Truncated,
     /// Nothing but zeros up to the end of the file: space that was allocated
     /// but not written before a crash.
     Unwritten,
@@ -39,11 +39,11 @@
 /// file.
 pub(crate) fn read_frame(bytes: &[u8]) -> Frame<'_> {
     if bytes.len() < FRAME_HEADER_BYTES {
-        return Frame::CutShort;
+        return Frame::Truncated;
     }
     let (header, rest) = bytes.split_at(FRAME_HEADER_BYTES);
     let length = &header[..FIELD_BYTES];
-    if crc32fast::hash(length) != field(header, 1) {
+    if crc32fast::hash(length) != header_field(header, 1) {
         let unwritten = bytes.iter().all(|byte| *byte == 0);
         return if unwritten {
             Frame::Unwritten
@@ -51,16 +51,16 @@
             Frame::DamagedLength
         };
     }
-    let Some(payload) = rest.get(..field(header, 0) as usize) else {
-        return Frame::CutShort;
+    let Some(payload) = rest.get(..header_field(header, 0) as usize) else {
+        return Frame::Truncated;
     };
-    if crc32fast::hash(payload) != field(header, 2) {
+    if crc32fast::hash(payload) != header_field(header, 2) {
         return Frame::DamagedPayload;
     }
     Frame::Intact(payload)
 }
 
-fn field(header: &[u8], position: usize) -> u32 {
+fn header_field(header: &[u8], position: usize) -> u32 {
     let start = position * FIELD_BYTES;
     let mut bytes = [0; FIELD_BYTES];
     bytes.copy_from_slice(&header[start..start + FIELD_BYTES]);
--- a/crates/petrellatch-storage/src/log_replay.rs
+++ b/crates/petrellatch-storage/src/log_replay.rs
@@ -35,7 +35,7 @@
 pub(crate) fn replay(
     path: &Path,
     records: &[StoredRecord],
-    covered: LogIndex,
+    snapshot_index: LogIndex,
 ) -> Result<ReplayedLog, StorageError> {
     let mut entries: Vec<LogEntry> = Vec::new();
     let mut has_covered_entries = false;
@@ -56,10 +56,10 @@
                 if last.is_some_and(|last| index != last + 1) {
                     return Err(damaged("the entry doesn't follow the one before"));
                 }
-                if last.is_none() && index > covered + 1 {
+                if last.is_none() && index > snapshot_index + 1 {
                     return Err(damaged("entries before this one are missing"));
                 }
-                has_covered_entries |= index <= covered;
+                has_covered_entries |= index <= snapshot_index;
                 entries.push(entry);
             }
             Some(LogRecordBody::TruncateFrom(index)) => {
@@ -68,7 +68,7 @@
             None => return Err(damaged("the record is empty")),
         }
     }
-    entries.retain(|entry| entry.position.index > covered);
+    entries.retain(|entry| entry.position.index > snapshot_index);
     Ok(ReplayedLog {
         entries,
         has_covered_entries,
--- a/crates/petrellatch-storage/src/log_store.rs
+++ b/crates/petrellatch-storage/src/log_store.rs
@@ -19,7 +19,7 @@
     identity: FolderIdentity,
     log: RecordLog,
     /// Last entry that the snapshot covers.
-    covered: u64,
+    snapshot_index: u64,
     failed: bool,
 }
 
@@ -57,10 +57,10 @@
         }
         let hard_state = folder.require_hard_state()?;
         let snapshot = folder.read_snapshot()?;
-        let covered = covered_by(snapshot.as_ref());
+        let snapshot_index = index_of_snapshot(snapshot.as_ref());
         let content = require_log(&folder)?;
         let log_path = folder.log_path();
-        let replayed = replay(&log_path, &content.records, covered)?;
+        let replayed = replay(&log_path, &content.records, snapshot_index)?;
         let log = if replayed.has_covered_entries {
             // A crash came between a snapshot and the removal of what it
             // covers. Later entries must not follow the old ones.
@@ -72,7 +72,7 @@
             folder,
             identity,
             log,
-            covered,
+            snapshot_index,
             failed: false,
         };
         let state = PersistentState {
@@ -113,7 +113,7 @@
             self.folder.write_hard_state(hard_state)?;
         }
         if let Some(index) = request.truncate_from {
-            self.log.add(&truncate_record(index));
+            self.log.buffer_record(&truncate_record(index));
         }
         if let Some(snapshot) = &request.snapshot {
             // Entries that contradict the snapshot must be gone before it
@@ -122,19 +122,19 @@
             self.write_snapshot(snapshot)?;
         }
         for entry in &request.entries {
-            self.log.add(&append_record(entry));
+            self.log.buffer_record(&append_record(entry));
         }
         self.log.commit()
     }
 
     fn write_snapshot(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
         self.folder.write_snapshot(snapshot)?;
-        let before = self.covered;
-        self.covered = snapshot.position.index;
+        let previous_index = self.snapshot_index;
+        self.snapshot_index = snapshot.position.index;
         let content = require_log(&self.folder)?;
-        let replayed = replay(&self.folder.log_path(), &content.records, before)?;
+        let replayed = replay(&self.folder.log_path(), &content.records, previous_index)?;
         let mut entries = replayed.entries;
-        entries.retain(|entry| entry.position.index > self.covered);
+        entries.retain(|entry| entry.position.index > self.snapshot_index);
         self.log = rewrite_entries(&self.folder, &entries)?;
         Ok(())
     }
@@ -156,7 +156,7 @@
     Ok(identity)
 }
 
-fn covered_by(snapshot: Option<&Snapshot>) -> u64 {
+fn index_of_snapshot(snapshot: Option<&Snapshot>) -> u64 {
     snapshot.map_or(0, |snapshot| snapshot.position.index)
 }
 
--- a/crates/petrellatch-storage/src/record_file.rs
+++ b/crates/petrellatch-storage/src/record_file.rs
@@ -48,7 +48,7 @@
                 path: self.path.clone(),
             });
         };
-        records.iter().for_each(|record| log.add(record));
+        records.iter().for_each(|record| log.buffer_record(record));
         log.commit()?;
         self.log = Some(log);
         Ok(())
--- a/crates/petrellatch-storage/src/record_log.rs
+++ b/crates/petrellatch-storage/src/record_log.rs
@@ -74,10 +74,10 @@
                 .map_err(io_error("cut off the torn tail of", path))?;
             file.sync_all().map_err(io_error("sync", path))?;
         }
-        Ok(RecordLog::on(path, Box::new(file)))
+        Ok(RecordLog::with_file(path, Box::new(file)))
     }
 
-    pub(crate) fn on(path: &Path, file: Box<dyn AppendFile>) -> Self {
+    pub(crate) fn with_file(path: &Path, file: Box<dyn AppendFile>) -> Self {
         RecordLog {
             path: path.to_path_buf(),
             file,
@@ -86,7 +86,7 @@
     }
 
     /// Adds a record to the next [`RecordLog::commit`].
-    pub(crate) fn add(&mut self, payload: &[u8]) {
+    pub(crate) fn buffer_record(&mut self, payload: &[u8]) {
         write_frame(&mut self.buffer, payload);
     }
 
@@ -153,7 +153,7 @@
                 });
                 offset += FRAME_HEADER_BYTES + payload.len();
             }
-            Frame::CutShort | Frame::Unwritten => break,
+            Frame::Truncated | Frame::Unwritten => break,
             Frame::DamagedLength => {
                 return Err(damaged(offset, "the checksum of the length is wrong"));
             }
--- a/crates/petrellatch-storage/src/record_log/tests.rs
+++ b/crates/petrellatch-storage/src/record_log/tests.rs
@@ -31,27 +31,27 @@
     }
 }
 
-fn log_on(free_bytes: usize, can_sync: bool) -> RecordLog {
+fn log_on_failing_disk(free_bytes: usize, can_sync: bool) -> RecordLog {
     let file = FailingFile {
         free_bytes,
         can_sync,
     };
-    RecordLog::on(Path::new("log"), Box::new(file))
+    RecordLog::with_file(Path::new("log"), Box::new(file))
 }
 
 #[test]
-fn full_disk_is_reported_as_such() {
-    let mut log = log_on(40, true);
-    log.add(b"first");
+fn append_on_full_disk_returns_disk_full() {
+    let mut log = log_on_failing_disk(40, true);
+    log.buffer_record(b"first");
     assert_matches!(log.commit(), Ok(()));
-    log.add(&[0; 100]);
+    log.buffer_record(&[0; 100]);
     assert_matches!(log.commit(), Err(StorageError::DiskFull { .. }));
 }
 
 #[test]
-fn failed_sync_is_reported() {
-    let mut log = log_on(1_000, false);
-    log.add(b"first");
+fn failed_sync_returns_io_error() {
+    let mut log = log_on_failing_disk(1_000, false);
+    log.buffer_record(b"first");
     assert_matches!(
         log.commit(),
         Err(StorageError::Io {
--- a/crates/petrellatch-storage/src/snapshot_file.rs
+++ b/crates/petrellatch-storage/src/snapshot_file.rs
@@ -40,7 +40,7 @@
         let framed = framed.ok_or_else(|| self.damaged("the file header is wrong"))?;
         match read_frame(framed) {
             Frame::Intact(payload) => Ok(Some(payload.to_vec())),
-            Frame::CutShort | Frame::Unwritten => Err(self.damaged("the file is cut short")),
+            Frame::Truncated | Frame::Unwritten => Err(self.damaged("the file is cut short")),
             Frame::DamagedLength => Err(self.damaged("the checksum of the length is wrong")),
             Frame::DamagedPayload => Err(self.damaged("the checksum is wrong")),
         }
