--- a/crates/petrellatch-storage/src/data_folder.rs
+++ b/crates/petrellatch-storage/src/data_folder.rs
@@ -1,4 +1,4 @@
-//! The files of a data folder, and the folder's identity.
+//! Reads and writes the files of a data folder, including the folder's identity.
 
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -14,13 +14,13 @@
 /// Version of the folder's layout.
 const LAYOUT_VERSION: u32 = 1;
 
-/// Whom a data folder belongs to.
+/// The cluster and replica that a data folder belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FolderIdentity {
     /// The cluster.
     pub cluster: u64,
-    /// The replica's incarnation. Draw a fresh one at random for every folder
-    /// that may have to be formatted.
+    /// The replica's incarnation. It must be drawn at random for every call
+    /// that may format a folder.
     pub incarnation: Incarnation,
 }
 
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub(crate) struct DataFolder {
     path: PathBuf,
-    /// The lock lasts as long as the file is open.
+    /// Holds the folder's lock, which is released when the file is closed.
     _lock: File,
     format: SnapshotFile,
     hard_state: SnapshotFile,
@@ -36,7 +36,7 @@
 }
 
 impl DataFolder {
-    /// Creates the folder if need be and locks it.
+    /// Creates the folder if it doesn't exist, and locks it.
     pub(crate) fn lock(path: &Path) -> Result<Self, StorageError> {
         fs::create_dir_all(path).map_err(io_error("create", path))?;
         sync_folder_of(path)?;
@@ -70,7 +70,7 @@
         self.path.join("log")
     }
 
-    /// The error for a formatted folder without this file.
+    /// Returns the error for a folder that holds data but lacks the file at `path`.
     pub(crate) fn missing(&self, path: &Path) -> StorageError {
         StorageError::MissingFile {
             path: path.to_path_buf(),
@@ -81,13 +81,13 @@
         self.missing(self.format.path())
     }
 
-    /// Reads who the folder belongs to; `None` if it isn't formatted.
+    /// Reads the folder's identity; `None` if the folder isn't formatted.
     pub(crate) fn read_identity(&self) -> Result<Option<FolderIdentity>, StorageError> {
         let Some(bytes) = self.format.read()? else {
             return Ok(None);
         };
         let record = FormatRecord::decode(bytes.as_slice());
-        let record = record.map_err(|_| self.format.damaged("it cannot be decoded"))?;
+        let record = record.map_err(|_| self.format.damaged("the file cannot be decoded"))?;
         if record.version != LAYOUT_VERSION {
             return Err(StorageError::UnknownVersion {
                 path: self.path.clone(),
@@ -114,11 +114,11 @@
             return Ok(None);
         };
         let record = HardStateRecord::decode(bytes.as_slice());
-        let record = record.map_err(|_| self.hard_state.damaged("it cannot be decoded"))?;
+        let record = record.map_err(|_| self.hard_state.damaged("the file cannot be decoded"))?;
         Ok(Some(HardState::from(&record)))
     }
 
-    /// Reads the hard state of a formatted folder, where it must exist.
+    /// Reads the hard state of a formatted folder. A missing file is an error.
     pub(crate) fn require_hard_state(&self) -> Result<HardState, StorageError> {
         let hard_state = self.read_hard_state()?;
         hard_state.ok_or_else(|| self.missing(self.hard_state.path()))
@@ -135,7 +135,7 @@
         };
         let record = SnapshotRecord::decode(bytes.as_slice()).ok();
         let snapshot = record.and_then(|record| Snapshot::try_from(record).ok());
-        let snapshot = snapshot.ok_or_else(|| self.snapshot.damaged("it cannot be decoded"));
+        let snapshot = snapshot.ok_or_else(|| self.snapshot.damaged("the file cannot be decoded"));
         snapshot.map(Some)
     }
 
--- a/crates/petrellatch-storage/src/error.rs
+++ b/crates/petrellatch-storage/src/error.rs
@@ -1,21 +1,21 @@
-//! What can go wrong with files.
+//! Errors of the storage layer.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
 use snafu::Snafu;
 
-/// Why a data folder or file couldn't be read or written.
+/// Reason why a data folder or file couldn't be read or written.
 #[derive(Debug, Snafu)]
 pub enum StorageError {
     /// The operating system reported an error.
     #[snafu(display("cannot {operation} {}: {source}", path.display()))]
     Io {
-        /// What was being done, as a verb.
+        /// The failed operation, as a verb.
         operation: &'static str,
         /// The file or folder.
         path: PathBuf,
-        /// The error.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The disk or quota is full.
@@ -23,26 +23,26 @@
     DiskFull {
         /// The file.
         path: PathBuf,
-        /// The error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Stored data is damaged. The replica must not start from it; an
-    /// operator may remove the folder, and the node comes back as a replica
-    /// that lost its disk.
+    /// Stored data is damaged. The replica must not start from it. An operator
+    /// may remove the folder; the node then rejoins as a replica that lost its
+    /// disk.
     #[snafu(display("{} is damaged at offset {offset}: {reason}", path.display()))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where the damaged record begins, in bytes.
+        /// Offset of the damaged record in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Description of the damage.
         reason: &'static str,
     },
-    /// A file of a formatted folder is gone, a folder with data has lost its
-    /// format file, or the log was deleted while it was open.
+    /// A file of a formatted folder is missing, a folder with data has no
+    /// format file, or a log file was deleted while it was open.
     #[snafu(display("{} is missing from a folder that holds data", path.display()))]
     MissingFile {
-        /// The file.
+        /// The missing file.
         path: PathBuf,
     },
     /// The folder belongs to another cluster.
@@ -50,17 +50,18 @@
     WrongCluster {
         /// The folder.
         path: PathBuf,
-        /// The cluster that was asked for.
+        /// The cluster that the caller expects.
         expected: u64,
         /// The cluster that the folder belongs to.
         found: u64,
     },
-    /// The folder was written by another version of the software.
-    #[snafu(display("{} has the unknown layout version {version}", path.display()))]
+    /// The folder has a layout version that this version of the software
+    /// doesn't support.
+    #[snafu(display("{} has the unsupported layout version {version}", path.display()))]
     UnknownVersion {
         /// The folder.
         path: PathBuf,
-        /// The version found.
+        /// The layout version of the folder.
         version: u32,
     },
     /// Another process uses the folder.
@@ -69,16 +70,17 @@
         /// The folder.
         path: PathBuf,
     },
-    /// An earlier write failed; what is on disk is known again only after the
-    /// folder is opened anew.
+    /// An earlier write or open failed, so the content on disk is unknown. A
+    /// [`LogStore`](crate::LogStore) must be opened again; a
+    /// [`RecordFile`](crate::RecordFile) must be replaced.
     #[snafu(display("an earlier write to {} failed; open it again", path.display()))]
     Unusable {
-        /// The folder.
+        /// The folder or file.
         path: PathBuf,
     },
 }
 
-/// Turns an error of the operating system into a [`StorageError`].
+/// Returns a function that converts an I/O error into a [`StorageError`].
 pub(crate) fn io_error(
     operation: &'static str,
     path: &Path,
--- a/crates/petrellatch-storage/src/frame.rs
+++ b/crates/petrellatch-storage/src/frame.rs
@@ -1,23 +1,23 @@
-//! The frame around every record: length, checksum of the length, checksum of
-//! the payload, payload.
+//! The frame of a record: length, CRC-32 of the length, CRC-32 of the payload
+//! (each a little-endian `u32`), payload.
 //!
-//! The length has a checksum of its own so that a damaged length is not
-//! mistaken for a record that was cut short.
+//! The length has its own checksum so that a damaged length is not mistaken for
+//! a truncated record.
 
-/// Size of the part before the payload, in bytes.
+/// Size of the header before the payload, in bytes.
 pub(crate) const FRAME_HEADER_BYTES: usize = 12;
 
 const FIELD_BYTES: usize = 4;
 
-/// What stands at some place of a file.
+/// Result of reading a frame.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Frame<'a> {
-    /// An intact record.
+    /// The payload of an intact record.
     Intact(&'a [u8]),
-    /// The file ends before the record does.
+    /// The file ends within the record.
     Truncated,
-    /// Nothing but zeros up to the end of the file: space that was allocated
-    /// but not written before a crash.
+    /// All bytes up to the end of the file are zero: the space was allocated but
+    /// not written before a crash.
     Unwritten,
     /// The checksum of the length is wrong.
     DamagedLength,
@@ -35,7 +35,7 @@
     buffer.extend_from_slice(payload);
 }
 
-/// Reads the frame at the start of `bytes`, which reach to the end of the
+/// Reads the frame at the start of `bytes`, which must extend to the end of the
 /// file.
 pub(crate) fn read_frame(bytes: &[u8]) -> Frame<'_> {
     if bytes.len() < FRAME_HEADER_BYTES {
@@ -60,6 +60,7 @@
     Frame::Intact(payload)
 }
 
+/// Returns the header's field at index `position`.
 fn header_field(header: &[u8], position: usize) -> u32 {
     let start = position * FIELD_BYTES;
     let mut bytes = [0; FIELD_BYTES];
--- a/crates/petrellatch-storage/src/lib.rs
+++ b/crates/petrellatch-storage/src/lib.rs
@@ -1,21 +1,21 @@
-//! The replicated log on disk.
+//! Durable storage of the replicated log.
 //!
-//! [`LogStore`] keeps what a `petrellatch_core::consensus::Replica` asks to be
-//! written, in one data folder. It starts no thread and reads no clock; every
-//! call returns when the work is done.
+//! [`LogStore`] stores the state of a `petrellatch_core::consensus::Replica` in
+//! one data folder. It starts no thread and reads no clock; every call blocks
+//! until its work is done.
 //!
 //! # Guarantees
 //!
 //! - [`LogStore::write`] returns a ticket only after everything in the request
 //!   is synced. After an error the store refuses further writes until it is
-//!   opened again, so that nothing is counted by half.
-//! - Every record and file carries checksums. A *torn tail*, which a crash
-//!   during an append leaves behind, is cut off when the folder is opened. Any
-//!   other damage is an error that names the file and the offset.
-//! - Hard state and snapshot are replaced as a whole: after a crash the folder
-//!   holds the old or the new one.
+//!   opened again, so that a partial write is never acknowledged.
+//! - Every record and file has checksums. A *torn tail*, left behind by a crash
+//!   during an append, is cut off when the folder is opened. Any other damage is
+//!   an error that gives the file and the offset.
+//! - Hard state and snapshot are replaced atomically: after a crash the folder
+//!   holds either the old or the new one.
 //! - A folder belongs to one cluster and one replica incarnation, both written
-//!   when it is formatted, and to one process at a time.
+//!   when it is formatted. Only one process can use it at a time.
 //!
 //! # Example
 //!
@@ -24,7 +24,7 @@
 //! use petrellatch_core::identity::Incarnation;
 //! use petrellatch_storage::{FolderIdentity, LogStore};
 //!
-//! # let scratch = tempfile::tempdir().expect("a scratch folder");
+//! # let scratch = tempfile::tempdir().expect("temporary folder");
 //! # let folder = scratch.path().join("data");
 //! let identity = FolderIdentity { cluster: 9, incarnation: Incarnation(77) };
 //! let mut opened = LogStore::open(&folder, identity)?;
--- a/crates/petrellatch-storage/src/log_replay.rs
+++ b/crates/petrellatch-storage/src/log_replay.rs
@@ -1,4 +1,4 @@
-//! From the records of the log file to the entries of the log.
+//! Converts the records of the log file to and from the entries of the log.
 
 use std::path::Path;
 
@@ -9,12 +9,12 @@
 use crate::error::StorageError;
 use crate::record_log::StoredRecord;
 
-/// The entries that a log file describes.
+/// The entries that result from the records of a log file.
 #[derive(Debug)]
 pub(crate) struct ReplayedLog {
     /// The entries after the snapshot, with consecutive indices.
     pub(crate) entries: Vec<LogEntry>,
-    /// Whether the file also describes entries that the snapshot covers.
+    /// Whether the file also contains entries that the snapshot covers.
     pub(crate) has_covered_entries: bool,
 }
 
@@ -24,14 +24,15 @@
     LogRecord { body: Some(body) }.encode_to_vec()
 }
 
-/// Encodes a record that removes the entries from `index` on.
+/// Encodes a record that removes the entry at `index` and all later ones.
 pub(crate) fn truncate_record(index: LogIndex) -> Vec<u8> {
     let body = LogRecordBody::TruncateFrom(index);
     LogRecord { body: Some(body) }.encode_to_vec()
 }
 
-/// Replays the records of the log file at `path`, to follow a snapshot that
-/// covers entries up to `covered`.
+/// Replays the records of the log file at `path` and returns the entries after
+/// a snapshot whose last entry is at `snapshot_index`. Returns
+/// [`StorageError::Damaged`] if a record can't be decoded or entries are missing.
 pub(crate) fn replay(
     path: &Path,
     records: &[StoredRecord],
@@ -54,10 +55,14 @@
                 let index = entry.position.index;
                 let last = entries.last().map(|entry| entry.position.index);
                 if last.is_some_and(|last| index != last + 1) {
-                    return Err(damaged("the entry doesn't follow the one before"));
+                    return Err(damaged(
+                        "the entry's index doesn't follow the previous entry's",
+                    ));
                 }
                 if last.is_none() && index > snapshot_index + 1 {
-                    return Err(damaged("entries before this one are missing"));
+                    return Err(damaged(
+                        "entries between the snapshot and this one are missing",
+                    ));
                 }
                 has_covered_entries |= index <= snapshot_index;
                 entries.push(entry);
--- a/crates/petrellatch-storage/src/log_store.rs
+++ b/crates/petrellatch-storage/src/log_store.rs
@@ -1,4 +1,4 @@
-//! A replica's data folder.
+//! Stores a replica's persistent state in a data folder.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,27 +12,29 @@
 use crate::log_replay::{append_record, replay, truncate_record};
 use crate::record_log::{LogContent, RecordLog, read_log, rewrite_log};
 
-/// Writes what a replica asks for. One process uses a folder at a time.
+/// Persistent state of a replica, in a data folder that is locked for this
+/// process.
 #[derive(Debug)]
 pub struct LogStore {
     folder: DataFolder,
     identity: FolderIdentity,
     log: RecordLog,
-    /// Last entry that the snapshot covers.
+    /// Index of the last entry that the snapshot covers; zero without a snapshot.
     snapshot_index: u64,
+    /// Whether a write failed.
     failed: bool,
 }
 
-/// A data folder that was opened.
+/// Result of opening a data folder.
 #[derive(Debug)]
 pub struct OpenedStore {
-    /// For writing.
+    /// The store, ready for writing.
     pub store: LogStore,
-    /// Everything that was read back.
+    /// The state that the folder holds.
     pub state: PersistentState,
     /// Size of the torn tail that was cut off the log, in bytes.
     pub torn_bytes: u64,
-    /// Whether the folder was formatted just now.
+    /// Whether this call formatted the folder.
     pub formatted: bool,
 }
 
@@ -40,6 +42,9 @@
     /// Opens a folder. A missing or empty one is formatted with
     /// `new_identity`; an existing one must belong to the same cluster and
     /// keeps its incarnation, see [`LogStore::identity`].
+    ///
+    /// Fails if the folder is in use by another process, belongs to another
+    /// cluster, or is damaged other than by a torn tail of the log.
     pub fn open(path: &Path, new_identity: FolderIdentity) -> Result<OpenedStore, StorageError> {
         let folder = DataFolder::lock(path)?;
         let found = folder.read_identity()?;
@@ -62,8 +67,9 @@
         let log_path = folder.log_path();
         let replayed = replay(&log_path, &content.records, snapshot_index)?;
         let log = if replayed.has_covered_entries {
-            // A crash came between a snapshot and the removal of what it
-            // covers. Later entries must not follow the old ones.
+            // The process crashed after writing a snapshot and before removing
+            // the entries that it covers. Appending new entries after these
+            // could leave a gap in the log, which counts as damage.
             rewrite_entries(&folder, &replayed.entries)?
         } else {
             RecordLog::open(&log_path, content.intact_bytes)?
@@ -88,14 +94,14 @@
         })
     }
 
-    /// Whom the folder belongs to.
+    /// Returns the cluster and replica that the folder belongs to.
     pub fn identity(&self) -> FolderIdentity {
         self.identity
     }
 
     /// Writes a request and returns its ticket once all of it is synced. After
-    /// an error nothing of the request counts, and the store refuses further
-    /// writes until the folder is opened again.
+    /// an error no part of the request is acknowledged, and the store refuses
+    /// further writes until the folder is opened again.
     pub fn write(&mut self, request: &PersistRequest) -> Result<PersistTicket, StorageError> {
         if self.failed {
             return Err(StorageError::Unusable {
@@ -116,8 +122,8 @@
             self.log.buffer_record(&truncate_record(index));
         }
         if let Some(snapshot) = &request.snapshot {
-            // Entries that contradict the snapshot must be gone before it
-            // stands.
+            // Entries that conflict with the snapshot must be removed before
+            // the snapshot is written.
             self.log.commit()?;
             self.write_snapshot(snapshot)?;
         }
@@ -140,8 +146,9 @@
     }
 }
 
-/// Formats a folder. The format file comes last, so that a crash before it
-/// leaves a folder that can be formatted again.
+/// Formats a folder. The format file is written last, so that after a crash
+/// during formatting the folder can be formatted again. A folder without format
+/// file that holds data is refused.
 fn format(folder: &DataFolder, identity: FolderIdentity) -> Result<FolderIdentity, StorageError> {
     let hard_state = folder.read_hard_state()?.unwrap_or_default();
     let snapshot = folder.read_snapshot()?;
@@ -156,6 +163,8 @@
     Ok(identity)
 }
 
+/// Returns the index of the last entry that a snapshot covers, or zero without a
+/// snapshot.
 fn index_of_snapshot(snapshot: Option<&Snapshot>) -> u64 {
     snapshot.map_or(0, |snapshot| snapshot.position.index)
 }
--- a/crates/petrellatch-storage/src/record_file.rs
+++ b/crates/petrellatch-storage/src/record_file.rs
@@ -1,33 +1,34 @@
-//! A file of records beside the log that may be lost.
+//! A file of records, apart from the replicated log, whose loss is tolerated.
 
 use std::path::{Path, PathBuf};
 
 use crate::error::StorageError;
 use crate::record_log::{RecordLog, read_log, rewrite_log};
 
-/// Records that are appended, or replaced as a whole. After an error the file is made
-/// anew by [`RecordFile::replace`]; until then nothing can be appended.
+/// A file of records, which can be appended to or replaced as a whole. After an error,
+/// appending fails until [`RecordFile::replace`] has rewritten the file.
 #[derive(Debug)]
 pub struct RecordFile {
     path: PathBuf,
     log: Option<RecordLog>,
 }
 
-/// A file as it was found.
+/// Result of opening a record file.
 #[derive(Debug)]
 pub struct OpenedRecords {
     /// The file.
     pub file: RecordFile,
-    /// What it holds, in the order in which it was written.
+    /// The records of the file, in the order in which they were written.
     pub records: Vec<Vec<u8>>,
-    /// Why what it holds can't be used, if that is so. It is then made anew by
-    /// [`RecordFile::replace`].
+    /// Reason why the records couldn't be read, if any. [`RecordFile::replace`] then
+    /// rewrites the file.
     pub failure: Option<StorageError>,
 }
 
 impl RecordFile {
-    /// Opens a file, or names one that does not exist yet. A torn tail is cut off; a file
-    /// that is damaged otherwise counts as empty.
+    /// Opens the file at `path`, and creates it if it doesn't exist. A torn tail is cut
+    /// off; a file with other damage is treated as empty and reported in
+    /// [`OpenedRecords::failure`].
     pub fn open(path: impl Into<PathBuf>) -> OpenedRecords {
         let path = path.into();
         let (records, log, failure) = match read(&path) {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Appends records; returns when they are synced.
+    /// Appends records and returns once they are synced.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         let Some(mut log) = self.log.take() else {
             return Err(StorageError::Unusable {
@@ -54,8 +55,8 @@
         Ok(())
     }
 
-    /// Replaces all records; returns when the new ones are synced. A crash leaves the old
-    /// or the new ones.
+    /// Replaces all records and returns once the new ones are synced. After a crash the
+    /// file holds either the old or the new records.
     pub fn replace(&mut self, records: &[Vec<u8>]) -> Result<(), StorageError> {
         self.log = None;
         let records = records.iter().map(Vec::as_slice);
--- a/crates/petrellatch-storage/src/record_log.rs
+++ b/crates/petrellatch-storage/src/record_log.rs
@@ -1,4 +1,4 @@
-//! An append-only file of framed records.
+//! An append-only log file of framed records.
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions};
@@ -10,16 +10,16 @@
 use crate::frame::{FRAME_HEADER_BYTES, Frame, read_frame, write_frame};
 use crate::snapshot_file::replace_file;
 
-/// First bytes of every log file, with the version of the layout.
+/// Magic bytes at the start of every log file, including the layout version.
 pub(crate) const LOG_MAGIC: &[u8; 8] = b"PLRLOG01";
 
-/// What a log needs of its file; tests put a failing disk in its place.
+/// The file operations that a log needs. Tests substitute a failing disk.
 pub(crate) trait AppendFile: fmt::Debug + Send {
     /// Appends all bytes.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Returns when everything appended is on disk.
+    /// Syncs all appended bytes to disk.
     fn sync(&mut self) -> io::Result<()>;
-    /// Whether the file still has a name in some folder.
+    /// Returns whether the file still has a directory entry.
     fn is_linked(&self) -> io::Result<bool>;
 }
 
@@ -37,15 +37,15 @@
     }
 }
 
-/// A record as it was found in the file.
+/// A record read from a log file.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct StoredRecord {
-    /// Where its frame begins, in bytes.
+    /// Offset of the record's frame in the file, in bytes.
     pub(crate) offset: u64,
     pub(crate) payload: Vec<u8>,
 }
 
-/// Everything found in a log file.
+/// The content of a log file.
 #[derive(Debug)]
 pub(crate) struct LogContent {
     pub(crate) records: Vec<StoredRecord>,
@@ -64,7 +64,8 @@
 }
 
 impl RecordLog {
-    /// Opens an existing file after its intact part, cutting off what follows.
+    /// Opens an existing file for appending, and cuts off everything after its
+    /// first `intact_bytes` bytes.
     pub(crate) fn open(path: &Path, intact_bytes: u64) -> Result<Self, StorageError> {
         let file = OpenOptions::new().append(true).open(path);
         let file = file.map_err(io_error("open", path))?;
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Adds a record to the next [`RecordLog::commit`].
+    /// Buffers a record for the next [`RecordLog::commit`].
     pub(crate) fn buffer_record(&mut self, payload: &[u8]) {
         write_frame(&mut self.buffer, payload);
     }
 
-    /// Appends the added records and returns when they are synced.
+    /// Appends the buffered records and returns once they are synced.
     pub(crate) fn commit(&mut self) -> Result<(), StorageError> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -99,7 +100,7 @@
         let appended = self.file.append(&bytes);
         appended.map_err(io_error("append to", &self.path))?;
         self.file.sync().map_err(io_error("sync", &self.path))?;
-        // A deleted file takes writes until it is closed, but keeps nothing.
+        // Writes to a deleted file succeed until it is closed, but are lost then.
         let linked = self.file.is_linked();
         if linked.map_err(io_error("inspect", &self.path))? {
             return Ok(());
@@ -110,7 +111,7 @@
     }
 }
 
-/// Replaces the log file by one with just these records.
+/// Replaces the log file by one that holds only the given records.
 pub(crate) fn rewrite_log<'a>(
     path: &Path,
     payloads: impl IntoIterator<Item = &'a [u8]>,
@@ -123,7 +124,7 @@
     RecordLog::open(path, bytes.len() as u64)
 }
 
-/// Reads a log file; `None` if there is none.
+/// Reads a log file; `None` if the file doesn't exist.
 pub(crate) fn read_log(path: &Path) -> Result<Option<LogContent>, StorageError> {
     let bytes = match fs::read(path) {
         Ok(bytes) => bytes,
@@ -133,6 +134,8 @@
     scan_log(path, &bytes).map(Some)
 }
 
+/// Splits the bytes of a log file into records. A truncated record, or zeros up to
+/// the end of the file, are a torn tail; other damage is an error.
 fn scan_log(path: &Path, bytes: &[u8]) -> Result<LogContent, StorageError> {
     let damaged = |offset: usize, reason| StorageError::Damaged {
         path: path.to_path_buf(),
@@ -140,7 +143,7 @@
         reason,
     };
     if !bytes.starts_with(LOG_MAGIC) {
-        return Err(damaged(0, "the file header is wrong"));
+        return Err(damaged(0, "the magic bytes are wrong"));
     }
     let mut records = Vec::new();
     let mut offset = LOG_MAGIC.len();
@@ -157,7 +160,9 @@
             Frame::DamagedLength => {
                 return Err(damaged(offset, "the checksum of the length is wrong"));
             }
-            Frame::DamagedPayload => return Err(damaged(offset, "the checksum is wrong")),
+            Frame::DamagedPayload => {
+                return Err(damaged(offset, "the checksum of the payload is wrong"));
+            }
         }
     }
     Ok(LogContent {
--- a/crates/petrellatch-storage/src/record_log/tests.rs
+++ b/crates/petrellatch-storage/src/record_log/tests.rs
@@ -1,10 +1,10 @@
-//! Tests with a disk that fails.
+//! Tests of a log on a failing disk.
 
 use assert_matches::assert_matches;
 
 use super::*;
 
-/// A disk that takes a number of bytes and then is full, or can't sync.
+/// A file on a disk that is full after `free_bytes`, or whose sync fails.
 #[derive(Debug)]
 struct FailingFile {
     free_bytes: usize,
--- a/crates/petrellatch-storage/src/snapshot_file.rs
+++ b/crates/petrellatch-storage/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! A file that is replaced as a whole.
+//! A file that holds one value and is replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -7,29 +7,31 @@
 use crate::error::{StorageError, io_error};
 use crate::frame::{Frame, read_frame, write_frame};
 
-/// First bytes of every such file, with the version of the layout.
+/// Magic bytes at the start of every snapshot file, including the layout version.
 const MAGIC: &[u8; 8] = b"PLSNAP01";
 
-/// One value in a file with a checksum. It is replaced atomically: after a
-/// crash the file holds the old or the new value. Useful for any state that a
-/// process stores as a whole, such as a daemon's copy of the configuration.
+/// A file that holds one value with a checksum. The value is replaced
+/// atomically: after a crash the file holds either the old or the new value.
+/// Suitable for any state that a process stores as a whole, such as a daemon's
+/// copy of the configuration.
 #[derive(Clone, Debug)]
 pub struct SnapshotFile {
     path: PathBuf,
 }
 
 impl SnapshotFile {
-    /// Names a file. It needn't exist yet; its folder must.
+    /// Creates a handle to the file at `path`, without accessing it. The file
+    /// needn't exist yet; its folder must.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         SnapshotFile { path: path.into() }
     }
 
-    /// The file's path.
+    /// Returns the file's path.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Reads the value, or `None` if there is no file.
+    /// Reads the value; `None` if the file doesn't exist.
     pub fn read(&self) -> Result<Option<Vec<u8>>, StorageError> {
         let bytes = match fs::read(&self.path) {
             Ok(bytes) => bytes,
@@ -37,18 +39,19 @@
             Err(error) => return Err(io_error("read", &self.path)(error)),
         };
         let framed = bytes.strip_prefix(MAGIC);
-        let framed = framed.ok_or_else(|| self.damaged("the file header is wrong"))?;
+        let framed = framed.ok_or_else(|| self.damaged("the magic bytes are wrong"))?;
         match read_frame(framed) {
             Frame::Intact(payload) => Ok(Some(payload.to_vec())),
-            Frame::Truncated | Frame::Unwritten => Err(self.damaged("the file is cut short")),
+            Frame::Truncated | Frame::Unwritten => Err(self.damaged("the file is truncated")),
             Frame::DamagedLength => Err(self.damaged("the checksum of the length is wrong")),
-            Frame::DamagedPayload => Err(self.damaged("the checksum is wrong")),
+            Frame::DamagedPayload => Err(self.damaged("the checksum of the payload is wrong")),
         }
     }
 
-    /// Replaces the value; returns when it is synced. After an error the old
-    /// value still stands, unless the error came after the replacement, in
-    /// which case either value may be found later.
+    /// Replaces the value and returns once the new one is synced. After an
+    /// error the file still holds the old value, unless the error came after
+    /// the new file was renamed into place: then a later read may return
+    /// either value.
     pub fn replace(&self, payload: &[u8]) -> Result<(), StorageError> {
         let mut bytes = Vec::with_capacity(MAGIC.len() + payload.len());
         bytes.extend_from_slice(MAGIC);
@@ -56,6 +59,7 @@
         replace_file(&self.path, &bytes)
     }
 
+    /// Returns the error for damage of this file.
     pub(crate) fn damaged(&self, reason: &'static str) -> StorageError {
         StorageError::Damaged {
             path: self.path.clone(),
@@ -65,7 +69,8 @@
     }
 }
 
-/// Replaces a file by writing another one, syncing it and renaming it.
+/// Replaces a file atomically: writes a temporary file, syncs it and renames it
+/// to `path`.
 pub(crate) fn replace_file(path: &Path, bytes: &[u8]) -> Result<(), StorageError> {
     let temporary = temporary_path(path);
     let mut file = File::create(&temporary).map_err(io_error("create", &temporary))?;
@@ -77,7 +82,8 @@
     sync_folder_of(path)
 }
 
-/// Makes changes of the folder that holds `path` durable.
+/// Syncs the folder that contains `path`, so that a created or renamed file
+/// survives a crash.
 pub(crate) fn sync_folder_of(path: &Path) -> Result<(), StorageError> {
     let parent = path
         .parent()
