--- a/crates/petrellatch-storage/tests/log_store.rs
+++ b/crates/petrellatch-storage/tests/log_store.rs
@@ -1,4 +1,5 @@
-//! Tests of the data folder, with damage of every kind.
+//! Tests of the data folder: reading back, damaged and missing files, crashes and
+//! full disks.
 
 use std::fs;
 use std::os::unix::fs::symlink;
@@ -23,17 +24,17 @@
     ..IDENTITY
 };
 const LOG_HEADER_BYTES: usize = 8;
-/// A device of Linux on which every write finds the disk full.
+/// A Linux device on which every write fails because the disk is full.
 const FULL_DEVICE: &str = "/dev/full";
 
 fn scratch() -> (TempDir, PathBuf) {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+    let scratch = tempfile::tempdir().expect("temporary folder");
     let folder = scratch.path().join("data");
     (scratch, folder)
 }
 
 fn open(folder: &Path) -> OpenedStore {
-    LogStore::open(folder, IDENTITY).expect("the folder opens")
+    LogStore::open(folder, IDENTITY).expect("the folder is opened")
 }
 
 fn replica() -> ReplicaId {
@@ -77,8 +78,8 @@
     }
 }
 
-/// A history with every kind of change, one request after the other.
-fn history() -> Vec<PersistRequest> {
+/// Returns consecutive requests that cover every kind of change.
+fn requests_of_every_kind() -> Vec<PersistRequest> {
     let hard_state = HardState {
         term: 4,
         voted_for: Some(replica()),
@@ -107,50 +108,51 @@
 }
 
 #[test]
-fn every_kind_of_change_is_read_back() {
+fn reopened_store_returns_every_kind_of_change() {
     let (_scratch, folder) = scratch();
     let mut expected = PersistentState::default();
-    for request in history() {
+    for request in requests_of_every_kind() {
         let mut opened = open(&folder);
         assert_eq!(opened.state, expected);
-        let ticket = opened.store.write(&request).expect("written");
+        let ticket = opened.store.write(&request).expect("write succeeds");
         assert_eq!(ticket, request.ticket);
         expected.apply(&request);
     }
     assert_eq!(open(&folder).state, expected);
 }
 
-/// Makes a folder whose log holds five records and returns the log's bytes.
+/// Creates a data folder with five records in the log, and returns the log's
+/// bytes.
 fn folder_with_log(folder: &Path) -> Vec<u8> {
     let mut opened = open(folder);
     let entries = (1..=5).map(|index| entry(1, index)).collect();
     let request = entries_request(1, entries);
-    opened.store.write(&request).expect("written");
-    fs::read(folder.join("log")).expect("the log is there")
+    opened.store.write(&request).expect("write succeeds");
+    fs::read(folder.join("log")).expect("the log is readable")
 }
 
 #[test]
-fn torn_tail_is_cut_off_at_every_byte() {
+fn torn_tail_of_any_length_is_cut_off() {
     let (_scratch, folder) = scratch();
     let log = folder_with_log(&folder);
-    let mut kept_before = 0;
+    let mut previous_count = 0;
     for length in LOG_HEADER_BYTES..log.len() {
-        fs::write(folder.join("log"), &log[..length]).expect("torn");
+        fs::write(folder.join("log"), &log[..length]).expect("the log is truncated");
         let mut opened = open(&folder);
-        let kept = opened.state.entries.len();
-        assert!(kept == kept_before || kept == kept_before + 1);
+        let count = opened.state.entries.len();
+        assert!(count == previous_count || count == previous_count + 1);
         assert_eq!(opened.torn_bytes == 0, is_record_end(&log, length));
-        kept_before = kept;
-        let next = entries_request(1, vec![entry(2, kept as u64 + 1)]);
-        opened.store.write(&next).expect("the store goes on");
+        previous_count = count;
+        let next = entries_request(1, vec![entry(2, count as u64 + 1)]);
+        opened.store.write(&next).expect("write succeeds");
         drop(opened);
         let state = open(&folder).state;
         assert_eq!(state.entries.last(), next.entries.last());
     }
-    assert_eq!(kept_before, 4);
+    assert_eq!(previous_count, 4);
 }
 
-/// Whether a record ends at `length`: the rest then begins with a record.
+/// Returns whether a record (or the file header) ends at offset `length`.
 fn is_record_end(log: &[u8], length: usize) -> bool {
     let mut end = LOG_HEADER_BYTES;
     while end < length {
@@ -161,95 +163,97 @@
 }
 
 #[test]
-fn unwritten_tail_is_cut_off() {
+fn zeros_after_the_last_record_are_cut_off() {
     let (_scratch, folder) = scratch();
     let mut log = folder_with_log(&folder);
     log.extend([0; 700]);
-    fs::write(folder.join("log"), &log).expect("extended");
+    fs::write(folder.join("log"), &log).expect("the log is extended");
     let opened = open(&folder);
     assert_eq!(opened.torn_bytes, 700);
     assert_eq!(opened.state.entries.len(), 5);
 }
 
 #[test]
-fn changed_byte_anywhere_refuses_to_start() {
+fn open_fails_after_any_byte_is_changed() {
     let (_scratch, folder) = scratch();
     folder_with_log(&folder);
     let request = snapshot_request(snapshot(1, 2));
-    open(&folder).store.write(&request).expect("written");
+    open(&folder).store.write(&request).expect("write succeeds");
     for name in ["log", "snapshot", "hard-state", "format"] {
         let path = folder.join(name);
-        let intact = fs::read(&path).expect("the file is there");
+        let intact = fs::read(&path).expect("the file is readable");
         for position in 0..intact.len() {
             let mut damaged = intact.clone();
             damaged[position] ^= 0x10;
-            fs::write(&path, &damaged).expect("damaged");
-            let refused = LogStore::open(&folder, IDENTITY);
+            fs::write(&path, &damaged).expect("the file is damaged");
+            let result = LogStore::open(&folder, IDENTITY);
             assert_matches!(
-                refused,
+                result,
                 Err(StorageError::Damaged { path: named, .. }) if named == path,
                 "{name} at {position}"
             );
         }
-        fs::write(&path, &intact).expect("mended");
+        fs::write(&path, &intact).expect("the file is restored");
     }
     assert_eq!(open(&folder).state.entries.len(), 3);
 }
 
 #[test]
-fn damage_names_the_offset_of_the_record() {
+fn damage_error_gives_the_offset_of_the_record() {
     let (_scratch, folder) = scratch();
     let mut log = folder_with_log(&folder);
     let second = (LOG_HEADER_BYTES + 1..log.len()).find(|end| is_record_end(&log, *end));
     let second = second.expect("a second record");
     log[second + 14] ^= 1;
-    fs::write(folder.join("log"), &log).expect("damaged");
-    let error = LogStore::open(&folder, IDENTITY).expect_err("refused");
+    fs::write(folder.join("log"), &log).expect("the file is damaged");
+    let error = LogStore::open(&folder, IDENTITY).expect_err("the folder is damaged");
     assert_matches!(error, StorageError::Damaged { offset, .. } if offset == second as u64);
 }
 
 #[test]
-fn missing_files_refuse_to_start() {
+fn open_fails_if_a_file_is_missing() {
     for name in ["log", "hard-state", "format"] {
         let (_scratch, folder) = scratch();
         folder_with_log(&folder);
-        fs::remove_file(folder.join(name)).expect("removed");
-        let refused = LogStore::open(&folder, IDENTITY);
-        assert_matches!(refused, Err(StorageError::MissingFile { path }) if path == folder.join(name));
+        fs::remove_file(folder.join(name)).expect("removal succeeds");
+        let result = LogStore::open(&folder, IDENTITY);
+        assert_matches!(result, Err(StorageError::MissingFile { path }) if path == folder.join(name));
     }
 }
 
 #[test]
-fn missing_snapshot_leaves_a_gap_that_is_noticed() {
+fn missing_snapshot_is_detected_by_the_gap_before_the_log() {
     let (_scratch, folder) = scratch();
     folder_with_log(&folder);
     let request = snapshot_request(snapshot(1, 2));
-    open(&folder).store.write(&request).expect("written");
-    fs::remove_file(folder.join("snapshot")).expect("removed");
-    let refused = LogStore::open(&folder, IDENTITY);
-    assert_matches!(refused, Err(StorageError::Damaged { .. }));
+    open(&folder).store.write(&request).expect("write succeeds");
+    fs::remove_file(folder.join("snapshot")).expect("removal succeeds");
+    let result = LogStore::open(&folder, IDENTITY);
+    assert_matches!(result, Err(StorageError::Damaged { .. }));
 }
 
+/// Guards against a log that still holds the entries covered by a new snapshot,
+/// because the process crashed before it rewrote the log.
 #[test]
-fn crash_between_snapshot_and_log_is_mended() {
+fn covered_entries_are_removed_after_a_crash_between_snapshot_and_log() {
     let (_scratch, folder) = scratch();
     let log = folder_with_log(&folder);
     let request = snapshot_request(snapshot(3, 9));
-    open(&folder).store.write(&request).expect("written");
-    fs::write(folder.join("log"), &log).expect("the old log is back");
+    open(&folder).store.write(&request).expect("write succeeds");
+    fs::write(folder.join("log"), &log).expect("the old log is restored");
     let mut opened = open(&folder);
     assert_eq!(opened.state.entries, []);
     let next = entries_request(3, vec![entry(3, 10)]);
-    opened.store.write(&next).expect("written");
+    opened.store.write(&next).expect("write succeeds");
     drop(opened);
     assert_eq!(open(&folder).state.entries, next.entries);
 }
 
 #[test]
-fn deleted_folder_is_noticed_by_the_next_write() {
+fn write_to_a_deleted_folder_fails() {
     let (_scratch, folder) = scratch();
     let mut opened = open(&folder);
-    fs::remove_dir_all(&folder).expect("removed");
+    fs::remove_dir_all(&folder).expect("removal succeeds");
     let request = entries_request(1, vec![entry(1, 1)]);
     assert_matches!(
         opened.store.write(&request),
@@ -258,22 +262,22 @@
 }
 
 #[test]
-fn interrupted_formatting_is_repeated() {
+fn open_repeats_an_interrupted_formatting() {
     let (_scratch, folder) = scratch();
     drop(open(&folder));
-    fs::remove_file(folder.join("format")).expect("removed");
+    fs::remove_file(folder.join("format")).expect("removal succeeds");
     let identity = OTHER_IDENTITY;
-    let opened = LogStore::open(&folder, identity).expect("formatted again");
+    let opened = LogStore::open(&folder, identity).expect("the folder is formatted again");
     assert!(opened.formatted);
     assert_eq!(opened.store.identity(), identity);
 }
 
 #[test]
-fn folder_keeps_its_identity() {
+fn folder_keeps_its_identity_and_rejects_another_process_or_cluster() {
     let (_scratch, folder) = scratch();
     drop(open(&folder));
     let other = OTHER_IDENTITY;
-    let opened = LogStore::open(&folder, other).expect("opened");
+    let opened = LogStore::open(&folder, other).expect("the folder is opened");
     assert!(!opened.formatted);
     assert_eq!(opened.store.identity(), IDENTITY);
     assert_matches!(
@@ -281,24 +285,24 @@
         Err(StorageError::FolderInUse { .. })
     );
     drop(opened);
-    let foreign = FolderIdentity {
+    let other_cluster = FolderIdentity {
         cluster: 10,
         ..IDENTITY
     };
     assert_matches!(
-        LogStore::open(&folder, foreign),
+        LogStore::open(&folder, other_cluster),
         Err(StorageError::WrongCluster { found: 9, .. })
     );
 }
 
 #[test]
-fn full_disk_counts_nothing_and_stops_the_store() {
+fn failed_write_keeps_the_old_state_and_blocks_further_writes() {
     let (_scratch, folder) = scratch();
     folder_with_log(&folder);
     let mut opened = open(&folder);
-    let before = opened.state.clone();
+    let expected = opened.state.clone();
     let temporary = folder.join("hard-state.tmp");
-    symlink(FULL_DEVICE, &temporary).expect("linked");
+    symlink(FULL_DEVICE, &temporary).expect("the link is created");
     let request = PersistRequest {
         hard_state: Some(HardState {
             term: 9,
@@ -310,22 +314,22 @@
         opened.store.write(&request),
         Err(StorageError::DiskFull { .. })
     );
-    fs::remove_file(&temporary).expect("removed");
+    fs::remove_file(&temporary).expect("removal succeeds");
     assert_matches!(
         opened.store.write(&request),
         Err(StorageError::Unusable { .. })
     );
     drop(opened);
-    assert_eq!(open(&folder).state, before);
+    assert_eq!(open(&folder).state, expected);
 }
 
 #[test]
-fn snapshot_file_keeps_the_old_value_when_the_disk_is_full() {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+fn snapshot_file_keeps_the_old_value_if_the_disk_is_full() {
+    let scratch = tempfile::tempdir().expect("temporary folder");
     let file = SnapshotFile::new(scratch.path().join("copy"));
     assert_matches!(file.read(), Ok(None));
-    file.replace(b"old").expect("written");
-    symlink(FULL_DEVICE, scratch.path().join("copy.tmp")).expect("linked");
+    file.replace(b"old").expect("write succeeds");
+    symlink(FULL_DEVICE, scratch.path().join("copy.tmp")).expect("the link is created");
     assert_matches!(file.replace(b"new"), Err(StorageError::DiskFull { .. }));
     assert_matches!(file.read(), Ok(Some(value)) if value == b"old");
 }
--- a/crates/petrellatch-storage/tests/record_file.rs
+++ b/crates/petrellatch-storage/tests/record_file.rs
@@ -1,4 +1,5 @@
-//! Tests of the file of records, with damage of every kind.
+//! Tests of the record file: reading back, torn tails, damage, deletion and full
+//! disks.
 
 use std::fs;
 use std::os::unix::fs::symlink;
@@ -8,11 +9,11 @@
 use petrellatch_storage::{OpenedRecords, RecordFile, StorageError};
 use tempfile::TempDir;
 
-/// A device of Linux on which every write finds the disk full.
+/// A Linux device on which every write fails because the disk is full.
 const FULL_DEVICE: &str = "/dev/full";
 
 fn scratch() -> (TempDir, PathBuf) {
-    let scratch = tempfile::tempdir().expect("a scratch folder");
+    let scratch = tempfile::tempdir().expect("temporary folder");
     let path = scratch.path().join("records");
     (scratch, path)
 }
@@ -21,8 +22,8 @@
     vec![number; 20]
 }
 
-/// A file with three records.
-fn filled() -> (TempDir, PathBuf) {
+/// Creates a file with three records.
+fn file_with_three_records() -> (TempDir, PathBuf) {
     let (scratch, path) = scratch();
     let OpenedRecords {
         mut file,
@@ -30,51 +31,52 @@
         failure,
     } = RecordFile::open(&path);
     assert!(records.is_empty() && failure.is_none());
-    file.append(&[record(1), record(2)]).expect("it appends");
-    file.append(&[record(3)]).expect("it appends");
+    file.append(&[record(1), record(2)])
+        .expect("append succeeds");
+    file.append(&[record(3)]).expect("append succeeds");
     (scratch, path)
 }
 
 #[test]
-fn what_was_appended_is_found_again() {
-    let (_scratch, path) = filled();
+fn reopened_file_returns_the_appended_records() {
+    let (_scratch, path) = file_with_three_records();
     let opened = RecordFile::open(&path);
     assert_eq!(opened.records, [record(1), record(2), record(3)]);
     assert!(opened.failure.is_none());
 }
 
 #[test]
-fn a_replacement_leaves_nothing_of_before() {
-    let (_scratch, path) = filled();
+fn replace_removes_all_earlier_records() {
+    let (_scratch, path) = file_with_three_records();
     let mut file = RecordFile::open(&path).file;
-    file.replace(&[record(9)]).expect("it replaces");
-    file.append(&[record(10)]).expect("it appends");
+    file.replace(&[record(9)]).expect("replace succeeds");
+    file.append(&[record(10)]).expect("append succeeds");
     assert_eq!(RecordFile::open(&path).records, [record(9), record(10)]);
 }
 
 #[test]
-fn a_torn_tail_is_cut_off_at_any_place() {
-    let (_scratch, path) = filled();
-    let bytes = fs::read(&path).expect("it is there");
-    let last = bytes.len() - 32;
-    for length in last..bytes.len() {
-        fs::write(&path, &bytes[..length]).expect("it writes");
+fn torn_tail_of_any_length_is_cut_off() {
+    let (_scratch, path) = file_with_three_records();
+    let bytes = fs::read(&path).expect("the file exists");
+    let last_record = bytes.len() - 32;
+    for length in last_record..bytes.len() {
+        fs::write(&path, &bytes[..length]).expect("the file is written");
         let mut opened = RecordFile::open(&path);
         assert!(opened.failure.is_none(), "{length}");
         assert_eq!(opened.records, [record(1), record(2)], "{length}");
-        opened.file.append(&[record(4)]).expect("it appends");
+        opened.file.append(&[record(4)]).expect("append succeeds");
         let records = RecordFile::open(&path).records;
         assert_eq!(records, [record(1), record(2), record(4)], "{length}");
     }
 }
 
 #[test]
-fn a_damaged_file_is_empty_until_it_is_made_anew() {
-    let (_scratch, path) = filled();
-    let mut bytes = fs::read(&path).expect("it is there");
+fn damaged_file_reads_as_empty_and_accepts_no_append_until_replaced() {
+    let (_scratch, path) = file_with_three_records();
+    let mut bytes = fs::read(&path).expect("the file exists");
     bytes[25] ^= 1;
     for damaged in [bytes, b"something else".to_vec()] {
-        fs::write(&path, damaged).expect("it writes");
+        fs::write(&path, damaged).expect("the file is written");
         let mut opened = RecordFile::open(&path);
         assert_matches!(opened.failure, Some(StorageError::Damaged { .. }));
         assert!(opened.records.is_empty());
@@ -82,18 +84,18 @@
             opened.file.append(&[record(5)]),
             Err(StorageError::Unusable { .. })
         );
-        opened.file.replace(&[record(5)]).expect("it replaces");
-        opened.file.append(&[record(6)]).expect("it appends");
+        opened.file.replace(&[record(5)]).expect("replace succeeds");
+        opened.file.append(&[record(6)]).expect("append succeeds");
         assert_eq!(RecordFile::open(&path).records, [record(5), record(6)]);
     }
 }
 
 #[test]
-fn a_full_disk_is_told_and_nothing_is_appended_after_it() {
-    let (scratch, path) = filled();
+fn failed_replace_keeps_the_old_records_and_blocks_appends() {
+    let (scratch, path) = file_with_three_records();
     let mut file = RecordFile::open(&path).file;
     let temporary = scratch.path().join("records.tmp");
-    symlink(FULL_DEVICE, &temporary).expect("a link");
+    symlink(FULL_DEVICE, &temporary).expect("the link is created");
     assert_matches!(
         file.replace(&[record(7)]),
         Err(StorageError::DiskFull { .. })
@@ -103,17 +105,17 @@
         Err(StorageError::Unusable { .. })
     );
     let records = RecordFile::open(&path).records;
-    assert_eq!(records, [record(1), record(2), record(3)], "the old ones");
-    fs::remove_file(&temporary).expect("it is there");
-    file.replace(&[record(8)]).expect("there is room again");
+    assert_eq!(records, [record(1), record(2), record(3)], "old records");
+    fs::remove_file(&temporary).expect("the file exists");
+    file.replace(&[record(8)]).expect("replace succeeds");
     assert_eq!(RecordFile::open(&path).records, [record(8)]);
 }
 
 #[test]
-fn a_file_that_was_deleted_is_noticed() {
-    let (_scratch, path) = filled();
+fn append_to_a_deleted_file_fails_until_it_is_replaced() {
+    let (_scratch, path) = file_with_three_records();
     let mut file = RecordFile::open(&path).file;
-    fs::remove_file(&path).expect("it is there");
+    fs::remove_file(&path).expect("the file exists");
     assert_matches!(
         file.append(&[record(4)]),
         Err(StorageError::MissingFile { .. })
@@ -122,6 +124,6 @@
         file.append(&[record(4)]),
         Err(StorageError::Unusable { .. })
     );
-    file.replace(&[record(4)]).expect("it replaces");
+    file.replace(&[record(4)]).expect("replace succeeds");
     assert_eq!(RecordFile::open(&path).records, [record(4)]);
 }
