--- a/crates/petrellatch-core/src/admission/load_table.rs
+++ b/crates/petrellatch-core/src/admission/load_table.rs
@@ -88,10 +88,10 @@
             reporter,
             sequence: report.sequence,
             present: BackendUse {
-                busy: report.busy,
+                busy: report.in_flight_requests,
                 connections: report.connections,
             },
-            closed: report.closed,
+            closed: report.refuses_new_flows,
             withdrawn: report.withdrawn,
             passed: 0,
             paused_until: Timestamp::ZERO,
--- a/crates/petrellatch-core/src/admission/tests/limits.rs
+++ b/crates/petrellatch-core/src/admission/tests/limits.rs
@@ -54,9 +54,9 @@
     LoadReport {
         service: 1,
         backend,
-        busy,
+        in_flight_requests: busy,
         connections: busy,
-        closed: false,
+        refuses_new_flows: false,
         sequence,
         withdrawn: false,
     }
@@ -103,7 +103,7 @@
     let mut loads = LoadTable::new();
     let candidates = [1, 2, 3].map(|backend| candidate(backend, 1_000));
     let closed = LoadReport {
-        closed: true,
+        refuses_new_flows: true,
         ..report(3, 8, 1)
     };
     loads.handle_report(life(1), &report(1, 12, 1));
--- a/crates/petrellatch-core/src/agent_node/local_backend.rs
+++ b/crates/petrellatch-core/src/agent_node/local_backend.rs
@@ -121,9 +121,9 @@
         LoadReport {
             service: self.record.service,
             backend: self.record.id,
-            busy: self.present.busy,
+            in_flight_requests: self.present.busy,
             connections: self.present.connections,
-            closed,
+            refuses_new_flows: closed,
             sequence: self.sequence,
             withdrawn: self.withdrawal(now).is_some(),
         }
@@ -166,7 +166,7 @@
     pub(super) fn backend_load(&self) -> BackendLoad {
         BackendLoad {
             backend: self.record.id,
-            busy: self.present.busy,
+            in_flight_requests: self.present.busy,
             connections: self.present.connections,
             health: self.health.health(),
             draining: self.drains_itself,
--- a/crates/petrellatch-core/src/agent_node/tests/control_stub.rs
+++ b/crates/petrellatch-core/src/agent_node/tests/control_stub.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::dissemination::{
-    Delta, HeartbeatAnswer, HeartbeatEntry, HeartbeatReply, Update,
+    Delta, HeartbeatEntry, HeartbeatReply, HeartbeatReplyEntry, Update,
 };
 use petrellatch_proto::envelope::{Body, Envelope};
 use petrellatch_proto::record::{
@@ -95,14 +95,14 @@
                 let entries = heartbeat.entries.clone();
                 let answers = entries.into_iter().map(|entry| self.answer(entry));
                 Some(Body::HeartbeatReply(HeartbeatReply {
-                    answers: answers.collect(),
+                    entries: answers.collect(),
                 }))
             }
             _ => None,
         }
     }
 
-    fn answer(&mut self, entry: HeartbeatEntry) -> HeartbeatAnswer {
+    fn answer(&mut self, entry: HeartbeatEntry) -> HeartbeatReplyEntry {
         let life = (entry.node, entry.incarnation);
         let (node, incarnation) = (NodeId(entry.node), Incarnation(entry.incarnation));
         let is_member = |view: &ClusterView| view.is_member(node, incarnation);
@@ -118,7 +118,7 @@
         }
         let registered = is_member(&self.view);
         let granted = registered && !self.refuses_leases && !entry.stopped;
-        let answer = HeartbeatAnswer {
+        let answer = HeartbeatReplyEntry {
             term: 1,
             node: entry.node,
             incarnation: entry.incarnation,
--- a/crates/petrellatch-core/src/balancer_node/tests.rs
+++ b/crates/petrellatch-core/src/balancer_node/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the balancer. Its work together with agents is tested there.
 
-use petrellatch_proto::dissemination::{Delta, HeartbeatAnswer, HeartbeatReply, Update};
+use petrellatch_proto::dissemination::{Delta, HeartbeatReply, HeartbeatReplyEntry, Update};
 use petrellatch_proto::envelope::{Body, Envelope};
 use petrellatch_proto::record::{NodeRole, PolicyRecord, Record, RecordChange};
 
@@ -71,7 +71,7 @@
 
 fn answer(sequence: u64, version: u64, fenced: bool) -> Body {
     Body::HeartbeatReply(HeartbeatReply {
-        answers: vec![HeartbeatAnswer {
+        entries: vec![HeartbeatReplyEntry {
             term: 1,
             node: NodeId::from_name("balancer-1").0,
             incarnation: 7,
--- a/crates/petrellatch-core/src/control/control_node.rs
+++ b/crates/petrellatch-core/src/control/control_node.rs
@@ -208,7 +208,8 @@
             .filter_map(|entry| tracker.handle_heartbeat(now, entry, &self.state))
             .collect();
         leadership.follow_members(&self.state);
-        self.relay.handle_reply(&HeartbeatReply { answers });
+        self.relay
+            .handle_reply(&HeartbeatReply { entries: answers });
     }
 
     /// Carries out what the parts want until none wants anything.
--- a/crates/petrellatch-core/src/control/load_level.rs
+++ b/crates/petrellatch-core/src/control/load_level.rs
@@ -32,7 +32,7 @@
     pub(super) fn follow(self, record: &BackendRecord, load: &BackendLoad) -> Self {
         LoadLevels {
             health: follow(self.health, load.health, HEALTH_SCALE),
-            busy: follow(self.busy, load.busy, record.slots),
+            busy: follow(self.busy, load.in_flight_requests, record.slots),
             connections: follow(self.connections, load.connections, record.connections),
             draining: load.draining,
         }
--- a/crates/petrellatch-core/src/dissemination/daemon_link/messages.rs
+++ b/crates/petrellatch-core/src/dissemination/daemon_link/messages.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 
 use petrellatch_proto::dissemination::{
-    Attach, HeartbeatAnswer, HeartbeatReply, SnapshotPart, Update,
+    Attach, HeartbeatReply, HeartbeatReplyEntry, SnapshotPart, Update,
 };
 use petrellatch_proto::envelope::Body;
 use petrellatch_proto::record::RecordKey;
@@ -127,7 +127,7 @@
         }
         let own_life = (self.identity.node.0, self.identity.incarnation.0);
         let own = reply
-            .answers
+            .entries
             .iter()
             .filter(|answer| (answer.node, answer.incarnation) == own_life);
         for answer in own {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn handle_answer(&mut self, now: Timestamp, from: SocketAddrV4, answer: &HeartbeatAnswer) {
+    fn handle_answer(&mut self, now: Timestamp, from: SocketAddrV4, answer: &HeartbeatReplyEntry) {
         let Some(sent_at) = self.heartbeats.handle_answer(now, answer) else {
             return;
         };
--- a/crates/petrellatch-core/src/dissemination/heartbeat_schedule.rs
+++ b/crates/petrellatch-core/src/dissemination/heartbeat_schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use petrellatch_proto::dissemination::{BackendLoad, HeartbeatAnswer, HeartbeatEntry};
+use petrellatch_proto::dissemination::{BackendLoad, HeartbeatEntry, HeartbeatReplyEntry};
 
 use crate::node::NodeIdentity;
 use crate::time::Timestamp;
@@ -131,7 +131,7 @@
     pub(super) fn handle_answer(
         &mut self,
         now: Timestamp,
-        answer: &HeartbeatAnswer,
+        answer: &HeartbeatReplyEntry,
     ) -> Option<Timestamp> {
         let sent = self.unanswered.remove(&answer.sequence)?;
         let is_new_leader = answer.term > self.leader_term;
--- a/crates/petrellatch-core/src/dissemination/relay.rs
+++ b/crates/petrellatch-core/src/dissemination/relay.rs
@@ -184,7 +184,7 @@
 
     /// Answers from the leader go down the way the heartbeats came.
     pub fn handle_reply(&mut self, reply: &HeartbeatReply) {
-        for (neighbour, part) in self.routes.split(&reply.answers) {
+        for (neighbour, part) in self.routes.split(&reply.entries) {
             self.outputs.push_back(RelayOutput::Send {
                 to: neighbour.address,
                 recipient: neighbour.node,
--- a/crates/petrellatch-core/src/dissemination/routes.rs
+++ b/crates/petrellatch-core/src/dissemination/routes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use petrellatch_proto::dissemination::{HeartbeatAnswer, HeartbeatEntry, HeartbeatReply};
+use petrellatch_proto::dissemination::{HeartbeatEntry, HeartbeatReply, HeartbeatReplyEntry};
 
 use crate::identity::NodeId;
 use crate::time::Timestamp;
@@ -61,12 +61,15 @@
     }
 
     /// Sorts answers by the neighbour to whom they go.
-    pub(super) fn split(&self, answers: &[HeartbeatAnswer]) -> BTreeMap<Neighbour, HeartbeatReply> {
+    pub(super) fn split(
+        &self,
+        answers: &[HeartbeatReplyEntry],
+    ) -> BTreeMap<Neighbour, HeartbeatReply> {
         let mut replies: BTreeMap<Neighbour, HeartbeatReply> = BTreeMap::new();
         for answer in answers {
             if let Some(route) = self.routes.get(&NodeId(answer.node)) {
                 let reply = replies.entry(route.neighbour).or_default();
-                reply.answers.push(*answer);
+                reply.entries.push(*answer);
             }
         }
         replies
--- a/crates/petrellatch-core/src/membership/member_tracker.rs
+++ b/crates/petrellatch-core/src/membership/member_tracker.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use petrellatch_proto::command::CommandKind;
-use petrellatch_proto::dissemination::{Attach, Delta, HeartbeatAnswer, HeartbeatEntry};
+use petrellatch_proto::dissemination::{Attach, Delta, HeartbeatEntry, HeartbeatReplyEntry};
 use petrellatch_proto::record::{MemberRecord, NodeRole, RecordKey};
 
 use crate::control::{ControlMutations, ControlState, Life};
@@ -128,12 +128,12 @@
         now: Timestamp,
         entry: &HeartbeatEntry,
         state: &ControlState,
-    ) -> Option<HeartbeatAnswer> {
+    ) -> Option<HeartbeatReplyEntry> {
         let life = Life {
             node: NodeId(entry.node),
             incarnation: Incarnation(entry.incarnation),
         };
-        let mut answer = HeartbeatAnswer {
+        let mut answer = HeartbeatReplyEntry {
             node: entry.node,
             incarnation: entry.incarnation,
             sequence: entry.sequence,
--- a/crates/petrellatch-core/tests/control/placements.rs
+++ b/crates/petrellatch-core/tests/control/placements.rs
@@ -110,7 +110,7 @@
     let report = |health: u32| {
         move |backend: u64| BackendLoad {
             backend,
-            busy: 0,
+            in_flight_requests: 0,
             connections: 0,
             health,
             draining: false,
@@ -144,7 +144,7 @@
         for number in 0..AGENTS {
             let load = BackendLoad {
                 backend: u64::from(number) + 1,
-                busy: 3 + (round + u32::from(number)) % 3,
+                in_flight_requests: 3 + (round + u32::from(number)) % 3,
                 connections: 100 * (round % 7),
                 health: 900 + 10 * (round % 10),
                 draining: false,
--- a/crates/petrellatch-core/tests/dissemination/main.rs
+++ b/crates/petrellatch-core/tests/dissemination/main.rs
@@ -13,7 +13,7 @@
 };
 use petrellatch_core::identity::Incarnation;
 use petrellatch_proto::dissemination::{
-    Attach, Delta, HeartbeatAnswer, HeartbeatReply, Parent, Update,
+    Attach, Delta, HeartbeatReply, HeartbeatReplyEntry, Parent, Update,
 };
 use petrellatch_proto::envelope::{Body, Envelope};
 use petrellatch_proto::record::NodeRole;
@@ -207,7 +207,7 @@
 }
 
 fn reply(incarnation: Incarnation, sequence: u64, fenced: bool) -> Envelope {
-    let answer = HeartbeatAnswer {
+    let answer = HeartbeatReplyEntry {
         node: identity(10, NodeRole::Agent).node.0,
         incarnation: incarnation.0,
         sequence,
@@ -219,7 +219,7 @@
     };
     Envelope {
         body: Some(Body::HeartbeatReply(HeartbeatReply {
-            answers: vec![answer],
+            entries: vec![answer],
         })),
         ..Envelope::default()
     }
--- a/crates/petrellatch-core/tests/dissemination/network.rs
+++ b/crates/petrellatch-core/tests/dissemination/network.rs
@@ -10,7 +10,7 @@
 use petrellatch_core::identity::{Incarnation, NodeId};
 use petrellatch_core::node::NodeIdentity;
 use petrellatch_proto::dissemination::{
-    Delta, Heartbeat, HeartbeatAnswer, HeartbeatEntry, HeartbeatReply,
+    Delta, Heartbeat, HeartbeatEntry, HeartbeatReply, HeartbeatReplyEntry,
 };
 use petrellatch_proto::envelope::{Body, Envelope};
 use petrellatch_proto::record::{NodeRole, PolicyRecord, Record, RecordChange};
@@ -208,7 +208,7 @@
             .relay
             .accept_heartbeat(self.now, from, sender, heartbeat, &self.view);
         let version = self.view.version();
-        let answer = |entry: &HeartbeatEntry| HeartbeatAnswer {
+        let answer = |entry: &HeartbeatEntry| HeartbeatReplyEntry {
             node: entry.node,
             incarnation: entry.incarnation,
             sequence: entry.sequence,
@@ -219,7 +219,8 @@
             term: 1,
         };
         let answers = entries.iter().map(answer).collect();
-        self.relay.handle_reply(&HeartbeatReply { answers });
+        self.relay
+            .handle_reply(&HeartbeatReply { entries: answers });
     }
 
     fn handle_timeouts(&mut self) {
--- a/crates/petrellatch-lab/src/bench/control_stub.rs
+++ b/crates/petrellatch-lab/src/bench/control_stub.rs
@@ -1,6 +1,6 @@
 //! The answers of a control group that grants everything.
 
-use petrellatch_proto::dissemination::{HeartbeatAnswer, HeartbeatEntry, HeartbeatReply};
+use petrellatch_proto::dissemination::{HeartbeatEntry, HeartbeatReply, HeartbeatReplyEntry};
 use petrellatch_proto::envelope::{Body, Envelope};
 use petrellatch_proto::record::NodeRole;
 
@@ -18,15 +18,15 @@
     };
     let answers = heartbeat.entries.iter().map(|it| grant(it, version));
     let reply = HeartbeatReply {
-        answers: answers.collect(),
+        entries: answers.collect(),
     };
     let control = identity("control-1", NodeRole::Control);
     let recipient = Some(NodeId(envelope.sender));
     Some(control.envelope(recipient, Body::HeartbeatReply(reply)))
 }
 
-fn grant(entry: &HeartbeatEntry, version: u64) -> HeartbeatAnswer {
-    HeartbeatAnswer {
+fn grant(entry: &HeartbeatEntry, version: u64) -> HeartbeatReplyEntry {
+    HeartbeatReplyEntry {
         term: 1,
         node: entry.node,
         incarnation: entry.incarnation,
--- a/crates/petrellatch-proto/src/admission.rs
+++ b/crates/petrellatch-proto/src/admission.rs
@@ -97,13 +97,13 @@
     pub backend: u64,
     /// Number of in-flight requests.
     #[prost(uint32, tag = "3")]
-    pub busy: u32,
+    pub in_flight_requests: u32,
     /// Number of open flows.
     #[prost(uint32, tag = "4")]
     pub connections: u32,
     /// Whether the back end's agent would refuse a new flow.
     #[prost(bool, tag = "5")]
-    pub closed: bool,
+    pub refuses_new_flows: bool,
     /// Sequence number, increasing within one incarnation of the sender.
     #[prost(uint64, tag = "6")]
     pub sequence: u64,
--- a/crates/petrellatch-proto/src/dissemination.rs
+++ b/crates/petrellatch-proto/src/dissemination.rs
@@ -91,7 +91,7 @@
     pub backend: u64,
     /// Number of in-flight requests.
     #[prost(uint32, tag = "2")]
-    pub busy: u32,
+    pub in_flight_requests: u32,
     /// Number of open flows.
     #[prost(uint32, tag = "3")]
     pub connections: u32,
@@ -149,7 +149,7 @@
 
 /// The leader's reply to one heartbeat entry.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
-pub struct HeartbeatAnswer {
+pub struct HeartbeatReplyEntry {
     /// The daemon.
     #[prost(fixed64, tag = "1")]
     pub node: u64,
@@ -183,5 +183,5 @@
 pub struct HeartbeatReply {
     /// One entry per daemon.
     #[prost(message, repeated, tag = "1")]
-    pub answers: Vec<HeartbeatAnswer>,
+    pub entries: Vec<HeartbeatReplyEntry>,
 }
--- a/crates/petrellatch-proto/src/seal.rs
+++ b/crates/petrellatch-proto/src/seal.rs
@@ -21,7 +21,7 @@
     /// The tag doesn't match: it was computed with another key, or the datagram
     /// was altered in transit.
     #[snafu(display("the authentication tag doesn't match the datagram and the cluster key"))]
-    Foreign,
+    InvalidTag,
     /// The content doesn't decode as the expected message type.
     #[snafu(display("the datagram doesn't decode as the expected message type"))]
     Malformed,
@@ -57,7 +57,7 @@
             .split_at_checked(TAG_BYTES)
             .ok_or(OpenError::TooShort)?;
         if self.tag(content) != tag {
-            return Err(OpenError::Foreign);
+            return Err(OpenError::InvalidTag);
         }
         M::decode(content).map_err(|_| OpenError::Malformed)
     }
