--- a/crates/petrellatch-proto/src/command.rs
+++ b/crates/petrellatch-proto/src/command.rs
@@ -129,7 +129,7 @@
 }
 
 /// Removes the generations older than `generation`, because all bucket owners
-/// have settled it: every previous owner has handed over its buckets.
+/// have settled it: no previous owner can still admit flows in their buckets.
 #[derive(Clone, Copy, PartialEq, prost::Message)]
 pub struct SettlePlacement {
     /// The service.
--- a/crates/petrellatch-proto/src/consensus.rs
+++ b/crates/petrellatch-proto/src/consensus.rs
@@ -28,7 +28,7 @@
 /// The kinds of message between replicas.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ConsensusBody {
-    /// Requests a promise of a vote, without starting a term.
+    /// Asks whether the receiver would grant a vote, without starting a term.
     #[prost(message, tag = "4")]
     PreVoteRequest(PreVoteRequest),
     /// Answers a [`PreVoteRequest`].
@@ -222,7 +222,7 @@
 /// One entry of the log, on the wire and on disk.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryMessage {
-    /// Position in the log, from 1.
+    /// Index in the log, starting at 1.
     #[prost(uint64, tag = "1")]
     pub index: u64,
     /// Term of the leader that created the entry.
--- a/crates/petrellatch-proto/src/data.rs
+++ b/crates/petrellatch-proto/src/data.rs
@@ -8,7 +8,8 @@
     Placed = 0,
     /// To the agent that serves the flow, by a redirect of the bucket's owner.
     Redirected = 1,
-    /// A new flow, to a second agent that may admit it in place of the sender.
+    /// A hunt: a new flow that the bucket's owner forwards to another agent,
+    /// with a less loaded back end, which may admit it instead.
     Hunted = 2,
     /// Back to the bucket's owner, because the sender doesn't serve the flow.
     NotHere = 3,
--- a/crates/petrellatch-proto/src/dissemination.rs
+++ b/crates/petrellatch-proto/src/dissemination.rs
@@ -123,7 +123,8 @@
     /// The daemon's full record, sent until the leader confirms the registration.
     #[prost(message, optional, tag = "5")]
     pub registration: Option<MemberRecord>,
-    /// Services whose newest generation is not yet settled at this agent.
+    /// Services whose newest generation is not yet settled at this agent: a
+    /// previous owner may still admit flows in the agent's buckets.
     #[prost(uint32, repeated, tag = "6")]
     pub unsettled: Vec<u32>,
     /// Loads that changed since the last heartbeat.
--- a/crates/petrellatch-storage/src/data_folder.rs
+++ b/crates/petrellatch-storage/src/data_folder.rs
@@ -19,8 +19,8 @@
 pub struct FolderIdentity {
     /// The cluster.
     pub cluster: u64,
-    /// The replica's incarnation. It must be drawn at random for every call
-    /// that may format a folder.
+    /// The replica's incarnation. A new random one must be drawn for every
+    /// folder that may have to be formatted.
     pub incarnation: Incarnation,
 }
 
