--- a/crates/petrellatch/src/runtime/admin.rs
+++ b/crates/petrellatch/src/runtime/admin.rs
@@ -1,4 +1,4 @@
-//! Health and metrics over HTTP.
+//! The admin server: health, readiness and metrics over HTTP.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::error::ProgramError;
 use crate::http::{HttpHandler, HttpLimits, HttpRequest, HttpResponse, HttpServer};
 
-/// Threads and bounds of the admin server.
+/// Threads and request limits of the admin server.
 const LIMITS: HttpLimits = HttpLimits {
     workers: 2,
     requests: 16,
     body_bytes: 1_024,
 };
 
-/// What the admin address tells.
+/// The state that the admin server reports.
 #[derive(Debug, Default)]
 pub struct AdminState {
     ready: AtomicBool,
@@ -25,43 +25,43 @@
 }
 
 impl AdminState {
-    /// Makes the state of a process that is not ready.
+    /// Creates the state of a process that is not ready.
     pub fn new() -> Arc<Self> {
         Arc::new(AdminState::default())
     }
 
-    /// Says whether the process can serve.
+    /// Sets whether the process can serve.
     pub fn set_ready(&self, ready: bool) {
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Says that the process finishes what it has.
+    /// Marks the process as stopping: it finishes its open flows and requests.
     pub fn set_stopping(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether the process finishes what it has.
+    /// Returns whether the process is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Returns the registry of the metrics.
+    /// Returns the metrics registry.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Answers `GET /healthz`: the process lives.
+    /// Handles `GET /healthz`: 200 while the process runs.
     fn health(&self) -> HttpResponse {
         HttpResponse::json(200, self.describe())
     }
 
-    /// Answers `GET /readyz`: 200 if new work should be sent here, else 503.
+    /// Handles `GET /readyz`: 200 if new work should be sent here, else 503.
     fn readiness(&self) -> HttpResponse {
         let status = if self.is_ready() { 200 } else { 503 };
         HttpResponse::json(status, self.describe())
     }
 
-    /// Answers `GET /metrics`.
+    /// Handles `GET /metrics`.
     fn metrics(&self) -> HttpResponse {
         let mut body = Vec::new();
         let encoder = TextEncoder::new();
@@ -93,7 +93,7 @@
     }
 }
 
-/// Serves the admin address.
+/// Starts the admin server.
 pub fn serve_admin(
     listener: TcpListener,
     state: &Arc<AdminState>,
--- a/crates/petrellatch/src/runtime/agent/agent_metrics.rs
+++ b/crates/petrellatch/src/runtime/agent/agent_metrics.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Brings the metrics up to date.
+    /// Updates the metrics from the agent's state.
     pub(super) fn update(&self, node: &AgentNode, traffic: ControlTraffic, rejected_data: u64) {
         let counters = node.counters();
         raise(&self.packets, counters.packets);
--- a/crates/petrellatch/src/runtime/agent/backend_connection.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connection.rs
@@ -9,11 +9,11 @@
 use petrellatch_core::agent_node::BackendEvent;
 use socket2::SockRef;
 
-/// Most bytes read from one connection before others have their turn, and
-/// before the flow may ask to pause.
+/// Maximum number of bytes read from one connection before the other
+/// connections are served and before the flow can pause reading.
 pub(super) const READ_BUDGET_BYTES: usize = 16 * 1024;
 
-/// A connection with what is to be written to it.
+/// A connection and the bytes that are still to be written to it.
 #[derive(Debug)]
 pub(super) struct BackendConnection {
     stream: TcpStream,
@@ -29,21 +29,21 @@
 enum Phase {
     Connecting,
     Open,
-    /// It failed, and the flow was told.
+    /// It failed, and the flow was notified.
     Gone,
 }
 
-/// Whether there may be more to move at once.
+/// Whether a connection can make further progress without a new event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// The connection waits for its next event.
+    /// The connection waits for its next selector event.
     Waits,
-    /// The budget was spent; serve it again.
+    /// The read budget was spent; serve the connection again.
     More,
 }
 
 impl BackendConnection {
-    /// Begins to open a connection.
+    /// Starts to open a connection.
     pub(super) fn open(
         registry: &Registry,
         token: Token,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Takes bytes to write, and writes what the back end takes at once.
+    /// Replaces the pending bytes, and writes as many as the socket accepts now.
     pub(super) fn write(&mut self, bytes: Vec<u8>, tell: &mut impl FnMut(BackendEvent)) {
         self.pending = bytes;
         self.written = 0;
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Whether it failed and the flow was told.
+    /// Returns whether the connection failed and the flow was notified.
     pub(super) fn is_gone(&self) -> bool {
         self.phase == Phase::Gone
     }
 
-    /// Shuts down the direction to the back end after the last write.
+    /// Shuts down the direction to the back end once all pending bytes are written.
     pub(super) fn finish(&mut self, tell: &mut impl FnMut(BackendEvent)) {
         self.finish = true;
         if self.phase == Phase::Open {
@@ -89,12 +89,12 @@
         }
     }
 
-    /// Stops or resumes reading.
+    /// Pauses or resumes reading.
     pub(super) fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Moves what can be moved now, and tells what happened.
+    /// Reads and writes as much as is possible now, and notifies the flow.
     pub(super) fn serve(
         &mut self,
         buffer: &mut [u8],
@@ -112,8 +112,8 @@
         Progress::Waits
     }
 
-    /// Closes the connection. Unless the back end closed its direction before,
-    /// it is reset, so that the back end learns that its answer is not wanted.
+    /// Closes the connection. Unless the back end has closed its direction,
+    /// the connection is reset, so that the back end can abandon its response.
     pub(super) fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.stream);
         if !self.read_closed {
--- a/crates/petrellatch/src/runtime/agent/backend_connections.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connections.rs
@@ -10,24 +10,24 @@
 use super::backend_connection::{BackendConnection, Progress, READ_BUDGET_BYTES};
 use crate::error::ProgramError;
 
-/// All connections, by the flow that they are for.
+/// All connections, by flow.
 #[derive(Debug)]
 pub(super) struct BackendConnections {
     registry: Registry,
     first_token: usize,
     connections: HashMap<FlowId, BackendConnection>,
-    /// Connections on which something may be moved.
+    /// Connections that may be able to make progress.
     ready: BTreeSet<FlowId>,
     buffer: Vec<u8>,
 }
 
 impl BackendConnections {
-    /// Makes an empty set, whose tokens begin at `first_token`.
+    /// Creates an empty set, whose selector tokens begin at `first_token`.
     pub(super) fn new(poll: &Poll, first_token: usize) -> Result<Self, ProgramError> {
         let registry = poll.registry().try_clone();
         Ok(BackendConnections {
             registry: registry.map_err(|source| ProgramError::System {
-                action: "watch back ends",
+                action: "clone the selector registry",
                 source,
             })?,
             first_token,
@@ -37,19 +37,19 @@
         })
     }
 
-    /// Notes an event of the selector, if it is about a back end.
+    /// Notes a selector event, if its token belongs to a connection to a back end.
     pub(super) fn note_ready(&mut self, event: &Event) {
         if let Some(number) = event.token().0.checked_sub(self.first_token) {
             self.ready.insert(FlowId(number as u64));
         }
     }
 
-    /// Whether something may be moved without waiting for an event.
+    /// Returns whether a connection may make progress without a new event.
     pub(super) fn has_ready(&self) -> bool {
         !self.ready.is_empty()
     }
 
-    /// Serves each connection on which something may be moved once.
+    /// Serves each ready connection once.
     pub(super) fn serve(&mut self, mut tell: impl FnMut(FlowId, BackendEvent)) {
         for flow in std::mem::take(&mut self.ready) {
             let Some(connection) = self.connections.get_mut(&flow) else {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Begins to open the connection of a flow.
+    /// Starts to open the connection of a flow.
     pub(super) fn connect(
         &mut self,
         flow: FlowId,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes bytes for the back end of a flow.
+    /// Writes bytes to the back end of a flow.
     pub(super) fn write(
         &mut self,
         flow: FlowId,
@@ -107,14 +107,15 @@
         }
     }
 
-    /// Stops reading for a flow.
+    /// Pauses reading for a flow.
     pub(super) fn pause_reading(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
             connection.set_paused(true);
         }
     }
 
-    /// Reads for a flow again. What arrived in between causes no new event.
+    /// Resumes reading for a flow. The connection is marked as ready, since bytes
+    /// that arrived in between cause no new event.
     pub(super) fn resume_reading(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
             connection.set_paused(false);
@@ -122,7 +123,8 @@
         }
     }
 
-    /// A connection that failed was reported, so its flow has forgotten it.
+    /// Removes the connection if it failed. Its flow was notified and no longer
+    /// uses it.
     fn forget_if_gone(&mut self, flow: FlowId) {
         if self
             .connections
--- a/crates/petrellatch/src/runtime/agent/health_prober.rs
+++ b/crates/petrellatch/src/runtime/agent/health_prober.rs
@@ -1,4 +1,4 @@
-//! Asks back ends whether they are draining.
+//! Polls the health path of back ends to learn whether they are draining.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -14,29 +14,29 @@
 use crate::error::ProgramError;
 use crate::http::DocumentReader;
 
-/// Between two rounds of questions.
+/// Interval between rounds of probes.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest wait for one answer.
+/// How long a response is waited for.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What is read of a back end's answer. Its word on load and health may lag or
-/// mislead, and the agent sees both for itself; only that it wants to leave can
-/// be known from nowhere else.
+/// The part of a back end's response that is used. What it reports about load
+/// and health may be stale or wrong, and the agent measures both itself. Only
+/// the back end knows that it is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 struct HealthDocument {
     draining: bool,
 }
 
-/// A back end to be asked.
+/// A back end to be probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ProbedBackend {
     /// The back end.
     pub(super) backend: BackendId,
-    /// Where it listens.
+    /// The address that it listens on.
     pub(super) server: SocketAddrV4,
 }
 
-/// What a back end said.
+/// The response of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct DrainReport {
     /// The back end.
@@ -45,8 +45,8 @@
     pub(super) draining: bool,
 }
 
-/// A thread that asks the back ends beside an agent in turn. It ends after the
-/// prober was dropped.
+/// A thread that probes the back ends of an agent one after the other. It ends
+/// after the prober was dropped.
 #[derive(Debug)]
 pub(super) struct HealthProber {
     targets: Sender<Vec<ProbedBackend>>,
@@ -54,8 +54,8 @@
 }
 
 impl HealthProber {
-    /// Starts the thread, which asks for `path` at each back end's address and
-    /// wakes the event loop when an answer changes.
+    /// Starts the thread, which requests `path` at each back end's address and
+    /// wakes the event loop when a back end's state changes.
     pub(super) fn start(path: String, waker: Arc<Waker>) -> Result<Self, ProgramError> {
         let (targets, target_receiver) = channel();
         let (report_sender, reports) = channel();
@@ -69,12 +69,12 @@
         Ok(HealthProber { targets, reports })
     }
 
-    /// Names the back ends to ask from now on. All answers are told again.
+    /// Replaces the back ends to probe. The state of each one is reported again.
     pub(super) fn set_targets(&self, targets: Vec<ProbedBackend>) {
         let _ = self.targets.send(targets);
     }
 
-    /// Returns the next changed answer.
+    /// Returns the next change of a back end's state.
     pub(super) fn poll(&self) -> Option<DrainReport> {
         self.reports.try_recv().ok()
     }
@@ -100,8 +100,8 @@
         }
         for ProbedBackend { backend, server } in &current {
             let url = format!("http://{server}{path}");
-            // Without an answer the last word holds; that the back end can't
-            // be reached shows when a connection fails.
+            // Without a response the last state is kept. An unreachable back end
+            // is detected when a connection to it fails.
             let Ok(HealthDocument { draining }) = reader.read(&url) else {
                 continue;
             };
--- a/crates/petrellatch/src/runtime/agent/mod.rs
+++ b/crates/petrellatch/src/runtime/agent/mod.rs
@@ -33,12 +33,12 @@
 const DATA: Token = Token(1);
 const STOP: Token = Token(2);
 const WAKE: Token = Token(3);
-/// Tokens from here on belong to connections to back ends.
+/// First token of the connections to back ends.
 const FIRST_BACKEND_TOKEN: usize = 16;
 
-/// Most events taken in one go.
+/// Maximum number of selector events per iteration.
 const EVENTS: usize = 1_024;
-/// Between two updates of the metrics, and the longest sleep.
+/// Interval between updates of the metrics; also the longest sleep.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs an agent until it has stopped.
@@ -86,7 +86,7 @@
 
 fn start_prober(path: String, poll: &Poll) -> Result<HealthProber, ProgramError> {
     let waker = Waker::new(poll.registry(), WAKE).map_err(|source| ProgramError::System {
-        action: "watch for answers of back ends",
+        action: "create the waker of the health prober",
         source,
     })?;
     HealthProber::start(path, Arc::new(waker))
@@ -99,20 +99,20 @@
     control: SealedSocket,
     data: DatagramSocket,
     key: ClusterKey,
-    /// The sealed datagram that is being sent.
+    /// Scratch space for the sealed datagram that is sent.
     buffer: Vec<u8>,
     backends: BackendConnections,
     prober: Option<HealthProber>,
-    /// The back ends that the prober asks.
+    /// The back ends that the prober probes.
     probed: Vec<ProbedBackend>,
     views: ViewWriter,
     admin: Arc<AdminState>,
     metrics: AgentMetrics,
-    /// Data datagrams that were dropped because of their seal or content.
+    /// Number of data datagrams dropped because their seal or content was wrong.
     rejected: u64,
     reported_at: Timestamp,
     reported_rejected: u64,
-    /// When a planned stop ends even if flows are still open.
+    /// When a graceful stop ends even if flows are still open.
     stop_deadline: Option<Timestamp>,
 }
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Takes one batch from each socket. Returns whether there may be more.
+    /// Receives one batch from each socket. Returns whether more datagrams may be waiting.
     fn receive(&mut self) -> bool {
         let now = self.clock.now();
         let AgentLoop {
@@ -184,7 +184,7 @@
         control_batch == Batch::Full || data_batch == Batch::Full
     }
 
-    /// Moves bytes of connections to back ends.
+    /// Reads from and writes to the connections that are ready.
     fn serve_backends(&mut self) {
         let now = self.clock.now();
         let AgentLoop { node, backends, .. } = self;
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Lets the prober ask the back ends that are beside this agent now.
+    /// Passes the back ends that this agent serves now to the prober.
     fn choose_probed(&mut self) {
         let Some(prober) = &self.prober else {
             return;
--- a/crates/petrellatch/src/runtime/balancer.rs
+++ b/crates/petrellatch/src/runtime/balancer.rs
@@ -28,9 +28,9 @@
 const DATA: Token = Token(1);
 const STOP: Token = Token(2);
 
-/// Most events taken in one go.
+/// Maximum number of selector events per iteration.
 const EVENTS: usize = 16;
-/// Between two updates of the metrics, and the longest sleep.
+/// Interval between updates of the metrics; also the longest sleep.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs a balancer until it has stopped.
@@ -76,7 +76,7 @@
     control: SealedSocket,
     data: DatagramSocket,
     key: ClusterKey,
-    /// The sealed datagram that is being sent.
+    /// Scratch space for the sealed datagram that is sent.
     buffer: Vec<u8>,
     views: ViewWriter,
     admin: Arc<AdminState>,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Takes one batch from each socket. Returns whether there may be more.
+    /// Receives one batch from each socket. Returns whether more datagrams may be waiting.
     fn receive(&mut self) -> bool {
         let now = self.clock.now();
         let BalancerLoop {
--- a/crates/petrellatch/src/runtime/clock.rs
+++ b/crates/petrellatch/src/runtime/clock.rs
@@ -4,7 +4,7 @@
 
 use petrellatch_core::Timestamp;
 
-/// Reads the system's monotonic clock as time since the process started.
+/// Reads the system's monotonic clock as the time since the process started.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     origin: Instant,
--- a/crates/petrellatch/src/runtime/control/control_metrics.rs
+++ b/crates/petrellatch/src/runtime/control/control_metrics.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Brings the metrics up to date.
+    /// Updates the metrics from the replica's state.
     pub(super) fn update(&self, node: &ControlNode, traffic: ControlTraffic) {
         let replica = node.replica();
         self.is_leader.set((replica.role() == Role::Leader).into());
--- a/crates/petrellatch/src/runtime/control/documents.rs
+++ b/crates/petrellatch/src/runtime/control/documents.rs
@@ -1,4 +1,4 @@
-//! Turns what the control node answers into the documents of the API.
+//! Converts the control node's responses into the documents of the API.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -17,30 +17,30 @@
 use crate::http::HttpResponse;
 use crate::settings::ReplicaSettings;
 
-/// Most names in the list of lagging members.
+/// Maximum number of names in the list of lagging members.
 const MAX_LISTED_NAMES: usize = 32;
 
-/// The document that answers a request that was carried out.
+/// The document in the response to a request that succeeded.
 pub(super) enum OperatorDocument {
     /// The change was accepted.
     Changed(api::ChangeAccepted),
-    /// The configuration, still as records.
+    /// The configuration, not converted from its records yet.
     Configuration(Configuration),
     /// The status.
     Status(api::StatusDocument),
-    /// How far a version has come.
+    /// Progress of a version.
     Progress(api::ProgressDocument),
-    /// What each back end of a service receives.
+    /// What a policy decides for each back end of a service.
     Explanation(api::PolicyExplanation),
-    /// The policy is sound.
+    /// The policy is valid.
     PolicyAccepted,
-    /// The change of the replicas has begun.
+    /// The change of the replica set has started.
     ReplicasChanging,
 }
 
 impl OperatorDocument {
-    /// Makes the response. This is done by the thread that waits, so that a
-    /// large document does not hold up the event loop.
+    /// Creates the HTTP response. The thread that waits for the response calls
+    /// this, so that a large document does not block the event loop.
     pub(super) fn into_response(self) -> HttpResponse {
         match self {
             OperatorDocument::Changed(accepted) => HttpResponse::document(&accepted),
@@ -60,14 +60,14 @@
     }
 }
 
-/// Which document a status is made into.
+/// The document that a status is converted into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Shape {
-    /// All of it.
+    /// The full status.
     Whole,
-    /// How far one version has come.
+    /// The progress of one version.
     Progress {
-        /// The version; none for the newest.
+        /// The version; `None` for the newest.
         version: Option<u64>,
     },
 }
@@ -78,7 +78,7 @@
 }
 
 impl Directory {
-    /// Takes them from the settings.
+    /// Reads them from the settings.
     pub(super) fn new(replicas: &[ReplicaSettings]) -> Self {
         let entry = |replica: &ReplicaSettings| {
             let node = NodeId::from_name(&replica.name);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Makes the document for an answer.
+    /// Creates the document for a response of the control node.
     pub(super) fn describe(
         &self,
         response: OperatorResponse,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Makes the body for an error.
+    /// Creates the error body for an error of the control node.
     pub(super) fn describe_error(&self, error: OperatorError) -> api::ErrorDocument {
         let mut document = api::ErrorDocument::new(error.kind, error.message);
         let leader = error.leader.and_then(|node| self.replicas.get(&node));
--- a/crates/petrellatch/src/runtime/control/mod.rs
+++ b/crates/petrellatch/src/runtime/control/mod.rs
@@ -49,21 +49,20 @@
 const WAKE: Token = Token(1);
 const STOP: Token = Token(2);
 
-/// Most events taken in one go.
+/// Maximum number of selector events per iteration.
 const EVENTS: usize = 16;
-/// Between two updates of the metrics, and the longest sleep.
+/// Interval between updates of the metrics; also the longest sleep.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How many heartbeats a leader sends in the shortest time without a leader
-/// before an election.
+/// Number of heartbeats that a leader sends per minimum election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 5;
-/// The largest body of an operator's request, in bytes.
+/// Maximum size of the body of an operator's request, in bytes.
 const OPERATOR_BODY_BYTES: usize = 1024 * 1024;
-/// A request that waits for the event loop longer than this is given up.
+/// How long an operator's request may wait in the control node.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// Most threads that wait for answers to operators.
+/// Maximum number of threads that serve operators' requests.
 const MAX_OPERATOR_THREADS: usize = 64;
 
-/// The open addresses of a control replica.
+/// The open sockets of a control replica.
 #[derive(Debug)]
 pub struct ControlSockets {
     /// Control messages (UDP).
@@ -75,7 +74,7 @@
 }
 
 impl ControlSockets {
-    /// Opens the addresses.
+    /// Opens the sockets.
     pub fn open(settings: &Settings) -> Result<Self, ProgramError> {
         let buffer = settings.receive_buffer_bytes;
         Ok(ControlSockets {
@@ -85,7 +84,7 @@
         })
     }
 
-    /// Makes the line that says that the addresses are open.
+    /// Creates the ready line, which reports the open addresses.
     pub fn ready_line(&self, name: &str, incarnation: Incarnation) -> ReadyLine {
         ReadyLine {
             ready: true,
@@ -108,7 +107,7 @@
     let settings = &process.settings;
     let poll = open_poll()?;
     let waker = Waker::new(poll.registry(), WAKE).map_err(|source| ProgramError::System {
-        action: "watch for operators",
+        action: "create the waker of the event loop",
         source,
     })?;
     let waker = Arc::new(waker);
@@ -170,7 +169,7 @@
     log: LogWriter,
     platform: Option<PlatformPoller>,
     requests: Receiver<PendingRequest>,
-    /// Who waits for the answer to which request.
+    /// Requests in progress, by the token under which the node responds.
     waiting: BTreeMap<u64, Waiting>,
     next_token: u64,
     directory: Directory,
@@ -223,7 +222,7 @@
         }
     }
 
-    /// Takes one batch of control messages. Returns whether there may be more.
+    /// Receives one batch of control messages. Returns whether more may be waiting.
     fn receive(&mut self) -> bool {
         let now = self.clock.now();
         let ControlLoop { node, control, .. } = self;
@@ -249,8 +248,8 @@
         self.node.handle_request(self.clock.now(), token, request);
     }
 
-    /// Adds the replica that a node announced. Only a leader knows it; others
-    /// say who leads.
+    /// Adds the replica that a node announced. Only the leader receives
+    /// announcements; the other replicas respond with the leader's address.
     fn add_announced(&mut self, node: NodeId, answer: AnswerSender) {
         let replica = self.node.replica();
         let announced = replica.waiting_replicas();
@@ -316,8 +315,8 @@
         Ok(())
     }
 
-    /// Hands the answer to the thread that waits for it. If that has given up,
-    /// the client will ask again.
+    /// Passes the response to the thread that waits for it. If that thread has
+    /// timed out, the client sends its request again.
     fn respond(&mut self, token: u64, result: Result<OperatorResponse, OperatorError>) {
         let Some(waiting) = self.waiting.remove(&token) else {
             return;
--- a/crates/petrellatch/src/runtime/control/operator_api.rs
+++ b/crates/petrellatch/src/runtime/control/operator_api.rs
@@ -18,39 +18,40 @@
 };
 use crate::http::{HttpHandler, HttpRequest, HttpResponse};
 
-/// Added to the time after which the event loop answers by itself.
+/// Added to the request timeout of the control node, so that its own error
+/// response arrives first.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
-/// Where the answer to one request goes.
+/// Channel for the response to one request.
 pub(super) type AnswerSender = SyncSender<Answer>;
 
-/// What the event loop is asked.
+/// A request to the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LoopRequest {
     /// A request for the control node.
     Node(OperatorRequest, Shape),
-    /// Adds the replica of this node that has announced itself.
+    /// Adds the replica that this node has announced.
     AddAnnounced(NodeId),
 }
 
-/// A request on its way to the event loop.
+/// A request that is sent to the event loop.
 pub(super) struct PendingRequest {
     /// The request.
     pub(super) request: LoopRequest,
-    /// Where its answer goes.
+    /// Where its response goes.
     pub(super) answer: AnswerSender,
 }
 
-/// The answer of the event loop.
+/// The response of the event loop.
 pub(super) enum Answer {
-    /// The request was carried out.
+    /// The request succeeded.
     Done(OperatorDocument),
-    /// It was not, or its outcome is not known.
+    /// The request failed, or its outcome is unknown.
     Refused(ErrorDocument),
 }
 
-/// Turns HTTP requests into requests to the event loop, and waits there for
-/// the answers.
+/// Converts HTTP requests into requests to the event loop, and waits for the
+/// responses.
 pub(super) struct OperatorApi {
     requests: Sender<PendingRequest>,
     waker: Arc<Waker>,
@@ -58,7 +59,7 @@
 }
 
 impl OperatorApi {
-    /// Makes the API in front of an event loop that gives up requests after
+    /// Creates the API of an event loop whose node fails requests after
     /// `request_timeout`.
     pub(super) fn new(
         requests: Sender<PendingRequest>,
--- a/crates/petrellatch/src/runtime/control/platform_poller.rs
+++ b/crates/petrellatch/src/runtime/control/platform_poller.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of machines.
+//! Polls the platform's list of machines.
 
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -15,9 +15,9 @@
 use crate::http::DocumentReader;
 use crate::logging::log;
 
-/// Between two reads of the list.
+/// Interval between reads of the list.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// The longest wait for the list.
+/// How long the response with the list is waited for.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One machine as the platform writes it.
@@ -25,13 +25,13 @@
 struct MachineDocument {
     /// The node name.
     name: String,
-    /// Whether the machine is leaving.
+    /// Whether the platform marks the machine as leaving.
     #[serde(default)]
     leaving: bool,
 }
 
-/// A thread that reads the list again and again. It ends with the process, or
-/// after the poller was dropped.
+/// A thread that polls the list. It ends with the process, or after the poller
+/// was dropped.
 #[derive(Debug)]
 pub(super) struct PlatformPoller {
     lists: Receiver<Vec<PlatformMachine>>,
@@ -55,14 +55,14 @@
         Ok(PlatformPoller { lists })
     }
 
-    /// Returns the newest list, if one has come since the last call.
+    /// Returns the newest list, if one was read since the last call.
     pub(super) fn poll(&self) -> Option<Vec<PlatformMachine>> {
         self.lists.try_iter().last()
     }
 }
 
-/// The list is only a hint, so the last one goes on to hold when the platform
-/// does not answer. That is reported once until it answers again.
+/// The list is only a hint, so the last one stays in use while the platform
+/// does not respond. Only the first of several failures in a row is logged.
 fn poll(url: &str, lists: &Sender<Vec<PlatformMachine>>, waker: &Waker, logger: &Logger) {
     let reader = DocumentReader::new(READ_TIMEOUT);
     let mut is_missing = false;
--- a/crates/petrellatch/src/runtime/control/replica_folder.rs
+++ b/crates/petrellatch/src/runtime/control/replica_folder.rs
@@ -9,26 +9,27 @@
 use crate::error::ProgramError;
 use crate::settings::Settings;
 
-/// An open data folder with what was read back from it.
+/// An open data folder and the state that was read from it.
 #[derive(Debug)]
 pub struct ReplicaFolder {
-    /// For writing.
+    /// Writes to the folder.
     pub store: LogStore,
-    /// The life of the folder.
+    /// The incarnation of the folder.
     pub incarnation: Incarnation,
-    /// What was read back.
+    /// The state that was read from the folder.
     pub state: PersistentState,
-    /// Bytes of a torn tail that were cut off the log.
+    /// Bytes of an incomplete last record that were cut off the log.
     pub torn_bytes: u64,
-    /// The voters that found the control group.
+    /// The first voters of the control group.
     pub first_membership: Membership,
 }
 
 /// Opens the data folder, and formats it if it is empty.
 ///
-/// Only `--bootstrap` gives a folder the incarnation that is listed among the
-/// first voters. A folder that was formatted without it, because the former
-/// one was lost, gets a random one and so can never vote twice.
+/// Only `--bootstrap` gives a folder the incarnation of one of the first
+/// voters. A folder formatted without it, because the previous one was lost,
+/// gets a random incarnation. It is thus a different voter, which can't repeat
+/// a vote of the lost one.
 pub fn open_replica_folder(
     settings: &Settings,
     key: &ClusterKey,
@@ -63,13 +64,13 @@
     })
 }
 
-/// Returns the incarnation of a replica that founds the group.
+/// Returns the incarnation of one of the first replicas of the group.
 fn first_incarnation(name: &str) -> Incarnation {
     Incarnation(NodeId::from_name(&format!("first life of {name}")).0)
 }
 
-/// Returns the number of the cluster, which the key decides, so that a folder
-/// is not used with the key of another cluster.
+/// Returns the number of the cluster, which is derived from the key, so that a
+/// folder is not used with the key of another cluster.
 fn cluster_number(key: &ClusterKey) -> u64 {
     let mut sealed = Vec::new();
     key.seal(&Envelope::default(), &mut sealed);
--- a/crates/petrellatch/src/runtime/data_folder.rs
+++ b/crates/petrellatch/src/runtime/data_folder.rs
@@ -1,4 +1,4 @@
-//! The folder that holds all files of a process.
+//! The data folder, which holds all files of a process.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -6,14 +6,14 @@
 
 use crate::error::ProgramError;
 
-/// Name of the file whose lock keeps a second process out.
+/// Name of the lock file, which keeps a second process from using the folder.
 const LOCK_FILE: &str = "lock";
 /// Name of the stored copy of the cluster view.
 const VIEW_FILE: &str = "view";
-/// Name under which a new copy is written before it takes the old one's place.
+/// Name under which a new copy is written before it is renamed over the old one.
 const NEW_VIEW_FILE: &str = "view.new";
 
-/// The folder, locked for this process.
+/// A data folder, locked by this process.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
@@ -21,7 +21,7 @@
 }
 
 impl DataFolder {
-    /// Creates the folder if there is none, and locks it.
+    /// Creates the folder if it does not exist, and locks it.
     pub fn open(path: &Path) -> Result<Self, ProgramError> {
         fs::create_dir_all(path).map_err(|source| failure(path, source))?;
         let lock_path = path.join(LOCK_FILE);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the path.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Stores a copy of the cluster view. The old copy stays whole until the
+    /// Stores a copy of the cluster view. The old copy stays intact until the
     /// new one is synced.
     pub fn write_view(&self, bytes: &[u8]) -> Result<(), ProgramError> {
         let path = self.path.join(VIEW_FILE);
--- a/crates/petrellatch/src/runtime/datagram_socket.rs
+++ b/crates/petrellatch/src/runtime/datagram_socket.rs
@@ -1,4 +1,4 @@
-//! A UDP socket for sealed messages or bare packets.
+//! A UDP socket for sealed messages or raw packets.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -11,7 +11,7 @@
 
 /// The largest datagram that UDP carries, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-/// Most datagrams taken in one go, so that timers are not starved.
+/// Maximum number of datagrams per batch, so that timers are not starved.
 const BATCH_DATAGRAMS: usize = 256;
 
 /// A non-blocking UDP socket with its receive buffer.
@@ -22,17 +22,17 @@
     address: SocketAddrV4,
 }
 
-/// Whether there may be more to receive after a batch.
+/// Whether more datagrams may be waiting after a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Batch {
-    /// Everything has been received.
+    /// All waiting datagrams were received.
     Complete,
-    /// The batch was full; call again.
+    /// The batch was full; more datagrams may be waiting.
     Full,
 }
 
 impl DatagramSocket {
-    /// Opens the socket.
+    /// Binds the socket to an address.
     pub fn open(
         address: SocketAddrV4,
         purpose: &'static str,
@@ -50,31 +50,31 @@
         registry
             .register(&mut self.socket, token, Interest::READABLE)
             .map_err(|source| ProgramError::System {
-                action: "watch a UDP socket",
+                action: "register a UDP socket",
                 source,
             })
     }
 
-    /// Returns the address that was opened.
+    /// Returns the address that the socket is bound to.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Hands every waiting datagram to `handle`, at most one batch.
+    /// Passes the waiting datagrams to `handle`, at most one batch.
     pub fn receive_batch(&mut self, handle: impl FnMut(SocketAddrV4, &[u8])) -> Batch {
         receive_batch(&self.socket, &mut self.buffer, handle)
     }
 
     /// Like [`DatagramSocket::receive_batch`], for a handler that sends through
-    /// the same socket while it still reads the received bytes.
+    /// the same socket while it still borrows the received bytes.
     pub fn exchange_batch(&mut self, mut handle: impl FnMut(&[u8], DatagramSender<'_>)) -> Batch {
         let DatagramSocket { socket, buffer, .. } = self;
         let sender = DatagramSender { socket };
         receive_batch(socket, buffer, |_, datagram| handle(datagram, sender))
     }
 
-    /// Sends one datagram. A datagram that can't be sent is lost, as it may be
-    /// on the way; returns whether it was handed to the system.
+    /// Sends one datagram. A datagram that can't be sent is dropped, since the
+    /// network may drop it as well. Returns whether the system accepted it.
     pub fn send(&self, to: SocketAddrV4, datagram: &[u8]) -> bool {
         DatagramSender {
             socket: &self.socket,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Sends through a socket that is being received from.
+/// Sends through a socket while a batch is received from it.
 #[derive(Clone, Copy, Debug)]
 pub struct DatagramSender<'a> {
     socket: &'a UdpSocket,
@@ -106,7 +106,7 @@
             Ok((length, SocketAddr::V4(sender))) => handle(sender, &buffer[..length]),
             Ok((_, SocketAddr::V6(_))) => {}
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Batch::Complete,
-            // An earlier send met a closed port; the socket goes on.
+            // An earlier datagram was sent to a closed port; the socket stays usable.
             Err(_) => {}
         }
     }
--- a/crates/petrellatch/src/runtime/log_writer.rs
+++ b/crates/petrellatch/src/runtime/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the replicated log without holding up the event loop.
+//! Writes the replicated log without blocking the event loop.
 
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,11 +10,11 @@
 
 use crate::error::ProgramError;
 
-/// What became of a write.
+/// The outcome of a write.
 pub type Written = Result<PersistTicket, StorageError>;
 
-/// A thread that writes and syncs one request after the other. It ends when
-/// the writer is dropped, after the write that it is at.
+/// A thread that writes and syncs requests in order. When the writer is
+/// dropped, it finishes the requests that it was given and ends.
 #[derive(Debug)]
 pub struct LogWriter {
     requests: Option<Sender<PersistRequest>>,
@@ -41,14 +41,14 @@
         })
     }
 
-    /// Hands over a request.
+    /// Queues a request.
     pub fn write(&self, request: PersistRequest) {
         if let Some(requests) = &self.requests {
             let _ = requests.send(request);
         }
     }
 
-    /// Returns the result of a write that is done.
+    /// Returns the result of the next completed write, if there is one.
     pub fn poll(&self) -> Option<Written> {
         self.results.try_recv().ok()
     }
--- a/crates/petrellatch/src/runtime/metrics.rs
+++ b/crates/petrellatch/src/runtime/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the daemons, in the form that Prometheus reads.
+//! Metrics of the daemons, in the Prometheus format.
 
 use petrellatch_core::admission::RefusalReason;
 use petrellatch_core::routing::DropReason;
@@ -6,10 +6,10 @@
 
 use super::sealed_socket::ControlTraffic;
 
-/// A metric that can't be registered is a fault in the names here.
+/// Registration fails only if a metric name is invalid or used twice.
 const UNIQUE: &str = "names of metrics are valid and unique";
 
-/// What every role tells about its control socket.
+/// Metrics of the control socket, which every role has.
 pub(super) struct ControlTrafficMetrics {
     bytes: IntCounterVec,
     rejected: IntCounter,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Brings the metrics up to date. `rejected_data` datagrams were rejected
+    /// Updates the metrics. `rejected_data` is the number of datagrams rejected
     /// at the data socket.
     pub(super) fn update(&self, traffic: ControlTraffic, rejected_data: u64) {
         let received = self.bytes.with_label_values(&["in"]);
@@ -51,7 +51,7 @@
     counter
 }
 
-/// Registers a counter for each value of a label.
+/// Registers a counter with one label.
 pub(super) fn counters(registry: &Registry, name: &str, help: &str, label: &str) -> IntCounterVec {
     let counters = IntCounterVec::new(Opts::new(name, help), &[label]).expect(UNIQUE);
     registry.register(Box::new(counters.clone())).expect(UNIQUE);
@@ -65,19 +65,19 @@
     gauge
 }
 
-/// Registers a gauge for each value of a label.
+/// Registers a gauge with one label.
 pub(super) fn gauges(registry: &Registry, name: &str, help: &str, label: &str) -> IntGaugeVec {
     let gauges = IntGaugeVec::new(Opts::new(name, help), &[label]).expect(UNIQUE);
     registry.register(Box::new(gauges.clone())).expect(UNIQUE);
     gauges
 }
 
-/// Brings a counter up to a total that is counted elsewhere.
+/// Raises a counter to a total that is counted elsewhere.
 pub(super) fn raise(counter: &IntCounter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
-/// Sets a gauge to a number that may be too large for it.
+/// Sets a gauge, and saturates at its largest value.
 pub(super) fn set(gauge: &IntGauge, value: impl TryInto<i64>) {
     gauge.set(value.try_into().unwrap_or(i64::MAX));
 }
--- a/crates/petrellatch/src/runtime/mod.rs
+++ b/crates/petrellatch/src/runtime/mod.rs
@@ -1,6 +1,6 @@
 //! What every daemon needs around its state machine: clock, data folder,
-//! sockets, the wish to stop, health, metrics and the line that says it is
-//! ready; and the event loops that bring these together.
+//! sockets, stop signal, health, metrics and the ready line; and the event
+//! loops that connect these to the state machines.
 
 mod admin;
 pub mod agent;
--- a/crates/petrellatch/src/runtime/process.rs
+++ b/crates/petrellatch/src/runtime/process.rs
@@ -1,4 +1,4 @@
-//! What the event loops of all roles start from.
+//! Settings, key, logger and sockets with which the event loops of all roles start.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -22,23 +22,23 @@
 use crate::logging::{log, log_event};
 use crate::settings::Settings;
 
-/// A balancer that did not hear from its parent leaves it after this many
-/// heartbeats.
+/// A balancer changes its parent after the parent was silent for this many
+/// heartbeat intervals.
 const SILENT_HEARTBEATS: u32 = 3;
 
-/// One process, or its part of a test.
+/// One daemon, which a test may run in its own process.
 pub struct Process {
-    /// The settings that hold.
+    /// The active settings.
     pub settings: Settings,
     /// The key that seals all messages.
     pub key: ClusterKey,
-    /// The log.
+    /// The logger.
     pub logger: Logger,
-    /// The wish to stop.
+    /// Requests to stop the process.
     pub stop: StopSignal,
 }
 
-/// The open addresses of a balancer or agent.
+/// The open sockets of a balancer or agent.
 #[derive(Debug)]
 pub struct DaemonSockets {
     /// Control messages (UDP).
@@ -50,7 +50,7 @@
 }
 
 impl DaemonSockets {
-    /// Opens the addresses.
+    /// Opens the sockets.
     pub fn open(settings: &Settings) -> Result<Self, ProgramError> {
         let buffer = settings.receive_buffer_bytes;
         Ok(DaemonSockets {
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Makes the line that says that the addresses are open.
+    /// Creates the ready line, which reports the open addresses.
     pub fn ready_line(&self, name: &str) -> ReadyLine {
         ReadyLine {
             ready: true,
@@ -84,8 +84,8 @@
         log_event(&self.logger, event);
     }
 
-    /// Reads the stored copy of the view. A damaged copy is reported and
-    /// counts as none, since the daemon gets everything from its parent.
+    /// Reads the stored copy of the view. A damaged copy is logged and
+    /// ignored, since the daemon receives the whole view from its parent.
     pub fn read_view(&self, folder: &DataFolder) -> Result<Option<StoredView>, ProgramError> {
         let Some(bytes) = folder.read_view()? else {
             return Ok(None);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Makes the identity of a new life of a balancer or agent.
+/// Creates the identity of a new incarnation of a balancer or agent.
 pub fn node_identity(settings: &Settings, sockets: &DaemonSockets, role: NodeRole) -> NodeIdentity {
     NodeIdentity {
         name: settings.name.clone(),
@@ -122,7 +122,7 @@
     }
 }
 
-/// Says how a daemon keeps in touch with the control group.
+/// Returns the settings of a daemon's link to the control group.
 pub fn link_settings(settings: &Settings) -> LinkSettings {
     let controls = settings.replicas.iter().map(|replica| replica.control);
     let heartbeat = settings.timing.heartbeat;
@@ -134,15 +134,16 @@
     }
 }
 
-/// Makes the selector of an event loop.
+/// Creates the selector of an event loop.
 pub(super) fn open_poll() -> Result<Poll, ProgramError> {
     Poll::new().map_err(|source| ProgramError::System {
-        action: "watch sockets",
+        action: "create a selector",
         source,
     })
 }
 
-/// Turns a failure of the selector into an error; an interrupted wait is none.
+/// Converts a failure of the selector into an error. An interrupted wait is
+/// no failure.
 pub(super) fn waited(result: std::io::Result<()>) -> Result<(), ProgramError> {
     match result {
         Err(source) if source.kind() != std::io::ErrorKind::Interrupted => {
--- a/crates/petrellatch/src/runtime/ready_line.rs
+++ b/crates/petrellatch/src/runtime/ready_line.rs
@@ -1,4 +1,4 @@
-//! The line on standard output that says that all addresses are open.
+//! The ready line: printed to standard output once all addresses are open.
 
 use std::io::{self, Write};
 use std::net::SocketAddrV4;
@@ -12,8 +12,8 @@
     pub ready: bool,
     /// The node name.
     pub name: String,
-    /// The life of a control replica's data folder, as `ctl replica add`
-    /// wants it.
+    /// The incarnation of a control replica's data folder, as `ctl replica add`
+    /// expects it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<String>,
     /// Control messages (UDP).
@@ -29,7 +29,7 @@
 }
 
 impl ReadyLine {
-    /// Prints the line. A closed standard output is no fault.
+    /// Prints the line. A closed standard output is ignored.
     pub fn print(&self) {
         let line = serde_json::to_string(self).unwrap_or_default();
         let mut output = io::stdout().lock();
--- a/crates/petrellatch/src/runtime/sealed_socket.rs
+++ b/crates/petrellatch/src/runtime/sealed_socket.rs
@@ -1,4 +1,4 @@
-//! A UDP socket for control messages under the cluster key.
+//! A UDP socket for control messages sealed with the cluster key.
 
 use std::net::SocketAddrV4;
 
@@ -9,7 +9,8 @@
 use super::datagram_socket::{Batch, DatagramSocket};
 use crate::error::ProgramError;
 
-/// Seals what is sent, opens what arrives, and drops what is foreign.
+/// Seals sent messages, opens received ones, and drops datagrams whose seal or
+/// content is wrong.
 #[derive(Debug)]
 pub struct SealedSocket {
     socket: DatagramSocket,
@@ -18,18 +19,18 @@
     traffic: ControlTraffic,
 }
 
-/// What went through a control socket since the start.
+/// Traffic of a control socket since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ControlTraffic {
-    /// Bytes of all datagrams that arrived.
+    /// Bytes of all received datagrams.
     pub received_bytes: u64,
-    /// Bytes of all datagrams that were sent.
+    /// Bytes of all sent datagrams.
     pub sent_bytes: u64,
-    /// Datagrams that were dropped because their seal or content was wrong.
+    /// Number of datagrams dropped because their seal or content was wrong.
     pub rejected: u64,
 }
 
-/// Keeps the key out of debug output.
+/// Hides the key in debug output.
 struct ClusterKeyHolder(ClusterKey);
 
 impl std::fmt::Debug for ClusterKeyHolder {
@@ -39,7 +40,7 @@
 }
 
 impl SealedSocket {
-    /// Puts a key on a socket.
+    /// Combines a socket with the key for its messages.
     pub fn new(socket: DatagramSocket, key: ClusterKey) -> Self {
         SealedSocket {
             socket,
@@ -54,12 +55,12 @@
         self.socket.register(registry, token)
     }
 
-    /// Returns the address that was opened.
+    /// Returns the address that the socket is bound to.
     pub fn address(&self) -> SocketAddrV4 {
         self.socket.address()
     }
 
-    /// Hands every waiting message to `handle`, at most one batch.
+    /// Passes the waiting messages to `handle`, at most one batch.
     pub fn receive_batch(&mut self, mut handle: impl FnMut(SocketAddrV4, Envelope)) -> Batch {
         let SealedSocket {
             socket,
@@ -83,7 +84,7 @@
         self.socket.send(to, &self.buffer);
     }
 
-    /// Returns what went through the socket.
+    /// Returns the traffic of the socket since the start.
     pub fn traffic(&self) -> ControlTraffic {
         self.traffic
     }
--- a/crates/petrellatch/src/runtime/stop_signal.rs
+++ b/crates/petrellatch/src/runtime/stop_signal.rs
@@ -1,4 +1,5 @@
-//! The wish to stop a process, as something that an event loop can wait for.
+//! Requests to stop a process, from signals or a handle, which an event loop
+//! can wait for.
 
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream as StdUnixStream;
@@ -10,32 +11,32 @@
 
 use crate::error::ProgramError;
 
-/// The receiving end: every byte that arrives is one request to stop.
+/// The receiving end of stop requests. Each received byte is one request.
 #[derive(Debug)]
 pub struct StopSignal {
     reader: UnixStream,
     requests: usize,
 }
 
-/// How urgently the process has been asked to stop.
+/// How the process was requested to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopWish {
-    /// Not asked.
+    /// No request was received.
     None,
-    /// Asked once: finish what is in progress.
+    /// One request: finish the work in progress, then stop.
     Planned,
-    /// Asked again: end at once.
+    /// Two or more requests: stop immediately.
     AtOnce,
 }
 
-/// Asks an event loop in this process to stop.
+/// Requests an event loop in this process to stop.
 #[derive(Debug)]
 pub struct StopHandle {
     writer: StdUnixStream,
 }
 
 impl StopSignal {
-    /// Stops on SIGTERM and SIGINT.
+    /// Creates a stop signal for SIGTERM and SIGINT.
     pub fn from_signals() -> Result<Self, ProgramError> {
         let connect = || -> std::io::Result<Self> {
             let (signal, writer) = pair()?;
@@ -47,20 +48,20 @@
         connect().map_err(failure)
     }
 
-    /// Stops when the handle says so.
+    /// Creates a stop signal that is controlled by the returned handle.
     pub fn manual() -> Result<(Self, StopHandle), ProgramError> {
         let (signal, writer) = pair().map_err(failure)?;
         Ok((signal, StopHandle { writer }))
     }
 
-    /// Registers the receiving end.
+    /// Registers the receiving end with a selector.
     pub fn register(&mut self, registry: &Registry, token: Token) -> Result<(), ProgramError> {
         registry
             .register(&mut self.reader, token, Interest::READABLE)
             .map_err(failure)
     }
 
-    /// Returns how urgently the process has been asked to stop so far.
+    /// Returns the most urgent stop request so far.
     pub fn check(&mut self) -> StopWish {
         let mut buffer = [0; 16];
         while let Ok(length) = self.reader.read(&mut buffer) {
@@ -78,13 +79,13 @@
 }
 
 impl StopHandle {
-    /// Asks for a planned stop; asked again, the loop ends at once. A loop
-    /// that has ended already needs no asking.
+    /// Requests a graceful stop; a second call requests an immediate one. Does
+    /// nothing if the loop has ended already.
     pub fn stop(&mut self) {
         let _ = self.writer.write_all(&[1]);
     }
 
-    /// Asks the loop to end at once, as if the process was killed.
+    /// Requests an immediate stop, as if the process was killed.
     pub fn stop_at_once(&mut self) {
         let _ = self.writer.write_all(&[1, 1]);
     }
@@ -103,7 +104,7 @@
 
 fn failure(source: std::io::Error) -> ProgramError {
     ProgramError::System {
-        action: "watch for the wish to stop",
+        action: "set up the stop signal",
         source,
     }
 }
--- a/crates/petrellatch/src/runtime/view_writer.rs
+++ b/crates/petrellatch/src/runtime/view_writer.rs
@@ -1,4 +1,4 @@
-//! Stores copies of the cluster view without holding up the event loop.
+//! Stores copies of the cluster view without blocking the event loop.
 
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::{self, JoinHandle};
@@ -10,8 +10,8 @@
 use crate::error::ProgramError;
 use crate::logging::log;
 
-/// A thread that writes the newest copy it was given. It ends, with
-/// everything written, when the writer is dropped.
+/// A thread that writes the newest queued copy and skips older ones. When the
+/// writer is dropped, the thread writes the last copy and ends.
 #[derive(Debug)]
 pub struct ViewWriter {
     copies: Option<Sender<Vec<u8>>>,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Hands over a copy.
+    /// Queues a copy.
     pub fn store(&self, copy: Vec<u8>) {
         if let Some(copies) = &self.copies {
             let _ = copies.send(copy);
@@ -52,8 +52,8 @@
     }
 }
 
-/// The copy only shortens the next start, so a copy that can't be written is
-/// reported and the process goes on.
+/// The copy only shortens the next start, so a failure to write it is logged
+/// and the process continues.
 fn write_copies(folder: &DataFolder, copies: &Receiver<Vec<u8>>, logger: &Logger) {
     while let Ok(copy) = copies.recv() {
         let newest = copies.try_iter().last().unwrap_or(copy);
