--- a/crates/petrellatch/src/ctl/backoff.rs
+++ b/crates/petrellatch/src/ctl/backoff.rs
@@ -5,9 +5,9 @@
 use rand::RngExt;
 
 /// The first wait is drawn from zero to this.
-const FIRST_LIMIT: Duration = Duration::from_millis(50);
+const INITIAL_LIMIT: Duration = Duration::from_millis(50);
 /// No wait is drawn from more than this.
-const LAST_LIMIT: Duration = Duration::from_secs(2);
+const MAX_LIMIT: Duration = Duration::from_secs(2);
 
 /// Exponential backoff with full jitter and a budget of retries.
 #[derive(Clone, Debug)]
@@ -20,17 +20,17 @@
     /// Makes a backoff that allows so many retries.
     pub fn new(retries: u32) -> Self {
         Backoff {
-            limit: FIRST_LIMIT,
+            limit: INITIAL_LIMIT,
             retries_left: retries,
         }
     }
 
     /// Takes one retry and returns the wait before it, or nothing when the
     /// budget is spent. The server's wish is a lower bound.
-    pub fn next_wait(&mut self, wish: Duration) -> Option<Duration> {
+    pub fn next_wait(&mut self, min_wait: Duration) -> Option<Duration> {
         self.retries_left = self.retries_left.checked_sub(1)?;
         let wait = rand::rng().random_range(Duration::ZERO..=self.limit);
-        self.limit = (self.limit * 2).min(LAST_LIMIT);
-        Some(wait.max(wish))
+        self.limit = (self.limit * 2).min(MAX_LIMIT);
+        Some(wait.max(min_wait))
     }
 }
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -18,14 +18,14 @@
 
 /// The wait for the first answer when there are other servers to ask, so that
 /// a silent one costs little. It doubles with each answer that did not come.
-const FIRST_ATTEMPT_LIMIT: Duration = Duration::from_secs(1);
+const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest wait for one answer.
-const LAST_ATTEMPT_LIMIT: Duration = Duration::from_secs(5);
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
 /// A server that did not answer is not asked again for so long, unless there
 /// is no other.
-const SILENCE_MEMORY: Duration = Duration::from_secs(5);
+const SILENCE_TTL: Duration = Duration::from_secs(5);
 /// How many leader hints are followed in a row without a wait.
-const MAX_HINTS_IN_A_ROW: u32 = 3;
+const MAX_CONSECUTIVE_HINTS: u32 = 3;
 
 /// A failure that a server reported, or that kept its answer away.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// What the server said.
     pub body: ErrorBody,
     /// Whether the server said nothing.
-    pub is_silence: bool,
+    pub got_no_response: bool,
 }
 
 /// A client of the control replicas.
@@ -46,8 +46,8 @@
     /// The server that is asked next: the one that answered last.
     current: usize,
     /// Until when servers that did not answer are left alone.
-    silent: BTreeMap<usize, Instant>,
-    attempt_limit: Duration,
+    silent_until: BTreeMap<usize, Instant>,
+    attempt_timeout: Duration,
     backoff: Backoff,
     deadline: Instant,
 }
@@ -63,10 +63,10 @@
             agent,
             servers: servers.to_vec(),
             current: 0,
-            silent: BTreeMap::new(),
-            attempt_limit: match servers.len() {
-                1 => LAST_ATTEMPT_LIMIT,
-                _ => FIRST_ATTEMPT_LIMIT,
+            silent_until: BTreeMap::new(),
+            attempt_timeout: match servers.len() {
+                1 => MAX_ATTEMPT_TIMEOUT,
+                _ => FIRST_ATTEMPT_TIMEOUT,
             },
             backoff: Backoff::new(retries),
             deadline,
@@ -103,39 +103,39 @@
         let mut hints = 0;
         loop {
             let failure = match self.attempt(path, body) {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             if !failure.kind.answer().retryable {
                 return Err(failure);
             }
-            if failure.is_silence {
-                self.note_silence();
+            if failure.got_no_response {
+                self.note_silent_server();
             }
-            let hinted = hints < MAX_HINTS_IN_A_ROW && self.follow_hint(&failure);
+            let hinted = hints < MAX_CONSECUTIVE_HINTS && self.follow_hint(&failure);
             if hinted {
                 hints += 1;
                 continue;
             }
             hints = 0;
-            self.take_next_server();
+            self.select_next_server();
             self.wait_before_retry(failure)?;
         }
     }
 
-    fn note_silence(&mut self) {
-        let until = Instant::now() + SILENCE_MEMORY;
-        self.silent.insert(self.current, until);
-        self.attempt_limit = (self.attempt_limit * 2).min(LAST_ATTEMPT_LIMIT);
+    fn note_silent_server(&mut self) {
+        let until = Instant::now() + SILENCE_TTL;
+        self.silent_until.insert(self.current, until);
+        self.attempt_timeout = (self.attempt_timeout * 2).min(MAX_ATTEMPT_TIMEOUT);
     }
 
     fn is_silent(&self, server: usize) -> bool {
-        let until = self.silent.get(&server);
+        let until = self.silent_until.get(&server);
         until.is_some_and(|until| Instant::now() < *until)
     }
 
     /// Takes the next server in turn, if possible one that is not silent.
-    fn take_next_server(&mut self) {
+    fn select_next_server(&mut self) {
         let count = self.servers.len();
         let mut others = (1..=count).map(|step| (self.current + step) % count);
         let next = others.find(|server| !self.is_silent(*server));
@@ -164,8 +164,8 @@
     }
 
     fn wait_before_retry(&mut self, failure: Failure) -> Result<(), Failure> {
-        let wish = Duration::from_millis(failure.body.retry_after_ms.unwrap_or(0));
-        let Some(wait) = self.backoff.next_wait(wish) else {
+        let min_wait = Duration::from_millis(failure.body.retry_after_ms.unwrap_or(0));
+        let Some(wait) = self.backoff.next_wait(min_wait) else {
             return Err(failure);
         };
         if wait >= self.time_left() {
@@ -182,7 +182,7 @@
     fn attempt<T: DeserializeOwned>(&self, path: &str, body: Option<&[u8]>) -> Result<T, Failure> {
         let server = &self.servers[self.current];
         let url = format!("http://{server}{path}");
-        let limit = Some(self.time_left().min(self.attempt_limit));
+        let limit = Some(self.time_left().min(self.attempt_timeout));
         let sent = match body {
             Some(body) => self
                 .agent
@@ -219,7 +219,7 @@
     Err(Failure {
         kind,
         body: reported.error,
-        is_silence: false,
+        got_no_response: false,
     })
 }
 
@@ -227,7 +227,7 @@
     let mut failure = Failure::new(ErrorKind::Unavailable, format!("{server}: {error}"));
     // Another server may answer at once; the backoff alone decides.
     failure.body.retry_after_ms = None;
-    failure.is_silence = true;
+    failure.got_no_response = true;
     failure
 }
 
@@ -237,7 +237,7 @@
         Failure {
             kind,
             body: ErrorDocument::new(kind, message).error,
-            is_silence: false,
+            got_no_response: false,
         }
     }
 }
--- a/crates/petrellatch/src/http/event_server.rs
+++ b/crates/petrellatch/src/http/event_server.rs
@@ -17,16 +17,16 @@
 /// Most headers of a request.
 const MAX_HEADERS: usize = 32;
 /// Most bytes before the body.
-const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADER_BYTES: usize = 16 * 1024;
 /// Bytes that are read in one go.
 const READ_BYTES: usize = 4 * 1024;
 /// A connection without a complete request is closed after this.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A connection that has rested for so long gives way to a new one if there are too
 /// many: a caller in the middle of a call is not silent for a second.
-const GIVE_WAY_LIMIT: Duration = Duration::from_secs(1);
+const RECLAIM_IDLE_TIME: Duration = Duration::from_secs(1);
 /// A request that is not complete after this is refused.
-const REQUEST_LIMIT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection. Numbers are never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,8 +58,8 @@
     input: Vec<u8>,
     output: Vec<u8>,
     /// A request was handed out and is not answered yet.
-    waits: bool,
-    close_after_answer: bool,
+    awaits_response: bool,
+    close_after_response: bool,
     active_at: Timestamp,
 }
 
@@ -129,11 +129,11 @@
         response: &HttpResponse,
     ) -> Option<ReceivedRequest> {
         let connection = self.connections.get_mut(&id)?;
-        connection.waits = false;
+        connection.awaits_response = false;
         connection.active_at = now;
         write_response(
             response,
-            connection.close_after_answer,
+            connection.close_after_response,
             &mut connection.output,
         );
         self.flush(id);
@@ -142,21 +142,21 @@
 
     /// Closes connections that are idle or too slow.
     pub fn expire(&mut self, now: Timestamp) {
-        let too_slow = |connection: &Connection| {
-            let rest = now.saturating_since(connection.active_at);
-            let partial = !connection.input.is_empty() && !connection.waits;
-            rest >= IDLE_LIMIT || (partial && rest >= REQUEST_LIMIT)
+        let has_expired = |connection: &Connection| {
+            let idle_time = now.saturating_since(connection.active_at);
+            let partial = !connection.input.is_empty() && !connection.awaits_response;
+            idle_time >= IDLE_TIMEOUT || (partial && idle_time >= REQUEST_TIMEOUT)
         };
         let expired: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, connection)| too_slow(connection))
+            .filter(|(_, connection)| has_expired(connection))
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
             if let Some(connection) = self.connections.get_mut(&id)
                 && !connection.input.is_empty()
-                && !connection.waits
+                && !connection.awaits_response
             {
                 let response = HttpResponse::error(ErrorKind::Invalid, "the request is cut short");
                 write_response(&response, true, &mut connection.output);
@@ -168,13 +168,13 @@
 
     /// Closes the connection that has rested longest, if it may have gone silent
     /// without a reset. Returns whether one was closed.
-    fn close_silent(&mut self, now: Timestamp) -> bool {
-        let resting = self.connections.iter().filter(|(_, connection)| {
-            let rest = now.saturating_since(connection.active_at);
-            !connection.waits && rest >= GIVE_WAY_LIMIT
+    fn close_longest_idle(&mut self, now: Timestamp) -> bool {
+        let reclaimable = self.connections.iter().filter(|(_, connection)| {
+            let idle_time = now.saturating_since(connection.active_at);
+            !connection.awaits_response && idle_time >= RECLAIM_IDLE_TIME
         });
-        let longest = resting.min_by_key(|(_, connection)| connection.active_at);
-        let Some(id) = longest.map(|(id, _)| *id) else {
+        let longest_idle = reclaimable.min_by_key(|(_, connection)| connection.active_at);
+        let Some(id) = longest_idle.map(|(id, _)| *id) else {
             return false;
         };
         self.connections.remove(&id);
@@ -184,7 +184,7 @@
     fn accept(&mut self, now: Timestamp, registry: &Registry) -> Vec<ReceivedRequest> {
         let mut received = Vec::new();
         while let Ok((mut stream, _)) = self.listener.accept() {
-            if self.connections.len() >= self.max_connections && !self.close_silent(now) {
+            if self.connections.len() >= self.max_connections && !self.close_longest_idle(now) {
                 continue;
             }
             let id = ConnectionId(self.next_connection);
@@ -200,8 +200,8 @@
                 stream,
                 input: Vec::new(),
                 output: Vec::new(),
-                waits: false,
-                close_after_answer: false,
+                awaits_response: false,
+                close_after_response: false,
                 active_at: now,
             };
             self.connections.insert(id, connection);
@@ -215,9 +215,9 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return Vec::new();
         };
-        let limit = self.max_body_bytes + MAX_HEAD_BYTES;
+        let limit = self.max_body_bytes + MAX_HEADER_BYTES;
         let is_open = read_available(connection, limit);
-        if !is_open && connection.waits {
+        if !is_open && connection.awaits_response {
             self.connections.remove(&id);
             return Vec::new();
         }
@@ -232,7 +232,7 @@
     /// one before is answered.
     fn parse_next(&mut self, now: Timestamp, id: ConnectionId) -> Option<ReceivedRequest> {
         let connection = self.connections.get_mut(&id)?;
-        if connection.waits || connection.input.is_empty() {
+        if connection.awaits_response || connection.input.is_empty() {
             return None;
         }
         match parse(&connection.input, self.max_body_bytes) {
@@ -244,8 +244,8 @@
             } => {
                 connection.input.drain(..bytes);
                 connection.input.shrink_to(READ_BYTES);
-                connection.waits = true;
-                connection.close_after_answer = !keep_alive;
+                connection.awaits_response = true;
+                connection.close_after_response = !keep_alive;
                 connection.active_at = now;
                 Some(ReceivedRequest {
                     connection: id,
@@ -254,7 +254,7 @@
             }
             Parsed::Refused(response) => {
                 connection.input.clear();
-                connection.close_after_answer = true;
+                connection.close_after_response = true;
                 write_response(&response, true, &mut connection.output);
                 self.flush(id);
                 None
@@ -280,8 +280,8 @@
                 }
             }
         }
-        let done = connection.output.is_empty() && !connection.waits;
-        if broken || (done && connection.close_after_answer) {
+        let done = connection.output.is_empty() && !connection.awaits_response;
+        if broken || (done && connection.close_after_response) {
             self.connections.remove(&id);
         }
     }
@@ -308,10 +308,10 @@
 
 fn parse(input: &[u8], max_body_bytes: usize) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Request::new(&mut headers);
-    let head_bytes = match head.parse(input) {
+    let mut header_block = httparse::Request::new(&mut headers);
+    let header_bytes = match header_block.parse(input) {
         Ok(httparse::Status::Complete(bytes)) => bytes,
-        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => {
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEADER_BYTES => {
             return Parsed::Incomplete;
         }
         Ok(httparse::Status::Partial) => {
@@ -320,7 +320,7 @@
         Err(error) => return refused(ErrorKind::Invalid, &error.to_string()),
     };
     let header = |name: &str| {
-        let found = head
+        let found = header_block
             .headers
             .iter()
             .find(|it| it.name.eq_ignore_ascii_case(name));
@@ -335,23 +335,23 @@
         Some(Ok(_)) => return refused(ErrorKind::TooLarge, "the body is too large"),
         Some(Err(_)) => return refused(ErrorKind::Invalid, "Content-Length is no number"),
     };
-    let end = head_bytes + length;
+    let end = header_bytes + length;
     if input.len() < end {
         return Parsed::Incomplete;
     }
     let connection = header("connection").unwrap_or("").to_ascii_lowercase();
-    let keep_alive = match head.version {
+    let keep_alive = match header_block.version {
         Some(1) => connection != "close",
         _ => connection == "keep-alive",
     };
-    let target = head.path.unwrap_or("/");
+    let target = header_block.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     Parsed::Request {
         request: HttpRequest {
-            method: head.method.unwrap_or("").to_string(),
+            method: header_block.method.unwrap_or("").to_string(),
             path: path.to_string(),
             query: query.to_string(),
-            body: input[head_bytes..end].to_vec(),
+            body: input[header_bytes..end].to_vec(),
         },
         bytes: end,
         keep_alive,
@@ -364,23 +364,23 @@
 
 fn write_response(response: &HttpResponse, close: bool, output: &mut Vec<u8>) {
     let status = response.status;
-    let mut head = format!(
+    let mut header_block = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
         reason_phrase(status),
         response.content_type,
         response.body.len()
     );
     if let Some(wait) = response.retry_after {
-        head.push_str(&format!("Retry-After: {}\r\n", wait.as_secs().max(1)));
+        header_block.push_str(&format!("Retry-After: {}\r\n", wait.as_secs().max(1)));
     }
     if let Some(location) = &response.location {
-        head.push_str(&format!("Location: {location}\r\n"));
+        header_block.push_str(&format!("Location: {location}\r\n"));
     }
     if close {
-        head.push_str("Connection: close\r\n");
+        header_block.push_str("Connection: close\r\n");
     }
-    head.push_str("\r\n");
-    output.extend_from_slice(head.as_bytes());
+    header_block.push_str("\r\n");
+    output.extend_from_slice(header_block.as_bytes());
     output.extend_from_slice(&response.body);
 }
 
--- a/crates/petrellatch/src/http/server.rs
+++ b/crates/petrellatch/src/http/server.rs
@@ -15,13 +15,13 @@
 use crate::error::ProgramError;
 
 /// Threads that answer refused requests with large bodies.
-const REFUSERS: usize = 4;
+const REFUSAL_THREADS: usize = 4;
 /// A body of at most so many bytes has been read when its request arrives.
 const READ_AHEAD_BYTES: usize = 1_024;
 /// The longest that a closing server waits for its last answers to leave.
-const LAST_ANSWERS_LIMIT: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between two looks at them.
-const LAST_ANSWERS_POLL: Duration = Duration::from_millis(2);
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Answers requests.
 pub trait HttpHandler: Send + Sync + 'static {
@@ -46,7 +46,7 @@
     address: SocketAddrV4,
     server: Arc<Server>,
     requests: Arc<AtomicUsize>,
-    accepting: Option<JoinHandle<()>>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
 /// A request that is refused, with its answer.
@@ -56,7 +56,7 @@
 }
 
 /// What the threads of one server share.
-struct Shared<H> {
+struct ServerState<H> {
     handler: Arc<H>,
     limits: HttpLimits,
     requests: Arc<AtomicUsize>,
@@ -80,27 +80,27 @@
             })?;
         let (sender, receiver) = channel();
         let requests = Arc::new(AtomicUsize::new(0));
-        let shared = Arc::new(Shared {
+        let state = Arc::new(ServerState {
             handler,
             limits,
             requests: Arc::clone(&requests),
             queue: Mutex::new(receiver),
         });
         for _ in 0..limits.workers {
-            let shared = Arc::clone(&shared);
-            spawn("http-worker", move || shared.work())?;
+            let state = Arc::clone(&state);
+            spawn("http-worker", move || state.run_worker())?;
         }
         let server = Arc::new(server);
         let accepted = Arc::clone(&server);
-        let refusals = start_refusers()?;
-        let accepting = spawn("http-server", move || {
-            shared.accept(&accepted, &sender, &refusals);
+        let refusals = start_refusal_threads()?;
+        let accept_thread = spawn("http-server", move || {
+            state.accept(&accepted, &sender, &refusals);
         })?;
         Ok(HttpServer {
             address,
             server,
             requests,
-            accepting: Some(accepting),
+            accept_thread: Some(accept_thread),
         })
     }
 
@@ -113,17 +113,17 @@
 impl Drop for HttpServer {
     fn drop(&mut self) {
         self.server.unblock();
-        if let Some(accepting) = self.accepting.take() {
-            let _ = accepting.join();
+        if let Some(accept_thread) = self.accept_thread.take() {
+            let _ = accept_thread.join();
         }
-        let deadline = Instant::now() + LAST_ANSWERS_LIMIT;
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
         while self.requests.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
-            thread::sleep(LAST_ANSWERS_POLL);
+            thread::sleep(CLOSE_POLL_INTERVAL);
         }
     }
 }
 
-impl<H: HttpHandler> Shared<H> {
+impl<H: HttpHandler> ServerState<H> {
     /// Takes requests and refuses those above the bounds.
     fn accept(&self, server: &Server, queue: &Sender<Request>, refusals: &Sender<Refusal>) {
         for request in server.incoming_requests() {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn work(&self) {
+    fn run_worker(&self) {
         loop {
             let next = self
                 .queue
@@ -157,7 +157,7 @@
                 Ok(request) => self.handler.handle(&request),
                 Err(refusal) => refusal,
             };
-            answer(request, &response);
+            send_response(request, &response);
             self.requests.fetch_sub(1, Ordering::AcqRel);
         }
     }
@@ -165,10 +165,10 @@
 
 /// Starts the threads that answer refused requests with large bodies. They end
 /// when the returned end is dropped.
-fn start_refusers() -> Result<Sender<Refusal>, ProgramError> {
+fn start_refusal_threads() -> Result<Sender<Refusal>, ProgramError> {
     let (sender, receiver) = channel::<Refusal>();
     let receiver = Arc::new(Mutex::new(receiver));
-    for _ in 0..REFUSERS {
+    for _ in 0..REFUSAL_THREADS {
         let receiver = Arc::clone(&receiver);
         spawn("http-refuser", move || {
             loop {
@@ -177,7 +177,7 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .recv();
                 let Ok(refusal) = next else { return };
-                answer(refusal.request, &refusal.response);
+                send_response(refusal.request, &refusal.response);
             }
         })?;
     }
@@ -192,7 +192,7 @@
         .body_length()
         .is_none_or(|length| length <= READ_AHEAD_BYTES);
     if is_read {
-        answer(request, &response);
+        send_response(request, &response);
     } else {
         let _ = refusals.send(Refusal { request, response });
     }
@@ -225,15 +225,15 @@
 }
 
 /// Sends a response. A client that has gone away is its own affair.
-fn answer(request: Request, response: &HttpResponse) {
-    let mut reply = Response::from_data(response.body.clone())
+fn send_response(request: Request, response: &HttpResponse) {
+    let mut http_response = Response::from_data(response.body.clone())
         .with_status_code(response.status)
         .with_header(header("Content-Type", response.content_type));
     if let Some(wait) = response.retry_after {
         let seconds = wait.as_secs().max(1);
-        reply = reply.with_header(header("Retry-After", &seconds.to_string()));
+        http_response = http_response.with_header(header("Retry-After", &seconds.to_string()));
     }
-    let _ = request.respond(reply);
+    let _ = request.respond(http_response);
 }
 
 fn header(name: &str, value: &str) -> Header {
--- a/crates/petrellatch/src/runtime/agent/backend_connection.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connection.rs
@@ -30,14 +30,14 @@
     Connecting,
     Open,
     /// It failed, and the flow was notified.
-    Gone,
+    Failed,
 }
 
 /// Whether a connection can make further progress without a new event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
     /// The connection waits for its next selector event.
-    Waits,
+    Blocked,
     /// The read budget was spent; serve the connection again.
     More,
 }
@@ -68,24 +68,24 @@
     }
 
     /// Replaces the pending bytes, and writes as many as the socket accepts now.
-    pub(super) fn write(&mut self, bytes: Vec<u8>, tell: &mut impl FnMut(BackendEvent)) {
+    pub(super) fn write(&mut self, bytes: Vec<u8>, notify: &mut impl FnMut(BackendEvent)) {
         self.pending = bytes;
         self.written = 0;
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
     }
 
     /// Returns whether the connection failed and the flow was notified.
-    pub(super) fn is_gone(&self) -> bool {
-        self.phase == Phase::Gone
+    pub(super) fn has_failed(&self) -> bool {
+        self.phase == Phase::Failed
     }
 
     /// Shuts down the direction to the back end once all pending bytes are written.
-    pub(super) fn finish(&mut self, tell: &mut impl FnMut(BackendEvent)) {
+    pub(super) fn finish(&mut self, notify: &mut impl FnMut(BackendEvent)) {
         self.finish = true;
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
     }
 
@@ -98,18 +98,18 @@
     pub(super) fn serve(
         &mut self,
         buffer: &mut [u8],
-        tell: &mut impl FnMut(BackendEvent),
+        notify: &mut impl FnMut(BackendEvent),
     ) -> Progress {
-        if self.phase == Phase::Connecting && !self.check_connected(tell) {
-            return Progress::Waits;
+        if self.phase == Phase::Connecting && !self.check_connected(notify) {
+            return Progress::Blocked;
         }
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
         if self.phase == Phase::Open {
-            return self.read(buffer, tell);
+            return self.read(buffer, notify);
         }
-        Progress::Waits
+        Progress::Blocked
     }
 
     /// Closes the connection. Unless the back end has closed its direction,
@@ -121,36 +121,36 @@
         }
     }
 
-    fn check_connected(&mut self, tell: &mut impl FnMut(BackendEvent)) -> bool {
+    fn check_connected(&mut self, notify: &mut impl FnMut(BackendEvent)) -> bool {
         if let Ok(Some(_)) | Err(_) = self.stream.take_error() {
-            self.phase = Phase::Gone;
-            tell(BackendEvent::ConnectFailed);
+            self.phase = Phase::Failed;
+            notify(BackendEvent::ConnectFailed);
             return false;
         }
         match self.stream.peer_addr() {
             Ok(_) => {
                 self.phase = Phase::Open;
-                tell(BackendEvent::Connected);
+                notify(BackendEvent::Connected);
                 true
             }
             Err(error) if error.kind() == io::ErrorKind::NotConnected => false,
             Err(_) => {
-                self.phase = Phase::Gone;
-                tell(BackendEvent::ConnectFailed);
+                self.phase = Phase::Failed;
+                notify(BackendEvent::ConnectFailed);
                 false
             }
         }
     }
 
-    fn write_pending(&mut self, tell: &mut impl FnMut(BackendEvent)) {
+    fn write_pending(&mut self, notify: &mut impl FnMut(BackendEvent)) {
         let wrote = !self.pending.is_empty();
         while self.written < self.pending.len() {
             match self.stream.write(&self.pending[self.written..]) {
-                Ok(0) => return self.fail(tell),
+                Ok(0) => return self.fail(notify),
                 Ok(count) => self.written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.fail(tell),
+                Err(_) => return self.fail(notify),
             }
         }
         self.pending.clear();
@@ -160,11 +160,11 @@
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         if wrote {
-            tell(BackendEvent::Writable);
+            notify(BackendEvent::Writable);
         }
     }
 
-    fn read(&mut self, buffer: &mut [u8], tell: &mut impl FnMut(BackendEvent)) -> Progress {
+    fn read(&mut self, buffer: &mut [u8], notify: &mut impl FnMut(BackendEvent)) -> Progress {
         let mut total = 0;
         while !self.paused && !self.read_closed {
             if total >= READ_BUDGET_BYTES {
@@ -173,25 +173,25 @@
             match self.stream.read(buffer) {
                 Ok(0) => {
                     self.read_closed = true;
-                    tell(BackendEvent::Finished);
+                    notify(BackendEvent::Finished);
                 }
                 Ok(count) => {
                     total += count;
-                    tell(BackendEvent::Data(buffer[..count].to_vec()));
+                    notify(BackendEvent::Data(buffer[..count].to_vec()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.fail(tell),
+                Err(_) => self.fail(notify),
             }
-            if self.phase == Phase::Gone {
+            if self.phase == Phase::Failed {
                 break;
             }
         }
-        Progress::Waits
+        Progress::Blocked
     }
 
-    fn fail(&mut self, tell: &mut impl FnMut(BackendEvent)) {
-        self.phase = Phase::Gone;
-        tell(BackendEvent::Reset);
+    fn fail(&mut self, notify: &mut impl FnMut(BackendEvent)) {
+        self.phase = Phase::Failed;
+        notify(BackendEvent::Reset);
     }
 }
--- a/crates/petrellatch/src/runtime/agent/backend_connections.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connections.rs
@@ -50,16 +50,16 @@
     }
 
     /// Serves each ready connection once.
-    pub(super) fn serve(&mut self, mut tell: impl FnMut(FlowId, BackendEvent)) {
+    pub(super) fn serve(&mut self, mut notify: impl FnMut(FlowId, BackendEvent)) {
         for flow in std::mem::take(&mut self.ready) {
             let Some(connection) = self.connections.get_mut(&flow) else {
                 continue;
             };
-            let progress = connection.serve(&mut self.buffer, &mut |event| tell(flow, event));
+            let progress = connection.serve(&mut self.buffer, &mut |event| notify(flow, event));
             if progress == Progress::More {
                 self.ready.insert(flow);
             }
-            self.forget_if_gone(flow);
+            self.remove_if_failed(flow);
         }
     }
 
@@ -68,14 +68,14 @@
         &mut self,
         flow: FlowId,
         server: SocketAddrV4,
-        mut tell: impl FnMut(FlowId, BackendEvent),
+        mut notify: impl FnMut(FlowId, BackendEvent),
     ) {
         let token = Token(self.first_token + flow.0 as usize);
         match BackendConnection::open(&self.registry, token, server) {
             Ok(connection) => {
                 self.connections.insert(flow, connection);
             }
-            Err(_) => tell(flow, BackendEvent::ConnectFailed),
+            Err(_) => notify(flow, BackendEvent::ConnectFailed),
         }
     }
 
@@ -84,19 +84,19 @@
         &mut self,
         flow: FlowId,
         bytes: Vec<u8>,
-        mut tell: impl FnMut(FlowId, BackendEvent),
+        mut notify: impl FnMut(FlowId, BackendEvent),
     ) {
         if let Some(connection) = self.connections.get_mut(&flow) {
-            connection.write(bytes, &mut |event| tell(flow, event));
-            self.forget_if_gone(flow);
+            connection.write(bytes, &mut |event| notify(flow, event));
+            self.remove_if_failed(flow);
         }
     }
 
     /// Shuts down the direction to the back end of a flow.
-    pub(super) fn finish(&mut self, flow: FlowId, mut tell: impl FnMut(FlowId, BackendEvent)) {
+    pub(super) fn finish(&mut self, flow: FlowId, mut notify: impl FnMut(FlowId, BackendEvent)) {
         if let Some(connection) = self.connections.get_mut(&flow) {
-            connection.finish(&mut |event| tell(flow, event));
-            self.forget_if_gone(flow);
+            connection.finish(&mut |event| notify(flow, event));
+            self.remove_if_failed(flow);
         }
     }
 
@@ -125,11 +125,11 @@
 
     /// Removes the connection if it failed. Its flow was notified and no longer
     /// uses it.
-    fn forget_if_gone(&mut self, flow: FlowId) {
+    fn remove_if_failed(&mut self, flow: FlowId) {
         if self
             .connections
             .get(&flow)
-            .is_some_and(BackendConnection::is_gone)
+            .is_some_and(BackendConnection::has_failed)
         {
             self.abort(flow);
         }
--- a/crates/petrellatch/src/runtime/agent/health_prober.rs
+++ b/crates/petrellatch/src/runtime/agent/health_prober.rs
@@ -15,9 +15,9 @@
 use crate::http::DocumentReader;
 
 /// Interval between rounds of probes.
-const ROUND_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a response is waited for.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The part of a back end's response that is used. What it reports about load
 /// and health may be stale or wrong, and the agent measures both itself. Only
@@ -86,14 +86,14 @@
     reports: &Sender<DrainReport>,
     waker: &Waker,
 ) {
-    let reader = DocumentReader::new(ANSWER_TIMEOUT);
+    let reader = DocumentReader::new(RESPONSE_TIMEOUT);
     let mut current = Vec::new();
-    let mut told = BTreeMap::new();
+    let mut reported = BTreeMap::new();
     loop {
-        match targets.recv_timeout(ROUND_INTERVAL) {
+        match targets.recv_timeout(PROBE_INTERVAL) {
             Ok(changed) => {
                 current = targets.try_iter().last().unwrap_or(changed);
-                told.clear();
+                reported.clear();
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
@@ -105,7 +105,7 @@
             let Ok(HealthDocument { draining }) = reader.read(&url) else {
                 continue;
             };
-            if told.insert(*backend, draining) == Some(draining) {
+            if reported.insert(*backend, draining) == Some(draining) {
                 continue;
             }
             let report = DrainReport {
--- a/crates/petrellatch/src/runtime/agent/mod.rs
+++ b/crates/petrellatch/src/runtime/agent/mod.rs
@@ -23,9 +23,11 @@
 use super::clock::ProcessClock;
 use super::data_folder::DataFolder;
 use super::datagram_socket::{Batch, DatagramSocket};
-use super::process::{DaemonSockets, Process, link_settings, node_identity, open_poll, waited};
+use super::process::{
+    DaemonSockets, Process, check_wait_result, link_settings, node_identity, open_poll,
+};
 use super::sealed_socket::SealedSocket;
-use super::stop_signal::StopWish;
+use super::stop_signal::StopRequest;
 use super::view_writer::ViewWriter;
 use crate::error::ProgramError;
 
@@ -71,7 +73,7 @@
         buffer: Vec::new(),
         backends: BackendConnections::new(&poll, FIRST_BACKEND_TOKEN)?,
         prober,
-        probed: Vec::new(),
+        probe_targets: Vec::new(),
         views: ViewWriter::start(folder, process.logger.clone())?,
         metrics: AgentMetrics::new(admin.registry()),
         admin,
@@ -104,7 +106,7 @@
     backends: BackendConnections,
     prober: Option<HealthProber>,
     /// The back ends that the prober probes.
-    probed: Vec<ProbedBackend>,
+    probe_targets: Vec<ProbedBackend>,
     views: ViewWriter,
     admin: Arc<AdminState>,
     metrics: AgentMetrics,
@@ -129,11 +131,11 @@
                 true => Duration::ZERO,
                 false => self.clock.until(self.node.poll_timeout(), REPORT_INTERVAL),
             };
-            waited(poll.poll(&mut events, Some(wait)))?;
+            check_wait_result(poll.poll(&mut events, Some(wait)))?;
             match self.process.stop.check() {
-                StopWish::None => {}
-                StopWish::Planned => self.begin_stop(),
-                StopWish::AtOnce => break,
+                StopRequest::None => {}
+                StopRequest::Graceful => self.begin_stop(),
+                StopRequest::Immediate => break,
             }
             for event in &events {
                 self.backends.note_ready(event);
@@ -141,7 +143,7 @@
             more = self.receive();
             self.serve_backends();
             self.take_drain_reports();
-            self.work();
+            self.run_node();
             more |= self.backends.has_ready();
         }
         self.process.log(EventKind::ProcessStopped, "agent");
@@ -191,19 +193,19 @@
         backends.serve(|flow, event| node.handle_backend(now, flow, event));
     }
 
-    fn work(&mut self) {
+    fn run_node(&mut self) {
         let now = self.clock.now();
         if self.node.poll_timeout().is_some_and(|due| due <= now) {
             self.node.handle_timeout(now);
         }
         while let Some(output) = self.node.poll_output() {
-            self.carry_out(now, output);
+            self.process_output(now, output);
         }
         self.admin.set_ready(self.node.link().is_current());
         if now.saturating_since(self.reported_at) >= REPORT_INTERVAL {
             self.reported_at = now;
             self.report();
-            self.choose_probed();
+            self.update_probe_targets();
         }
     }
 
@@ -216,7 +218,7 @@
     }
 
     /// Passes the back ends that this agent serves now to the prober.
-    fn choose_probed(&mut self) {
+    fn update_probe_targets(&mut self) {
         let Some(prober) = &self.prober else {
             return;
         };
@@ -228,15 +230,15 @@
                 server: record.server.into(),
             })
             .collect();
-        if present != self.probed {
+        if present != self.probe_targets {
             prober.set_targets(present.clone());
-            self.probed = present;
+            self.probe_targets = present;
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp, output: AgentOutput) {
+    fn process_output(&mut self, now: Timestamp, output: AgentOutput) {
         let AgentLoop { node, backends, .. } = self;
-        let tell = |flow, event| node.handle_backend(now, flow, event);
+        let notify = |flow, event| node.handle_backend(now, flow, event);
         match output {
             AgentOutput::Send { to, envelope } => self.control.send(to, &envelope),
             AgentOutput::Forward { to, datagram } => {
@@ -246,9 +248,9 @@
             AgentOutput::Packet(packet) => {
                 self.data.send(self.process.settings.fabric, &packet);
             }
-            AgentOutput::Connect { flow, server } => backends.connect(flow, server, tell),
-            AgentOutput::Write { flow, bytes } => backends.write(flow, bytes, tell),
-            AgentOutput::Finish { flow } => backends.finish(flow, tell),
+            AgentOutput::Connect { flow, server } => backends.connect(flow, server, notify),
+            AgentOutput::Write { flow, bytes } => backends.write(flow, bytes, notify),
+            AgentOutput::Finish { flow } => backends.finish(flow, notify),
             AgentOutput::Abort { flow } => backends.abort(flow),
             AgentOutput::PauseReading { flow } => backends.pause_reading(flow),
             AgentOutput::ResumeReading { flow } => backends.resume_reading(flow),
--- a/crates/petrellatch/src/runtime/balancer.rs
+++ b/crates/petrellatch/src/runtime/balancer.rs
@@ -18,9 +18,11 @@
 use super::metrics::{
     ControlTrafficMetrics, counter, counters, drop_reason_name, gauge, raise, set,
 };
-use super::process::{DaemonSockets, Process, link_settings, node_identity, open_poll, waited};
+use super::process::{
+    DaemonSockets, Process, check_wait_result, link_settings, node_identity, open_poll,
+};
 use super::sealed_socket::{ControlTraffic, SealedSocket};
-use super::stop_signal::StopWish;
+use super::stop_signal::StopRequest;
 use super::view_writer::ViewWriter;
 use crate::error::ProgramError;
 
@@ -97,14 +99,14 @@
                 true => Duration::ZERO,
                 false => self.clock.until(self.node.poll_timeout(), REPORT_INTERVAL),
             };
-            waited(poll.poll(&mut events, Some(wait)))?;
+            check_wait_result(poll.poll(&mut events, Some(wait)))?;
             match self.process.stop.check() {
-                StopWish::None => {}
-                StopWish::Planned => self.begin_stop(),
-                StopWish::AtOnce => break,
+                StopRequest::None => {}
+                StopRequest::Graceful => self.begin_stop(),
+                StopRequest::Immediate => break,
             }
             more = self.receive();
-            self.work();
+            self.run_node();
         }
         self.process.log(EventKind::ProcessStopped, "balancer");
         Ok(())
@@ -147,7 +149,7 @@
         control_batch == Batch::Full || data_batch == Batch::Full
     }
 
-    fn work(&mut self) {
+    fn run_node(&mut self) {
         let now = self.clock.now();
         if self.node.poll_timeout().is_some_and(|due| due <= now) {
             self.node.handle_timeout(now);
--- a/crates/petrellatch/src/runtime/control/documents.rs
+++ b/crates/petrellatch/src/runtime/control/documents.rs
@@ -62,9 +62,9 @@
 
 /// The document that a status is converted into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum StatusDocumentKind {
     /// The full status.
-    Whole,
+    Full,
     /// The progress of one version.
     Progress {
         /// The version; `None` for the newest.
@@ -73,18 +73,18 @@
 }
 
 /// Names and operator addresses of the control replicas.
-pub(super) struct Directory {
+pub(super) struct ReplicaDirectory {
     replicas: BTreeMap<NodeId, (String, Option<SocketAddrV4>)>,
 }
 
-impl Directory {
+impl ReplicaDirectory {
     /// Reads them from the settings.
     pub(super) fn new(replicas: &[ReplicaSettings]) -> Self {
         let entry = |replica: &ReplicaSettings| {
             let node = NodeId::from_name(&replica.name);
             (node, (replica.name.clone(), replica.operator))
         };
-        Directory {
+        ReplicaDirectory {
             replicas: replicas.iter().map(entry).collect(),
         }
     }
@@ -93,7 +93,7 @@
     pub(super) fn describe(
         &self,
         response: OperatorResponse,
-        shape: Shape,
+        status_kind: StatusDocumentKind,
         node: &ControlNode,
     ) -> OperatorDocument {
         let view = node.state().view();
@@ -105,9 +105,11 @@
             OperatorResponse::Configuration(configuration) => {
                 OperatorDocument::Configuration(configuration)
             }
-            OperatorResponse::Status(status) => match shape {
-                Shape::Whole => OperatorDocument::Status(self.status_document(status, node)),
-                Shape::Progress { version } => {
+            OperatorResponse::Status(status) => match status_kind {
+                StatusDocumentKind::Full => {
+                    OperatorDocument::Status(self.status_document(status, node))
+                }
+                StatusDocumentKind::Progress { version } => {
                     OperatorDocument::Progress(progress_document(&status, version))
                 }
             },
--- a/crates/petrellatch/src/runtime/control/mod.rs
+++ b/crates/petrellatch/src/runtime/control/mod.rs
@@ -27,17 +27,17 @@
 use petrellatch_proto::record::NodeRole;
 
 use self::control_metrics::ControlMetrics;
-use self::documents::{Directory, Shape};
-use self::operator_api::{Answer, AnswerSender, LoopRequest, OperatorApi, PendingRequest};
+use self::documents::{ReplicaDirectory, StatusDocumentKind};
+use self::operator_api::{LoopRequest, LoopResponse, OperatorApi, PendingRequest, ResponseSender};
 use self::platform_poller::PlatformPoller;
 use super::admin::AdminState;
 use super::clock::ProcessClock;
 use super::datagram_socket::{Batch, DatagramSocket};
 use super::log_writer::LogWriter;
-use super::process::{Process, open_poll, waited};
+use super::process::{Process, check_wait_result, open_poll};
 use super::ready_line::ReadyLine;
 use super::sealed_socket::SealedSocket;
-use super::stop_signal::StopWish;
+use super::stop_signal::StopRequest;
 use crate::api::ErrorDocument;
 use crate::error::ProgramError;
 use crate::http::{HttpLimits, HttpServer, local_address, open_listener};
@@ -149,9 +149,9 @@
         log: LogWriter::start(folder.store, waker)?,
         platform,
         requests,
-        waiting: BTreeMap::new(),
+        pending_responses: BTreeMap::new(),
         next_token: 0,
-        directory: Directory::new(&settings.replicas),
+        directory: ReplicaDirectory::new(&settings.replicas),
         metrics: ControlMetrics::new(admin.registry()),
         admin,
         reported_at: Timestamp::ZERO,
@@ -170,9 +170,9 @@
     platform: Option<PlatformPoller>,
     requests: Receiver<PendingRequest>,
     /// Requests in progress, by the token under which the node responds.
-    waiting: BTreeMap<u64, Waiting>,
+    pending_responses: BTreeMap<u64, PendingResponse>,
     next_token: u64,
-    directory: Directory,
+    directory: ReplicaDirectory,
     admin: Arc<AdminState>,
     metrics: ControlMetrics,
     reported_at: Timestamp,
@@ -180,9 +180,9 @@
 }
 
 /// An operator's request in progress.
-struct Waiting {
-    answer: AnswerSender,
-    shape: Shape,
+struct PendingResponse {
+    response_sender: ResponseSender,
+    status_kind: StatusDocumentKind,
 }
 
 impl ControlLoop {
@@ -192,23 +192,23 @@
         self.process.log(EventKind::ProcessStarted, "control");
         let mut events = Events::with_capacity(EVENTS);
         let mut more = false;
-        self.work()?;
+        self.run_node()?;
         while !self.node.is_stopped() {
             let wait = match more {
                 true => Duration::ZERO,
                 false => self.clock.until(self.node.poll_timeout(), REPORT_INTERVAL),
             };
-            waited(poll.poll(&mut events, Some(wait)))?;
+            check_wait_result(poll.poll(&mut events, Some(wait)))?;
             match self.process.stop.check() {
-                StopWish::None => {}
-                StopWish::Planned => self.begin_stop(),
-                StopWish::AtOnce => break,
+                StopRequest::None => {}
+                StopRequest::Graceful => self.begin_stop(),
+                StopRequest::Immediate => break,
             }
             more = self.receive();
             self.take_requests();
             self.take_platform_list();
-            self.take_written()?;
-            self.work()?;
+            self.take_completed_writes()?;
+            self.run_node()?;
         }
         self.process.log(EventKind::ProcessStopped, "control");
         Ok(())
@@ -233,24 +233,41 @@
     }
 
     fn take_requests(&mut self) {
-        while let Ok(PendingRequest { request, answer }) = self.requests.try_recv() {
+        while let Ok(PendingRequest {
+            request,
+            response_sender,
+        }) = self.requests.try_recv()
+        {
             match request {
-                LoopRequest::Node(request, shape) => self.ask_node(request, shape, answer),
-                LoopRequest::AddAnnounced(node) => self.add_announced(node, answer),
+                LoopRequest::Node(request, status_kind) => {
+                    self.submit_to_node(request, status_kind, response_sender)
+                }
+                LoopRequest::AddAnnounced(node) => self.add_announced(node, response_sender),
             }
         }
     }
 
-    fn ask_node(&mut self, request: OperatorRequest, shape: Shape, answer: AnswerSender) {
+    fn submit_to_node(
+        &mut self,
+        request: OperatorRequest,
+        status_kind: StatusDocumentKind,
+        response_sender: ResponseSender,
+    ) {
         let token = self.next_token;
         self.next_token += 1;
-        self.waiting.insert(token, Waiting { answer, shape });
+        self.pending_responses.insert(
+            token,
+            PendingResponse {
+                response_sender,
+                status_kind,
+            },
+        );
         self.node.handle_request(self.clock.now(), token, request);
     }
 
     /// Adds the replica that a node announced. Only the leader receives
     /// announcements; the other replicas respond with the leader's address.
-    fn add_announced(&mut self, node: NodeId, answer: AnswerSender) {
+    fn add_announced(&mut self, node: NodeId, response_sender: ResponseSender) {
         let replica = self.node.replica();
         let announced = replica.waiting_replicas();
         let found = announced.into_iter().find(|it| it.node == node);
@@ -258,7 +275,7 @@
         if found.is_none() && leads {
             let message = "no replica of this name that is not a member has announced itself";
             let error = ErrorDocument::new(ErrorKind::NotFound, message);
-            let _ = answer.send(Answer::Refused(error));
+            let _ = response_sender.send(LoopResponse::Failure(error));
             return;
         }
         let unknown = ReplicaId {
@@ -267,7 +284,7 @@
         };
         let change = MembershipChange::AddVoter(found.unwrap_or(unknown));
         let request = OperatorRequest::ChangeReplicas(change);
-        self.ask_node(request, Shape::Whole, answer);
+        self.submit_to_node(request, StatusDocumentKind::Full, response_sender);
     }
 
     fn take_platform_list(&mut self) {
@@ -277,7 +294,7 @@
         }
     }
 
-    fn take_written(&mut self) -> Result<(), ProgramError> {
+    fn take_completed_writes(&mut self) -> Result<(), ProgramError> {
         while let Some(written) = self.log.poll() {
             let ticket = written.map_err(|source| ProgramError::Storage { source })?;
             self.node.handle_persisted(self.clock.now(), ticket);
@@ -285,13 +302,13 @@
         Ok(())
     }
 
-    fn work(&mut self) -> Result<(), ProgramError> {
+    fn run_node(&mut self) -> Result<(), ProgramError> {
         let now = self.clock.now();
         if self.node.poll_timeout().is_some_and(|due| due <= now) {
             self.node.handle_timeout(now);
         }
         while let Some(output) = self.node.poll_output() {
-            self.carry_out(output)?;
+            self.process_output(output)?;
         }
         self.admin.set_ready(self.node.replica().leader().is_some());
         if now.saturating_since(self.reported_at) >= REPORT_INTERVAL {
@@ -301,7 +318,7 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, output: ControlOutput) -> Result<(), ProgramError> {
+    fn process_output(&mut self, output: ControlOutput) -> Result<(), ProgramError> {
         match output {
             ControlOutput::Send { to, envelope } => self.control.send(to, &envelope),
             ControlOutput::Persist(request) => self.log.write(request),
@@ -318,15 +335,17 @@
     /// Passes the response to the thread that waits for it. If that thread has
     /// timed out, the client sends its request again.
     fn respond(&mut self, token: u64, result: Result<OperatorResponse, OperatorError>) {
-        let Some(waiting) = self.waiting.remove(&token) else {
+        let Some(pending) = self.pending_responses.remove(&token) else {
             return;
         };
         let directory = &self.directory;
-        let answer = match result {
-            Ok(response) => Answer::Done(directory.describe(response, waiting.shape, &self.node)),
-            Err(error) => Answer::Refused(directory.describe_error(error)),
+        let loop_response = match result {
+            Ok(response) => {
+                LoopResponse::Success(directory.describe(response, pending.status_kind, &self.node))
+            }
+            Err(error) => LoopResponse::Failure(directory.describe_error(error)),
         };
-        let _ = waiting.answer.send(answer);
+        let _ = pending.response_sender.send(loop_response);
     }
 
     fn report(&mut self) {
--- a/crates/petrellatch/src/runtime/control/operator_api.rs
+++ b/crates/petrellatch/src/runtime/control/operator_api.rs
@@ -12,7 +12,7 @@
 use petrellatch_core::policy::PolicySource;
 use petrellatch_proto::command::OperatorChange;
 
-use super::documents::{OperatorDocument, Shape};
+use super::documents::{OperatorDocument, StatusDocumentKind};
 use crate::api::{
     ChangeRequest, Endpoint, ErrorDocument, PolicyCheckRequest, ReplicaAction, ReplicaRequest,
 };
@@ -20,16 +20,16 @@
 
 /// Added to the request timeout of the control node, so that its own error
 /// response arrives first.
-const ANSWER_MARGIN: Duration = Duration::from_secs(1);
+const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
 
 /// Channel for the response to one request.
-pub(super) type AnswerSender = SyncSender<Answer>;
+pub(super) type ResponseSender = SyncSender<LoopResponse>;
 
 /// A request to the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LoopRequest {
     /// A request for the control node.
-    Node(OperatorRequest, Shape),
+    Node(OperatorRequest, StatusDocumentKind),
     /// Adds the replica that this node has announced.
     AddAnnounced(NodeId),
 }
@@ -39,15 +39,15 @@
     /// The request.
     pub(super) request: LoopRequest,
     /// Where its response goes.
-    pub(super) answer: AnswerSender,
+    pub(super) response_sender: ResponseSender,
 }
 
 /// The response of the event loop.
-pub(super) enum Answer {
+pub(super) enum LoopResponse {
     /// The request succeeded.
-    Done(OperatorDocument),
+    Success(OperatorDocument),
     /// The request failed, or its outcome is unknown.
-    Refused(ErrorDocument),
+    Failure(ErrorDocument),
 }
 
 /// Converts HTTP requests into requests to the event loop, and waits for the
@@ -55,7 +55,7 @@
 pub(super) struct OperatorApi {
     requests: Sender<PendingRequest>,
     waker: Arc<Waker>,
-    patience: Duration,
+    response_timeout: Duration,
 }
 
 impl OperatorApi {
@@ -69,24 +69,27 @@
         OperatorApi {
             requests,
             waker,
-            patience: request_timeout + ANSWER_MARGIN,
+            response_timeout: request_timeout + RESPONSE_MARGIN,
         }
     }
 
-    fn ask(&self, request: LoopRequest) -> HttpResponse {
-        let (answer, answers) = sync_channel(1);
-        let pending = PendingRequest { request, answer };
+    fn submit(&self, request: LoopRequest) -> HttpResponse {
+        let (response_sender, responses) = sync_channel(1);
+        let pending = PendingRequest {
+            request,
+            response_sender,
+        };
         if self.requests.send(pending).is_err() {
             return stopped();
         }
         let _ = self.waker.wake();
-        self.wait(&answers)
+        self.wait(&responses)
     }
 
-    fn wait(&self, answers: &Receiver<Answer>) -> HttpResponse {
-        match answers.recv_timeout(self.patience) {
-            Ok(Answer::Done(document)) => document.into_response(),
-            Ok(Answer::Refused(document)) => HttpResponse::refusal(&document),
+    fn wait(&self, responses: &Receiver<LoopResponse>) -> HttpResponse {
+        match responses.recv_timeout(self.response_timeout) {
+            Ok(LoopResponse::Success(document)) => document.into_response(),
+            Ok(LoopResponse::Failure(document)) => HttpResponse::refusal(&document),
             Err(_) => stopped(),
         }
     }
@@ -95,7 +98,7 @@
 impl HttpHandler for OperatorApi {
     fn handle(&self, request: &HttpRequest) -> HttpResponse {
         match read_request(request) {
-            Ok(request) => self.ask(request),
+            Ok(request) => self.submit(request),
             Err(refusal) => refusal,
         }
     }
@@ -107,7 +110,7 @@
         let message = format!("there is no {method} {path}; see docs/API.md");
         return Err(HttpResponse::error(ErrorKind::NotFound, message));
     };
-    let node = |request| Ok(LoopRequest::Node(request, Shape::Whole));
+    let node = |request| Ok(LoopRequest::Node(request, StatusDocumentKind::Full));
     match endpoint {
         Endpoint::Change => {
             let change: ChangeRequest = request.json()?;
@@ -152,7 +155,10 @@
     let wait = OperatorRequest::Wait {
         version: version.unwrap_or(0),
     };
-    Ok(LoopRequest::Node(wait, Shape::Progress { version }))
+    Ok(LoopRequest::Node(
+        wait,
+        StatusDocumentKind::Progress { version },
+    ))
 }
 
 fn read_replica_change(request: &ReplicaRequest) -> Result<LoopRequest, HttpResponse> {
@@ -171,7 +177,7 @@
         }
     };
     let request = OperatorRequest::ChangeReplicas(change);
-    Ok(LoopRequest::Node(request, Shape::Whole))
+    Ok(LoopRequest::Node(request, StatusDocumentKind::Full))
 }
 
 fn invalid(message: &str) -> HttpResponse {
--- a/crates/petrellatch/src/runtime/control/platform_poller.rs
+++ b/crates/petrellatch/src/runtime/control/platform_poller.rs
@@ -65,11 +65,11 @@
 /// does not respond. Only the first of several failures in a row is logged.
 fn poll(url: &str, lists: &Sender<Vec<PlatformMachine>>, waker: &Waker, logger: &Logger) {
     let reader = DocumentReader::new(READ_TIMEOUT);
-    let mut is_missing = false;
+    let mut last_read_failed = false;
     loop {
         match reader.read::<Vec<MachineDocument>>(url) {
             Ok(machines) => {
-                is_missing = false;
+                last_read_failed = false;
                 if lists
                     .send(machines.into_iter().map(machine).collect())
                     .is_err()
@@ -78,8 +78,8 @@
                 }
                 let _ = waker.wake();
             }
-            Err(reason) if !is_missing => {
-                is_missing = true;
+            Err(reason) if !last_read_failed => {
+                last_read_failed = true;
                 log(logger, EventKind::PlatformListMissing, reason);
             }
             Err(_) => {}
--- a/crates/petrellatch/src/runtime/log_writer.rs
+++ b/crates/petrellatch/src/runtime/log_writer.rs
@@ -11,14 +11,14 @@
 use crate::error::ProgramError;
 
 /// The outcome of a write.
-pub type Written = Result<PersistTicket, StorageError>;
+pub type WriteResult = Result<PersistTicket, StorageError>;
 
 /// A thread that writes and syncs requests in order. When the writer is
 /// dropped, it finishes the requests that it was given and ends.
 #[derive(Debug)]
 pub struct LogWriter {
     requests: Option<Sender<PersistRequest>>,
-    results: Receiver<Written>,
+    results: Receiver<WriteResult>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns the result of the next completed write, if there is one.
-    pub fn poll(&self) -> Option<Written> {
+    pub fn poll(&self) -> Option<WriteResult> {
         self.results.try_recv().ok()
     }
 }
@@ -66,7 +66,7 @@
 fn write_requests(
     mut store: LogStore,
     requests: &Receiver<PersistRequest>,
-    results: &Sender<Written>,
+    results: &Sender<WriteResult>,
     waker: &Waker,
 ) {
     while let Ok(request) = requests.recv() {
--- a/crates/petrellatch/src/runtime/mod.rs
+++ b/crates/petrellatch/src/runtime/mod.rs
@@ -26,5 +26,5 @@
 pub use process::{DaemonSockets, Process, link_settings, node_identity};
 pub use ready_line::ReadyLine;
 pub use sealed_socket::{ControlTraffic, SealedSocket};
-pub use stop_signal::{StopHandle, StopSignal, StopWish};
+pub use stop_signal::{StopHandle, StopRequest, StopSignal};
 pub use view_writer::ViewWriter;
--- a/crates/petrellatch/src/runtime/pass_through/event_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/event_loop.rs
@@ -9,7 +9,7 @@
 use crate::error::ProgramError;
 use crate::http::{EventServer, HttpRequest, HttpResponse, ReceivedRequest};
 use crate::runtime::clock::ProcessClock;
-use crate::runtime::process::{open_poll, waited};
+use crate::runtime::process::{check_wait_result, open_poll};
 
 use super::api_translator::{ApiRequest, ApiResponse, ApiTranslator};
 use super::policy_api;
@@ -92,7 +92,7 @@
             true => Duration::ZERO,
             false => self.clock.until(Some(deadline), MAX_WAIT),
         };
-        waited(self.poll.poll(&mut self.events, Some(wait)))?;
+        check_wait_result(self.poll.poll(&mut self.events, Some(wait)))?;
         let now = self.clock.now();
         let begin_stop = self.signals.stop_requested() && !self.stopping;
         if begin_stop {
--- a/crates/petrellatch/src/runtime/process.rs
+++ b/crates/petrellatch/src/runtime/process.rs
@@ -24,7 +24,7 @@
 
 /// A balancer changes its parent after the parent was silent for this many
 /// heartbeat intervals.
-const SILENT_HEARTBEATS: u32 = 3;
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
 /// One daemon, which a test may run in its own process.
 pub struct Process {
@@ -129,7 +129,7 @@
     LinkSettings {
         controls: controls.collect(),
         heartbeat_interval: heartbeat,
-        parent_silence_limit: heartbeat * SILENT_HEARTBEATS,
+        parent_silence_limit: heartbeat * MAX_MISSED_HEARTBEATS,
         ..LinkSettings::default()
     }
 }
@@ -144,7 +144,7 @@
 
 /// Converts a failure of the selector into an error. An interrupted wait is
 /// no failure.
-pub(super) fn waited(result: std::io::Result<()>) -> Result<(), ProgramError> {
+pub(super) fn check_wait_result(result: std::io::Result<()>) -> Result<(), ProgramError> {
     match result {
         Err(source) if source.kind() != std::io::ErrorKind::Interrupted => {
             Err(ProgramError::System {
--- a/crates/petrellatch/src/runtime/sealed_socket.rs
+++ b/crates/petrellatch/src/runtime/sealed_socket.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub struct SealedSocket {
     socket: DatagramSocket,
-    key: ClusterKeyHolder,
+    key: RedactedKey,
     buffer: Vec<u8>,
     traffic: ControlTraffic,
 }
@@ -31,9 +31,9 @@
 }
 
 /// Hides the key in debug output.
-struct ClusterKeyHolder(ClusterKey);
+struct RedactedKey(ClusterKey);
 
-impl std::fmt::Debug for ClusterKeyHolder {
+impl std::fmt::Debug for RedactedKey {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("ClusterKey")
     }
@@ -44,7 +44,7 @@
     pub fn new(socket: DatagramSocket, key: ClusterKey) -> Self {
         SealedSocket {
             socket,
-            key: ClusterKeyHolder(key),
+            key: RedactedKey(key),
             buffer: Vec::new(),
             traffic: ControlTraffic::default(),
         }
--- a/crates/petrellatch/src/runtime/stop_signal.rs
+++ b/crates/petrellatch/src/runtime/stop_signal.rs
@@ -20,13 +20,13 @@
 
 /// How the process was requested to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StopWish {
+pub enum StopRequest {
     /// No request was received.
     None,
     /// One request: finish the work in progress, then stop.
-    Planned,
+    Graceful,
     /// Two or more requests: stop immediately.
-    AtOnce,
+    Immediate,
 }
 
 /// Requests an event loop in this process to stop.
@@ -62,7 +62,7 @@
     }
 
     /// Returns the most urgent stop request so far.
-    pub fn check(&mut self) -> StopWish {
+    pub fn check(&mut self) -> StopRequest {
         let mut buffer = [0; 16];
         while let Ok(length) = self.reader.read(&mut buffer) {
             if length == 0 {
@@ -71,9 +71,9 @@
             self.requests += length;
         }
         match self.requests {
-            0 => StopWish::None,
-            1 => StopWish::Planned,
-            _ => StopWish::AtOnce,
+            0 => StopRequest::None,
+            1 => StopRequest::Graceful,
+            _ => StopRequest::Immediate,
         }
     }
 }
@@ -86,7 +86,7 @@
     }
 
     /// Requests an immediate stop, as if the process was killed.
-    pub fn stop_at_once(&mut self) {
+    pub fn stop_immediately(&mut self) {
         let _ = self.writer.write_all(&[1, 1]);
     }
 }
--- a/crates/petrellatch/tests/support/mod.rs
+++ b/crates/petrellatch/tests/support/mod.rs
@@ -62,7 +62,7 @@
 
     /// Ends the daemon at once, as if it was killed.
     pub fn kill(mut self) {
-        self.stop.stop_at_once();
+        self.stop.stop_immediately();
         self.thread
             .join()
             .expect("the daemon does not panic")
@@ -320,7 +320,7 @@
 impl Drop for Cluster {
     fn drop(&mut self) {
         for (_, mut running) in std::mem::take(&mut self.running) {
-            running.stop.stop_at_once();
+            running.stop.stop_immediately();
             let _ = running.thread.join();
         }
     }
