--- a/crates/petrellatch/src/api/change.rs
+++ b/crates/petrellatch/src/api/change.rs
@@ -1,4 +1,4 @@
-//! Changes by operators.
+//! Configuration changes by operators.
 
 use petrellatch_proto::command::{DrainTarget, Edit, EditKind, OperatorChange, SetDrain};
 use serde::{Deserialize, Serialize};
@@ -9,18 +9,18 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Chosen by the client, the same at every resend.
+    /// Request id, chosen by the client and the same in each retry.
     pub request_id: String,
-    /// The configuration version that the client had seen.
+    /// The configuration version that the client has read.
     pub based_on: u64,
     /// The edits.
     pub edits: Vec<EditDocument>,
 }
 
-/// The answer to an accepted change.
+/// The response to an accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ChangeAccepted {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: u64,
 }
 
@@ -44,7 +44,7 @@
     SetDrain(DrainEdit),
 }
 
-/// What a drain is about.
+/// What is drained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainKind {
@@ -52,7 +52,7 @@
     Backend,
     /// A balancer or agent by node name.
     Node,
-    /// All back ends of a zone, also those that come while it is drained.
+    /// All back ends of a zone, also those that are created while it is drained.
     Zone,
 }
 
@@ -60,11 +60,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainEdit {
-    /// The kind of thing.
+    /// What is drained.
     pub target: DrainKind,
     /// Its name.
     pub name: String,
-    /// Whether it drains from now on.
+    /// Whether the drain starts (true) or ends (false).
     pub draining: bool,
 }
 
--- a/crates/petrellatch/src/api/document.rs
+++ b/crates/petrellatch/src/api/document.rs
@@ -8,18 +8,18 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Buckets of a service that does not say how many.
+/// Default number of buckets of a service.
 const DEFAULT_BUCKETS: u32 = 256;
-/// Idle limit of a service that does not say one, in seconds.
+/// Default idle timeout of a service, in seconds.
 const DEFAULT_IDLE_SECONDS: u32 = 3_600;
-/// Connections of a back end that does not say how many.
+/// Default connection limit of a back end.
 const DEFAULT_CONNECTIONS: u32 = 2_000;
 
-/// Why an operator document was not understood.
+/// Why an operator document is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{name}: {message}"))]
 pub struct DocumentError {
-    /// The document.
+    /// The name of the document.
     pub name: String,
     /// What is wrong and where.
     pub message: String,
@@ -37,7 +37,7 @@
     pub backends: Vec<BackendDocument>,
 }
 
-/// A document with the version that it was read at.
+/// A document with the version at which it was read.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct Configuration {
     /// The version to base a change on.
@@ -54,7 +54,7 @@
     pub name: String,
     /// Whether a back end may receive new flows: a boolean.
     pub eligible: String,
-    /// How many it should receive in relation to others: a number from 0.
+    /// The weight of a back end relative to the others: a number from 0.
     pub weight: String,
 }
 
@@ -65,7 +65,7 @@
     /// The connection is reset.
     #[default]
     Reset,
-    /// HTTP 503 with `Retry-After`, marked as not run.
+    /// HTTP 503 with `Retry-After`, marked as a request that did not run.
     HttpUnavailable,
 }
 
@@ -79,13 +79,14 @@
     pub address: SocketAddrV4,
     /// The name of the policy that places its flows.
     pub policy: String,
-    /// Into how many buckets its flow-key space is cut.
+    /// Number of buckets into which its flow-key space is divided.
     #[serde(default = "default_buckets")]
     pub buckets: u32,
-    /// What a refused caller gets.
+    /// The response to a refused caller.
     #[serde(default)]
     pub refusal: Refusal,
-    /// New flows a second that one agent admits; zero means no limit.
+    /// Maximum number of new flows per second that one agent admits; zero means
+    /// no limit.
     #[serde(default)]
     pub new_flows_per_second: u32,
     /// Seconds without a packet after which a flow is dropped.
@@ -101,24 +102,26 @@
     pub name: String,
     /// The name of its service.
     pub service: String,
-    /// The name of the agent node beside it.
+    /// The node name of its agent.
     pub agent: String,
     /// The zone.
     pub zone: String,
-    /// Where the server listens, as its agent reaches it.
+    /// The address at which its agent connects to the server.
     pub server: SocketAddrV4,
-    /// Requests that it works on at once.
+    /// Number of slots: requests that it can process at once.
     pub slots: u32,
-    /// Connections that it accepts at once.
+    /// Maximum number of open connections.
     #[serde(default = "default_connections")]
     pub connections: u32,
-    /// Seconds over which a cold start is ramped up; zero means none.
+    /// Warm-up time in seconds, over which the rate of a cold back end is raised;
+    /// zero means no warm-up.
     #[serde(default)]
     pub warm_up_seconds: u32,
     /// Labels that policies read.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
-    /// Whether it is drained. Set by `ctl drain`; only read, never applied.
+    /// Whether it is drained. Only `ctl drain` sets this; the value in a document
+    /// is not applied.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub draining: bool,
 }
@@ -136,7 +139,7 @@
 }
 
 impl Document {
-    /// Reads a document: JSON when its name ends in `.json`, else TOML.
+    /// Parses a document: JSON if its name ends in `.json`, else TOML.
     pub fn parse(name: &str, text: &str) -> Result<Document, DocumentError> {
         let parsed = if name.ends_with(".json") {
             serde_json::from_str(text).map_err(|error| error.to_string())
@@ -230,7 +233,7 @@
 }
 
 impl BackendDocument {
-    /// Makes the document of a back end whose service has this name.
+    /// Converts the record of a back end whose service has this name.
     pub fn from_record(service: &str, backend: &BackendRecord) -> Self {
         BackendDocument {
             name: backend.name.clone(),
--- a/crates/petrellatch/src/api/endpoint.rs
+++ b/crates/petrellatch/src/api/endpoint.rs
@@ -9,15 +9,15 @@
     Configuration,
     /// Reads the state of the cluster.
     Status,
-    /// Reads how far a version has come.
+    /// Reads the progress of a version.
     Progress,
-    /// Reads the placement policies of passed-through flows.
+    /// Reads the placement policies of the pass-through tier.
     Policies,
-    /// Puts or removes a placement policy of passed-through flows.
+    /// Puts or removes a placement policy of the pass-through tier.
     ChangePolicies,
-    /// Checks a policy without effect.
+    /// Checks a policy without applying it.
     CheckPolicy,
-    /// Says what each back end of a service receives.
+    /// Explains what a policy decides for each back end of a service.
     ExplainPolicy,
     /// Changes the set of control replicas.
     ChangeReplicas,
--- a/crates/petrellatch/src/api/error_body.rs
+++ b/crates/petrellatch/src/api/error_body.rs
@@ -1,36 +1,36 @@
-//! How the operator API reports a failure.
+//! Error responses of the operator API.
 
 use petrellatch_core::ErrorKind;
 use serde::{Deserialize, Serialize};
 
-/// The body of every answer that reports a failure.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ErrorDocument {
-    /// The failure.
+    /// The error.
     pub error: ErrorBody,
 }
 
-/// A failure.
+/// An error.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ErrorBody {
     /// The name of the error kind; see `docs/ERRORS.md`.
     pub kind: String,
-    /// What is wrong, for people.
+    /// A human-readable description.
     pub message: String,
-    /// How long to wait before the same request is sent again, in
-    /// milliseconds; absent when it must not be.
+    /// How long to wait before a retry of the same request, in milliseconds;
+    /// absent if it must not be retried.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// The operator address of the leader, if known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub leader: Option<String>,
-    /// The configuration version in force, for a conflict.
+    /// The active configuration version, for a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_version: Option<u64>,
 }
 
 impl ErrorDocument {
-    /// Makes the body for an error kind.
+    /// Creates the body for an error kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         let answer = kind.answer();
         let wait = answer.retry_after.filter(|_| answer.retryable);
--- a/crates/petrellatch/src/api/mod.rs
+++ b/crates/petrellatch/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What operators and control replicas say to each other in JSON.
+//! JSON documents of the operator API.
 //!
 //! The documents that operators write in TOML have the same fields.
 
--- a/crates/petrellatch/src/api/placement_policy.rs
+++ b/crates/petrellatch/src/api/placement_policy.rs
@@ -1,4 +1,4 @@
-//! Placement policies of passed-through flows, as operators write and read them.
+//! Placement policies of the pass-through tier, as operators write and read them.
 
 use std::net::SocketAddrV4;
 
@@ -13,17 +13,17 @@
     pub name: String,
     /// Whether a back end may receive new flows: a boolean.
     pub eligible: String,
-    /// How many it should receive in relation to others: a number from 0.
+    /// The weight of a back end relative to the others: a number from 0.
     pub weight: String,
     /// Names of services.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Addresses and ports of routes, which go before their services.
+    /// Addresses and ports of routes; these take precedence over services.
     #[serde(default)]
     pub routes: Vec<SocketAddrV4>,
 }
 
-/// The policies of a file. What else is in it is left alone.
+/// The policies in a file. Other content of the file is ignored.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct PlacementPolicyFile {
     /// The policies.
@@ -31,27 +31,27 @@
     pub policies: Vec<PlacementPolicyDocument>,
 }
 
-/// A change of the policies: one is put, or one is removed.
+/// A change of the policies: puts one, or removes one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyChangeRequest {
-    /// The policy to put in place of one of the same name.
+    /// The policy to put; it replaces one of the same name.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub put: Option<PlacementPolicyDocument>,
     /// Name of the policy to remove.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remove: Option<String>,
-    /// Index of the policies that the change is based on; absent if it holds in any case.
+    /// Index of the policies that the change is based on; absent if the change is unconditional.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub based_on: Option<u64>,
 }
 
-/// A change of the policies holds for good.
+/// The response to a policy change that is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct PolicyChangeAccepted {
     /// Index of the policies.
     pub index: u64,
-    /// Whether the change had an effect; otherwise what it leads to held already.
+    /// Whether the change had an effect; if not, the policies were in that state already.
     pub changed: bool,
 }
 
--- a/crates/petrellatch/src/api/status.rs
+++ b/crates/petrellatch/src/api/status.rs
@@ -1,4 +1,4 @@
-//! What the cluster is doing, as operators see it.
+//! Status documents of the operator API, and requests about policies and replicas.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     pub configuration_version: u64,
     /// Control replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// Replicas that are no members and ask to be added.
+    /// Replicas that are not members and have announced themselves to be added.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub announced: Vec<AnnouncedReplica>,
     /// Balancers and agents.
@@ -32,19 +32,19 @@
 pub struct ReplicaStatus {
     /// The node name.
     pub name: String,
-    /// The incarnation of its data folder, in hexadecimal digits. After a lost
-    /// folder it is another one as soon as the replica is admitted again.
+    /// The incarnation of its data folder, in hexadecimal digits. It changes when
+    /// a replica that lost its folder is admitted again.
     pub incarnation: String,
     /// "voter", "joining" or "learner".
     pub role: String,
-    /// The last entry of the log that is known to be durable there.
+    /// Index of the last log entry that is known to be durable at the replica.
     pub durable_index: u64,
-    /// Milliseconds since it was last heard of; absent if never in this term.
+    /// Milliseconds since it was last seen; absent if it was not seen in this term.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub silent_ms: Option<u64>,
 }
 
-/// A replica that is no member and asks to be added.
+/// A replica that is not a member and has announced itself to be added.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct AnnouncedReplica {
     /// The node name, if the settings of the leader list it.
@@ -53,18 +53,18 @@
     pub incarnation: String,
 }
 
-/// How far a version has come.
+/// The progress of a version.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ProgressDocument {
-    /// The version that was asked about; the newest one if none was.
+    /// The requested version, or the newest one if the request names none.
     pub version: u64,
     /// The newest version of the whole state.
     pub newest: u64,
-    /// Whether it is in force at every balancer and agent.
+    /// Whether it is active at every balancer and agent.
     pub in_force: bool,
-    /// How many balancers and agents are not known to have it in force.
+    /// Number of balancers and agents that have not reported it as active.
     pub lagging_count: usize,
-    /// The names of some of them.
+    /// The names of some of these.
     pub lagging: Vec<String>,
 }
 
@@ -79,7 +79,7 @@
     pub zone: String,
     /// "live", "leaving" or "suspected".
     pub state: String,
-    /// The newest version that it reported as in force.
+    /// The newest version that it reported as active.
     pub version: u64,
 }
 
@@ -90,18 +90,18 @@
     pub name: String,
     /// The newest placement generation.
     pub generation: u64,
-    /// Whether all its owners have settled it.
+    /// Whether the owners of all its buckets have settled this generation.
     pub settled: bool,
     /// Back ends with their shares.
     pub backends: Vec<BackendShare>,
 }
 
-/// A back end's part of a service.
+/// A back end's share of a service.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 pub struct BackendShare {
     /// The name.
     pub name: String,
-    /// The weight in force; 1,000 is nominal.
+    /// The active weight; 1,000 is nominal.
     pub weight: u32,
     /// Whether the operator is draining it.
     pub draining: bool,
@@ -110,27 +110,27 @@
     pub evacuated: bool,
 }
 
-/// A policy to be checked without effect.
+/// A policy to be checked without applying it.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyCheckRequest {
     /// Whether a back end may receive new flows: a boolean.
     pub eligible: String,
-    /// How many it should receive in relation to others: a number from 0.
+    /// The weight of a back end relative to the others: a number from 0.
     pub weight: String,
     /// The service for whose back ends it is checked; absent for all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
 }
 
-/// A policy in which nothing is wrong.
+/// The response to the check of a valid policy.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct PolicyCheck {
-    /// Always true; a policy that is not sound is refused.
+    /// Always true; the check of an invalid policy returns an error.
     pub sound: bool,
 }
 
-/// What to do about a control replica.
+/// What to do with a control replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReplicaAction {
@@ -140,7 +140,7 @@
     Remove,
 }
 
-/// A change of the set of control replicas.
+/// A request to change the set of control replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaRequest {
@@ -153,10 +153,10 @@
     pub incarnation: Option<String>,
 }
 
-/// A change of the set of control replicas has begun.
+/// The response to a change of the set of control replicas that has started.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct ReplicasChanging {
-    /// Always true; the status shows the end of it.
+    /// Always true; the status shows when the change is complete.
     pub started: bool,
 }
 
@@ -167,7 +167,7 @@
     pub service: String,
     /// The policy.
     pub policy: String,
-    /// One decision a back end.
+    /// One decision for each back end.
     pub backends: Vec<PolicyDecision>,
 }
 
@@ -180,6 +180,6 @@
     pub eligible: bool,
     /// The weight; 1,000 is nominal.
     pub weight: u32,
-    /// Why, in words.
+    /// The reason, as text.
     pub reason: String,
 }
--- a/crates/petrellatch/src/check.rs
+++ b/crates/petrellatch/src/check.rs
@@ -17,7 +17,7 @@
         .transpose()
         .map_err(|message| ProgramError::Usage { message })?;
     if options.files.is_empty() {
-        let message = "name a settings file".to_string();
+        let message = "a settings file is missing".to_string();
         return Err(ProgramError::Usage { message });
     }
     let mut problems = Vec::new();
@@ -31,7 +31,7 @@
             found.extend(read_cluster_key(key_file).err().map(|problem| *problem));
         }
         if found.is_empty() {
-            println!("{name}: nothing is wrong");
+            println!("{name}: valid");
         }
         problems.extend(found);
     }
--- a/crates/petrellatch/src/command_line.rs
+++ b/crates/petrellatch/src/command_line.rs
@@ -19,7 +19,7 @@
     pub command: Option<Command>,
 }
 
-/// What the binary is asked to do.
+/// A command of the binary.
 #[derive(Debug, Options)]
 pub enum Command {
     /// Run a control replica.
@@ -30,17 +30,18 @@
     Agent(DaemonOptions),
     /// Read and change the configuration as an operator.
     Ctl(CtlOptions),
-    /// Check a settings file and print everything that is wrong in it.
+    /// Check settings files and print all problems.
     Check(CheckOptions),
-    /// Print what the logs say about one flow, one configuration version, or
-    /// all flows by time.
+    /// Print log lines about one flow or one configuration version, or a
+    /// summary of all flows by time.
     Logs(LogsOptions),
 }
 
 /// Runs one process of the system until it receives SIGTERM or SIGINT, then
-/// stops it without cutting what is in progress.
+/// stops it gracefully: open flows and requests are not cut.
 ///
-/// Every option can also stand in the settings file; an option given here wins.
+/// Every option can also be set in the settings file; the command line takes
+/// precedence.
 /// When all addresses are open, one line of JSON with the addresses is
 /// printed to standard output; the log goes to standard error.
 #[derive(Clone, Debug, Default, Options)]
@@ -77,16 +78,16 @@
     /// Address for operators (HTTP); control only.
     #[options(meta = "IP:PORT", no_short)]
     pub operator_address: Option<String>,
-    /// Where the fabric receives answer packets (UDP); agent only.
+    /// Where the fabric receives response packets (UDP); agent only.
     #[options(meta = "IP:PORT", no_short)]
     pub fabric_address: Option<String>,
     /// URL of the platform's list of machines; control only.
     #[options(meta = "URL", no_short)]
     pub platform_list_url: Option<String>,
-    /// Path at which back ends say whether they are draining; agent only.
+    /// Path at which back ends report whether they are draining; agent only.
     #[options(meta = "PATH", no_short)]
     pub health_path: Option<String>,
-    /// Found the control group: format the empty data folder of a listed
+    /// Create the control group: format the empty data folder of a listed
     /// replica as one of its first voters. Once for each replica; control only.
     #[options(no_short)]
     pub bootstrap: bool,
@@ -98,17 +99,17 @@
     pub log_level: Option<String>,
 }
 
-/// Reads a settings file and prints everything that is wrong and where.
+/// Checks settings files and prints each problem with its location.
 ///
-/// Exit code 0: nothing is wrong. Exit code 2: something is.
+/// Exit code 0: all files are valid. Exit code 2: a problem was found.
 #[derive(Debug, Default, Options)]
 pub struct CheckOptions {
     /// Print this help.
     pub help: bool,
-    /// Also check that nothing is missing: control, balancer or agent.
+    /// Role (control, balancer or agent): also check for missing settings.
     #[options(meta = "ROLE", no_short)]
     pub role: Option<String>,
-    /// Print all keys with what is allowed, and stop.
+    /// Print all keys with their allowed values, and exit.
     #[options(no_short)]
     pub keys: bool,
     /// Settings files.
@@ -116,11 +117,11 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Prints what processes logged about one flow or one version of the
-/// configuration, in the order of their clocks, with what is missing; or a
-/// summary of all flows by slices of time, with the first causes.
+/// Prints log lines about one flow or one version of the configuration, ordered
+/// by their timestamps, and names missing lines; or prints a summary of all
+/// flows by time slices, with the most important causes.
 ///
-/// Without files, standard input is read. Lines that are no log lines are
+/// Without files, standard input is read. Lines that are not log lines are
 /// ignored.
 #[derive(Debug, Default, Options)]
 pub struct LogsOptions {
@@ -132,10 +133,10 @@
     /// The configuration version.
     #[options(meta = "VERSION", no_short)]
     pub configuration: Option<u64>,
-    /// Count all lines by slices of time, and tell the first causes.
+    /// Count all lines by time slices, and print the most important causes.
     #[options(no_short)]
     pub summary: bool,
-    /// Width of a slice; by default a screen holds the table.
+    /// Width of a slice; by default the table fits on a screen.
     #[options(meta = "MILLISECONDS", no_short)]
     pub slice: Option<u64>,
     /// Print the summary as one JSON document.
@@ -149,8 +150,8 @@
 /// Reads and changes the configuration through the operator API.
 ///
 /// A change is sent with the configuration version that it is based on and a
-/// request id. It is resent with the same id until the answer is known or the
-/// deadline is over, so it takes effect once at most. Exit codes: see
+/// request id. It is retried with the same id until the outcome is known or the
+/// deadline has passed, so it takes effect at most once. Exit codes: see
 /// docs/ERRORS.md.
 #[derive(Debug, Default, Options)]
 pub struct CtlOptions {
@@ -159,24 +160,24 @@
     /// Operator address of a control replica; may be given several times.
     #[options(meta = "IP:PORT", no_short)]
     pub server: Vec<String>,
-    /// Seconds after which the command gives up, retries included.
+    /// Deadline of the command in seconds, retries included.
     #[options(meta = "SECONDS", no_short, default = "30")]
     pub deadline: u64,
-    /// Most resends within the deadline.
+    /// Maximum number of retries within the deadline.
     #[options(meta = "COUNT", no_short, default = "20")]
     pub retries: u32,
     /// Output: text or json.
     #[options(meta = "FORMAT", short = "o", default = "text")]
     pub output: OutputFormat,
-    /// What to do.
+    /// The operator command.
     #[options(command)]
     pub command: Option<CtlCommand>,
 }
 
-/// How `ctl` prints its result.
+/// The output format of `ctl`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
     /// One JSON document.
@@ -202,9 +203,9 @@
     Apply(ApplyOptions),
     /// Print the configuration.
     Get(GetOptions),
-    /// Give a back end or node no new work.
+    /// Drain a back end or node: give it no new flows.
     Drain(DrainOptions),
-    /// Give a back end or node new work again.
+    /// End the drain of a back end or node.
     Undrain(DrainOptions),
     /// Take a zone out of service.
     Evacuate(ZoneOptions),
@@ -212,7 +213,7 @@
     Restore(ZoneOptions),
     /// Print members, services and versions.
     Status(StatusOptions),
-    /// Wait until a version is in force at every member.
+    /// Wait until a version is active at every member.
     Wait(WaitOptions),
     /// List, add or remove control replicas.
     Replica(ReplicaOptions),
@@ -223,7 +224,8 @@
 /// Makes the configuration equal to a document of services, back ends and
 /// policies in TOML or JSON.
 ///
-/// What the document does not name stays as it is, unless --prune is given.
+/// Entries that the document does not name stay as they are, unless --prune is
+/// given.
 #[derive(Debug, Default, Options)]
 pub struct ApplyOptions {
     /// Print this help.
@@ -231,16 +233,16 @@
     /// The document (TOML, or JSON when the name ends in .json).
     #[options(free)]
     pub file: Option<PathBuf>,
-    /// Base the change on this version in place of the current one.
+    /// Base the change on this version instead of the current one.
     #[options(meta = "VERSION", no_short)]
     pub based_on: Option<u64>,
     /// On a conflict read the configuration again and retry.
     #[options(no_short)]
     pub rebase: bool,
-    /// Remove what the document does not name.
+    /// Remove entries that the document does not name.
     #[options(no_short)]
     pub prune: bool,
-    /// Request id (default random); give it again if the answer was lost.
+    /// Request id (default random); reuse it if the response was lost.
     #[options(meta = "ID", no_short)]
     pub request_id: Option<String>,
 }
@@ -252,22 +254,23 @@
     pub help: bool,
 }
 
-/// Starts or ends a drain. What is open stays open.
+/// Starts or ends a drain. Open flows stay open.
 ///
 /// Give `backend NAME` for one back end, `node NAME` for a balancer or agent.
 #[derive(Debug, Default, Options)]
 pub struct DrainOptions {
     /// Print this help.
     pub help: bool,
-    /// The kind of thing: backend or node; then its name.
+    /// What to drain: backend or node; then its name.
     #[options(free)]
     pub target: Vec<String>,
 }
 
-/// Takes all back ends of a zone out of service, or back. What is open stays open.
+/// Takes all back ends of a zone out of service, or back into it. Open flows
+/// stay open.
 ///
-/// Back ends that are created there meanwhile get nothing either. The last zone
-/// in service of a service is refused.
+/// Back ends that are created in the zone meanwhile get no new flows either. The
+/// evacuation of a service's last zone is refused.
 #[derive(Debug, Default, Options)]
 pub struct ZoneOptions {
     /// Print this help.
@@ -284,7 +287,7 @@
     pub help: bool,
 }
 
-/// Waits until every balancer and agent has a version in force.
+/// Waits until a version is active at every balancer and agent.
 #[derive(Debug, Default, Options)]
 pub struct WaitOptions {
     /// Print this help.
@@ -292,7 +295,7 @@
     /// The version.
     #[options(meta = "VERSION", no_short)]
     pub version: Option<u64>,
-    /// The newest version at the time of asking.
+    /// The newest version at the time of the request.
     #[options(no_short)]
     pub latest: bool,
     /// Seconds to wait.
@@ -300,10 +303,10 @@
     pub timeout: u64,
 }
 
-/// Works on the set of control replicas.
+/// Lists or changes the control replicas.
 ///
-/// `list`: prints them, with those that ask to be added.
-/// `add NAME`: adds a replica that runs; it votes once it has caught up.
+/// `list`: prints them, and replicas that have announced themselves.
+/// `add NAME`: adds a running replica; it votes once it has caught up.
 /// `remove NAME`: removes a replica; stop its process after that.
 #[derive(Debug, Default, Options)]
 pub struct ReplicaOptions {
@@ -318,14 +321,14 @@
     pub incarnation: Option<String>,
 }
 
-/// Works on policies.
+/// Checks, explains or changes placement policies.
 ///
 /// `check FILE`: checks the policies of a document on the cluster's back ends.
 /// `explain SERVICE`: prints what the policy decides for each back end.
 ///
-/// For flows that are passed through:
-/// `apply FILE`: puts the policies of a document in force.
-/// `list`: prints the policies in force.
+/// In the pass-through tier:
+/// `apply FILE`: applies the policies of a document.
+/// `list`: prints the active policies.
 /// `remove NAME`: removes a policy.
 #[derive(Debug, Default, Options)]
 pub struct PolicyOptions {
--- a/crates/petrellatch/src/ctl/apply.rs
+++ b/crates/petrellatch/src/ctl/apply.rs
@@ -13,13 +13,13 @@
 use crate::command_line::{ApplyOptions, OutputFormat};
 use crate::error::ProgramError;
 
-/// Path of the operator API for changes.
+/// API path for changes.
 const CHANGES: &str = Endpoint::Change.path();
-/// Path of the operator API for the configuration.
+/// API path for the configuration.
 const CONFIGURATION: &str = Endpoint::Configuration.path();
 
-/// Makes the configuration equal to a document. One with more edits than a
-/// change may have is applied in several changes, one after the other.
+/// Makes the configuration equal to a document. If this takes more edits than a
+/// change may have, several changes are sent one after the other.
 pub fn run(
     client: &mut OperatorClient,
     options: &ApplyOptions,
@@ -41,8 +41,8 @@
             return Ok(());
         }
         let request = ChangeRequest {
-            // What is sent after this one is another change with another id.
-            request_id: request_id.take().unwrap_or_else(draw_request_id),
+            // Each further change needs an id of its own.
+            request_id: request_id.take().unwrap_or_else(random_request_id),
             based_on: options.based_on.unwrap_or(current.version),
             edits,
         };
@@ -71,7 +71,7 @@
     Ok(())
 }
 
-/// Sends a change until its outcome is known.
+/// Sends a change, with retries until its outcome is known.
 pub fn send(
     client: &mut OperatorClient,
     request: &ChangeRequest,
@@ -79,21 +79,21 @@
     client.post(CHANGES, request)
 }
 
-/// Reads the version to base a change on.
+/// Reads the current version, on which a change can be based.
 pub fn current_version(client: &mut OperatorClient) -> Result<u64, ProgramError> {
     let configuration: Configuration = client.get(CONFIGURATION)?;
     Ok(configuration.version)
 }
 
-/// Draws a request id that no other change has.
-pub fn draw_request_id() -> String {
+/// Creates a random request id.
+pub fn random_request_id() -> String {
     format!("ctl-{:032x}", rand::random::<u128>())
 }
 
-/// Refuses to go on when the deadline is over.
+/// Returns an error if the deadline has passed.
 pub fn check_time(client: &OperatorClient) -> Result<(), ProgramError> {
     if client.time_left().is_zero() {
-        let message = "other changes came first until the deadline";
+        let message = "other changes conflicted with this one until the deadline";
         return Err(request_error(ErrorKind::DeadlineExceeded, message));
     }
     Ok(())
--- a/crates/petrellatch/src/ctl/backoff.rs
+++ b/crates/petrellatch/src/ctl/backoff.rs
@@ -1,12 +1,12 @@
-//! How long to wait before a request is sent again.
+//! Backoff between retries of a request.
 
 use std::time::Duration;
 
 use rand::RngExt;
 
-/// The first wait is drawn from zero to this.
+/// Upper bound of the first random wait.
 const INITIAL_LIMIT: Duration = Duration::from_millis(50);
-/// No wait is drawn from more than this.
+/// Largest upper bound of a random wait.
 const MAX_LIMIT: Duration = Duration::from_secs(2);
 
 /// Exponential backoff with full jitter and a budget of retries.
@@ -17,7 +17,7 @@
 }
 
 impl Backoff {
-    /// Makes a backoff that allows so many retries.
+    /// Creates a backoff with this number of retries.
     pub fn new(retries: u32) -> Self {
         Backoff {
             limit: INITIAL_LIMIT,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Takes one retry and returns the wait before it, or nothing when the
-    /// budget is spent. The server's wish is a lower bound.
+    /// Spends one retry and returns the wait before it, or `None` if the budget
+    /// is spent. The wait is at least `min_wait`, which the server requests.
     pub fn next_wait(&mut self, min_wait: Duration) -> Option<Duration> {
         self.retries_left = self.retries_left.checked_sub(1)?;
         let wait = rand::rng().random_range(Duration::ZERO..=self.limit);
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the operator API until the answer is known.
+//! Sends requests to the operator API, with retries until the outcome is known.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,25 +16,24 @@
 use crate::api::{ErrorBody, ErrorDocument, kind_by_name};
 use crate::error::ProgramError;
 
-/// The wait for the first answer when there are other servers to ask, so that
-/// a silent one costs little. It doubles with each answer that did not come.
+/// Timeout of the first attempt if there are several servers, so that a silent
+/// one costs little time. It doubles with each attempt without a response.
 const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest wait for one answer.
+/// Maximum timeout of one attempt.
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A server that did not answer is not asked again for so long, unless there
-/// is no other.
+/// How long a server that did not respond is skipped, unless there is no other.
 const SILENCE_TTL: Duration = Duration::from_secs(5);
-/// How many leader hints are followed in a row without a wait.
+/// Maximum number of leader hints that are followed in a row without a wait.
 const MAX_CONSECUTIVE_HINTS: u32 = 3;
 
-/// A failure that a server reported, or that kept its answer away.
+/// An error that a server reported, or a failed attempt to reach it.
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// The kind.
     pub kind: ErrorKind,
-    /// What the server said.
+    /// The error that the server reported.
     pub body: ErrorBody,
-    /// Whether the server said nothing.
+    /// Whether the server did not respond.
     pub got_no_response: bool,
 }
 
@@ -43,9 +42,9 @@
 pub struct OperatorClient {
     agent: Agent,
     servers: Vec<String>,
-    /// The server that is asked next: the one that answered last.
+    /// The server for the next attempt: the last one that responded.
     current: usize,
-    /// Until when servers that did not answer are left alone.
+    /// Until when servers that did not respond are skipped.
     silent_until: BTreeMap<usize, Instant>,
     attempt_timeout: Duration,
     backoff: Backoff,
@@ -53,7 +52,7 @@
 }
 
 impl OperatorClient {
-    /// Makes a client of these servers.
+    /// Creates a client of these servers.
     pub fn new(servers: &[String], retries: u32, deadline: Instant) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -78,8 +77,8 @@
         self.request(path, None)
     }
 
-    /// Sends a document and reads the answer. The server must treat a resent
-    /// document as the same request.
+    /// Sends a document and reads the response. The server must treat a retry
+    /// of the same document as the same request.
     pub fn post<T: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -134,7 +133,7 @@
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Takes the next server in turn, if possible one that is not silent.
+    /// Selects the next server in order, preferably one that is not silent.
     fn select_next_server(&mut self) {
         let count = self.servers.len();
         let mut others = (1..=count).map(|step| (self.current + step) % count);
@@ -142,8 +141,8 @@
         self.current = next.unwrap_or((self.current + 1) % count);
     }
 
-    /// Makes the leader that the failure names the next server, unless it did
-    /// not answer just now.
+    /// Selects the leader that the failure names as the next server, unless that
+    /// server did not respond recently.
     fn follow_hint(&mut self, failure: &Failure) -> bool {
         let Some(leader) = &failure.body.leader else {
             return false;
@@ -170,7 +169,7 @@
         };
         if wait >= self.time_left() {
             let message = format!(
-                "no answer in time; the last failure: {}",
+                "no response before the deadline; the last failure: {}",
                 failure.body.message
             );
             return Err(Failure::new(ErrorKind::DeadlineExceeded, message));
@@ -212,7 +211,7 @@
             .map_err(|error| Failure::new(ErrorKind::Internal, format!("{server}: {error}")));
     }
     let reported: ErrorDocument = serde_json::from_str(&text).map_err(|_| {
-        let message = format!("{server} answered {}", response.status());
+        let message = format!("{server} responded with {}", response.status());
         Failure::new(ErrorKind::Unavailable, message)
     })?;
     let kind = kind_by_name(&reported.error.kind).unwrap_or(ErrorKind::Internal);
@@ -225,14 +224,14 @@
 
 fn unreachable(server: &str, error: &ureq::Error) -> Failure {
     let mut failure = Failure::new(ErrorKind::Unavailable, format!("{server}: {error}"));
-    // Another server may answer at once; the backoff alone decides.
+    // Another server may respond at once, so only the backoff sets the wait.
     failure.body.retry_after_ms = None;
     failure.got_no_response = true;
     failure
 }
 
 impl Failure {
-    /// Makes a failure that this client found.
+    /// Creates a failure that this client detected.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Failure {
             kind,
--- a/crates/petrellatch/src/ctl/drain.rs
+++ b/crates/petrellatch/src/ctl/drain.rs
@@ -2,15 +2,16 @@
 
 use petrellatch_core::ErrorKind;
 
-use super::apply::{check_time, current_version, draw_request_id, send};
+use super::apply::{check_time, current_version, random_request_id, send};
 use super::client::OperatorClient;
 use super::output::print_result;
 use crate::api::{ChangeRequest, DrainEdit, DrainKind, EditDocument};
 use crate::command_line::{DrainOptions, OutputFormat, ZoneOptions};
 use crate::error::ProgramError;
 
-/// Starts or ends a drain. The edit states what is to hold, whatever else has
-/// changed, so a conflict is answered by basing it on the newer version.
+/// Starts or ends a drain. The edit states the wanted end state, which does not
+/// depend on other changes, so after a conflict it is sent again based on the
+/// newer version.
 pub fn run(
     client: &mut OperatorClient,
     options: &DrainOptions,
@@ -49,7 +50,7 @@
     let edit = EditDocument::SetDrain(edit);
     loop {
         let request = ChangeRequest {
-            request_id: draw_request_id(),
+            request_id: random_request_id(),
             based_on: current_version(client)?,
             edits: vec![edit.clone()],
         };
@@ -81,11 +82,11 @@
 }
 
 fn zone_usage() -> ProgramError {
-    let message = "name the zone: zone NAME".to_string();
+    let message = "expected: zone NAME".to_string();
     ProgramError::Usage { message }
 }
 
 fn usage() -> ProgramError {
-    let message = "name what to drain: backend NAME, or node NAME".to_string();
+    let message = "expected: backend NAME, or node NAME".to_string();
     ProgramError::Usage { message }
 }
--- a/crates/petrellatch/src/ctl/edits.rs
+++ b/crates/petrellatch/src/ctl/edits.rs
@@ -1,12 +1,12 @@
-//! The edits that lead from one document to another.
+//! Computes the edits that turn one document into another.
 
 use std::collections::BTreeSet;
 
 use crate::api::{BackendDocument, Document, EditDocument};
 
-/// Returns the edits that put what `wanted` names, in an order in which each
-/// name is there before it is used. With `prune`, what it does not name is
-/// removed.
+/// Returns the edits that put the entries of `wanted`, ordered so that each name
+/// exists before another entry refers to it. With `prune`, entries that
+/// `wanted` does not name are removed.
 pub fn edits_between(current: &Document, wanted: &Document, prune: bool) -> Vec<EditDocument> {
     let mut edits = puts(current, wanted);
     if prune {
@@ -34,7 +34,8 @@
     policies.chain(services).chain(backends).collect()
 }
 
-/// Whether a back end is there already; its drain is no part of a document.
+/// Returns whether an equal back end exists already. The drain flag is ignored,
+/// since documents don't set it.
 fn contains_backend(backends: &[BackendDocument], wanted: &BackendDocument) -> bool {
     backends.iter().any(|backend| {
         let comparable = BackendDocument {
--- a/crates/petrellatch/src/ctl/mod.rs
+++ b/crates/petrellatch/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's command line.
+//! The `ctl` command, with which operators read and change the configuration.
 
 mod apply;
 mod backoff;
@@ -19,8 +19,8 @@
 use crate::error::{ProgramError, UsageSnafu};
 use client::OperatorClient;
 
-/// Runs one operator command. With JSON output a failure of a request is
-/// printed as the same document that the operator API reports it with.
+/// Runs one operator command. With JSON output a failed request is printed
+/// as the same error document that the operator API returns.
 pub fn run(options: &CtlOptions) -> Result<(), ProgramError> {
     let result = run_command(options);
     if let Err(ProgramError::Request { kind, message }) = &result {
--- a/crates/petrellatch/src/ctl/output.rs
+++ b/crates/petrellatch/src/ctl/output.rs
@@ -1,4 +1,4 @@
-//! How results are printed.
+//! Prints results as text or JSON.
 
 use petrellatch_core::ErrorKind;
 use serde::Serialize;
@@ -13,22 +13,22 @@
     version: u64,
 }
 
-/// Prints what became of a change.
+/// Prints the result of a change.
 pub fn print_result(output: OutputFormat, result: &str, version: u64) {
     print_document(output, &ChangeResult { result, version }, || {
         format!("{result}: version {version}\n")
     });
 }
 
-/// Prints a failure as JSON. As text it goes to standard error, like all
-/// failures of the program.
+/// Prints a failure as JSON. With text output nothing is printed here: the
+/// program prints all failures to standard error.
 pub fn print_failure(output: OutputFormat, kind: ErrorKind, message: &str) {
     if output == OutputFormat::Json {
         print_document(output, &ErrorDocument::new(kind, message), String::new);
     }
 }
 
-/// Prints a document: as JSON, or as `text` makes it.
+/// Prints a document as JSON, or as the text that `text` returns.
 pub fn print_document(
     output: OutputFormat,
     document: &impl Serialize,
--- a/crates/petrellatch/src/ctl/policy.rs
+++ b/crates/petrellatch/src/ctl/policy.rs
@@ -15,8 +15,8 @@
 use crate::command_line::{OutputFormat, PolicyOptions};
 use crate::error::ProgramError;
 
-/// Checks the policies of a document, explains what a policy decides, or works on the
-/// policies of passed-through flows.
+/// Checks the policies of a document, explains what a policy decides, or reads and
+/// changes the policies of the pass-through tier.
 pub fn run(
     client: &mut OperatorClient,
     options: &PolicyOptions,
@@ -29,7 +29,7 @@
         [verb, file] if verb == "apply" => apply(client, Path::new(file), options.based_on, output),
         [verb, name] if verb == "remove" => remove(client, name, options.based_on, output),
         _ => {
-            let message = "say policy check FILE, apply FILE, list, remove NAME, \
+            let message = "expected: policy check FILE, apply FILE, list, remove NAME, \
                            or explain SERVICE"
                 .to_string();
             Err(ProgramError::Usage { message })
@@ -50,13 +50,13 @@
         };
         let checked: PolicyCheck = client.post(Endpoint::CheckPolicy.path(), &request)?;
         print_document(output, &checked, || {
-            format!("policy {}: nothing is wrong\n", policy.name)
+            format!("policy {}: valid\n", policy.name)
         });
     }
     Ok(())
 }
 
-/// Reads the policies of a document in TOML, or in JSON if its name ends so.
+/// Reads the policies of a document: JSON if its name ends in `.json`, else TOML.
 fn read_policies(path: &Path) -> Result<PlacementPolicyFile, ProgramError> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -68,8 +68,8 @@
     read.map_err(|error| request_error(ErrorKind::Invalid, format!("{name}: {error}")))
 }
 
-/// Puts the policies of a document one after the other, each in place of one of the same
-/// name.
+/// Puts the policies of a document one after the other. Each replaces one of the
+/// same name.
 fn apply(
     client: &mut OperatorClient,
     file: &Path,
@@ -85,8 +85,8 @@
             ..PolicyChangeRequest::default()
         };
         let accepted = change(client, &request, output, &format!("policy {name} in force"))?;
-        // The next one is based on this change. One that held already tells the index in
-        // force, which may be due to another operator.
+        // The next change is based on this one. A change without effect returns the
+        // current index, which may come from another operator's change.
         if accepted.changed {
             based_on = based_on.map(|_| accepted.index);
         }
--- a/crates/petrellatch/src/ctl/replica.rs
+++ b/crates/petrellatch/src/ctl/replica.rs
@@ -13,9 +13,9 @@
 use crate::command_line::{OutputFormat, ReplicaOptions};
 use crate::error::ProgramError;
 
-/// Path of the operator API for changes of the control replicas.
+/// API path for changes of the control replicas.
 const REPLICAS: &str = Endpoint::ChangeReplicas.path();
-/// Between two looks at the status.
+/// Interval between reads of the status.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The role of a replica that counts for quorums.
 const VOTER: &str = "voter";
@@ -36,7 +36,8 @@
         ["add", name] => (ReplicaAction::Add, name),
         ["remove", name] => (ReplicaAction::Remove, name),
         _ => {
-            let message = "say replica list, replica add NAME, or replica remove NAME".to_string();
+            let message =
+                "expected: replica list, replica add NAME, or replica remove NAME".to_string();
             return Err(ProgramError::Usage { message });
         }
     };
@@ -48,8 +49,8 @@
     change(client, &request, output)
 }
 
-/// Sends the change and waits for its end. A resent change finds what the
-/// first one did, so the status alone says whether it is done.
+/// Sends the change and waits until it is complete. A retry may find that an
+/// earlier attempt was applied, so completion is read from the status alone.
 fn change(
     client: &mut OperatorClient,
     request: &ReplicaRequest,
@@ -69,7 +70,8 @@
             return Ok(());
         }
         if client.time_left() <= POLL_INTERVAL {
-            let message = "the change has begun, but was not done in time; see ctl replica list";
+            let message = "the change has started, but was not complete before the deadline; \
+                           see ctl replica list";
             return Err(request_error(ErrorKind::DeadlineExceeded, message));
         }
         thread::sleep(POLL_INTERVAL);
--- a/crates/petrellatch/src/ctl/status.rs
+++ b/crates/petrellatch/src/ctl/status.rs
@@ -13,11 +13,11 @@
 use crate::command_line::{OutputFormat, WaitOptions};
 use crate::error::ProgramError;
 
-/// Path of the operator API for the status.
+/// API path for the status.
 pub const STATUS: &str = Endpoint::Status.path();
-/// Path of the operator API for how far a version has come.
+/// API path for the progress of a version.
 const PROGRESS: &str = Endpoint::Progress.path();
-/// Between two looks at the status.
+/// Interval between reads of the progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Prints the status.
@@ -27,14 +27,14 @@
     Ok(())
 }
 
-/// Waits until a version is in force at every balancer and agent.
+/// Waits until a version is active at every balancer and agent.
 pub fn wait(
     client: &mut OperatorClient,
     options: &WaitOptions,
     output: OutputFormat,
 ) -> Result<(), ProgramError> {
     if options.version.is_some() == options.latest {
-        let message = "say --version VERSION or --latest".to_string();
+        let message = "expected: --version VERSION or --latest".to_string();
         return Err(ProgramError::Usage { message });
     }
     let timeout = Duration::from_secs(options.timeout).min(client.time_left());
@@ -76,32 +76,32 @@
         return format!("version {version} does not exist yet; the newest is {newest}");
     }
     let names = lagging.join(", ");
-    format!("version {version} is not in force at {lagging_count} members: {names}")
+    format!("version {version} is not active at {lagging_count} members: {names}")
 }
 
-/// Describes the control replicas.
+/// Returns the list of control replicas as text.
 pub fn describe_replicas(status: &StatusDocument) -> String {
     let mut text = String::from("control replicas:\n");
     for replica in &status.replicas {
-        let leads = if replica.name == status.leader {
-            "  leads"
+        let leader = if replica.name == status.leader {
+            "  leader"
         } else {
             ""
         };
         let silence = match replica.silent_ms {
-            Some(silence) => format!("heard {silence} ms ago"),
-            None => "not heard of".to_string(),
+            Some(silence) => format!("last seen {silence} ms ago"),
+            None => "not seen in this term".to_string(),
         };
         let _ = writeln!(
             text,
-            "  {:<24} {:<9} durable to entry {}  {silence}{leads}",
+            "  {:<24} {:<9} durable to entry {}  {silence}{leader}",
             replica.name, replica.role, replica.durable_index
         );
     }
     for replica in &status.announced {
         let _ = writeln!(
             text,
-            "  {:<24} asks to be added; incarnation {}",
+            "  {:<24} announced, not a member; incarnation {}",
             replica.name, replica.incarnation
         );
     }
--- a/crates/petrellatch/src/error.rs
+++ b/crates/petrellatch/src/error.rs
@@ -9,30 +9,30 @@
 
 use crate::settings::SettingsProblem;
 
-/// Why a program ended without having done its work.
+/// Why a program failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ProgramError {
     /// The command line is wrong.
     #[snafu(display("{message}"))]
     Usage {
-        /// What is wrong.
+        /// The problem.
         message: String,
     },
     /// The settings are wrong; every problem is listed.
     #[snafu(display("{}", join_lines(problems)))]
     Settings {
-        /// Everything that is wrong.
+        /// All problems.
         problems: Vec<SettingsProblem>,
     },
-    /// An address can't be opened.
+    /// An address can't be bound.
     #[snafu(display("can't open {address} for {purpose}: {source}"))]
     Bind {
         /// What the address is for.
         purpose: &'static str,
         /// The address.
         address: SocketAddrV4,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The HTTP server can't be started.
@@ -50,13 +50,13 @@
     DataFolder {
         /// The file or folder.
         path: PathBuf,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The replica's data folder can't be read or written.
     #[snafu(display("{source}"))]
     Storage {
-        /// What is wrong with it.
+        /// The problem.
         source: StorageError,
     },
     /// Stored data is damaged.
@@ -64,15 +64,15 @@
     Damaged {
         /// The file or folder.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The problem.
         message: String,
     },
-    /// The event loop or a thread of the program can't go on.
+    /// The event loop or a thread of the program can't continue.
     #[snafu(display("can't {action}: {source}"))]
     System {
         /// What was attempted.
         action: &'static str,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// The system refused a request of an operator, or could not be reached.
--- a/crates/petrellatch/src/http/event_server.rs
+++ b/crates/petrellatch/src/http/event_server.rs
@@ -1,6 +1,6 @@
-//! An HTTP/1.1 server without threads: it lives in the event loop of its
-//! process. Requests are parsed by `httparse`; a request is handed out when
-//! its body is complete, and answered at any later time.
+//! An HTTP/1.1 server without threads, which runs in the event loop of its
+//! process. A request is returned once its body is complete, and the response
+//! may follow at any later time. `httparse` parses the requests.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind as IoErrorKind, Read, Write};
@@ -14,28 +14,29 @@
 use super::message::{HttpRequest, HttpResponse};
 use crate::error::ProgramError;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
-/// Most bytes before the body.
+/// Maximum size of the request line and headers, in bytes.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Bytes that are read in one go.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// A connection without a complete request is closed after this.
+/// A connection without activity is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A connection that has rested for so long gives way to a new one if there are too
-/// many: a caller in the middle of a call is not silent for a second.
+/// A connection that was idle for this long may be closed for a new one when the
+/// connection limit is reached. A client that is sending a request is not silent
+/// for a second.
 const RECLAIM_IDLE_TIME: Duration = Duration::from_secs(1);
 /// A request that is not complete after this is refused.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection. Numbers are never used twice.
+/// Identifies a connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(usize);
 
-/// A request that waits for its answer.
+/// A request that awaits its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// Where it came from.
+    /// The connection that it was received on.
     pub connection: ConnectionId,
     /// The request.
     pub request: HttpRequest,
@@ -57,7 +58,7 @@
     stream: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// A request was handed out and is not answered yet.
+    /// A request was returned to the event loop and has no response yet.
     awaits_response: bool,
     close_after_response: bool,
     active_at: Timestamp,
@@ -74,7 +75,8 @@
 }
 
 impl EventServer {
-    /// Opens the address. Connections get tokens from `first_connection` on.
+    /// Binds the address. Connections get selector tokens from `first_connection`
+    /// on.
     pub fn open(
         address: SocketAddrV4,
         registry: &Registry,
@@ -102,12 +104,12 @@
         })
     }
 
-    /// The address that is served.
+    /// Returns the address that is served.
     pub fn local_address(&self) -> Option<std::net::SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Does what an event asks for; returns the requests that are complete.
+    /// Handles a selector event. Returns the requests that are complete.
     pub fn handle_event(
         &mut self,
         now: Timestamp,
@@ -120,8 +122,8 @@
         self.serve(now, ConnectionId(token.0))
     }
 
-    /// Answers a request. A caller that has gone away is its own affair.
-    /// Returns a request that had been sent ahead, if there is one.
+    /// Responds to a request. Does nothing if the client has disconnected.
+    /// Returns the next pipelined request, if there is one.
     pub fn respond(
         &mut self,
         now: Timestamp,
@@ -140,7 +142,7 @@
         self.parse_next(now, id)
     }
 
-    /// Closes connections that are idle or too slow.
+    /// Closes connections that are idle or too slow to send a request.
     pub fn expire(&mut self, now: Timestamp) {
         let has_expired = |connection: &Connection| {
             let idle_time = now.saturating_since(connection.active_at);
@@ -166,8 +168,9 @@
         }
     }
 
-    /// Closes the connection that has rested longest, if it may have gone silent
-    /// without a reset. Returns whether one was closed.
+    /// Closes the connection that was idle longest, if it was idle for at least
+    /// [`RECLAIM_IDLE_TIME`]: its client may have vanished without a reset.
+    /// Returns whether one was closed.
     fn close_longest_idle(&mut self, now: Timestamp) -> bool {
         let reclaimable = self.connections.iter().filter(|(_, connection)| {
             let idle_time = now.saturating_since(connection.active_at);
@@ -228,8 +231,8 @@
         request.into_iter().collect()
     }
 
-    /// Hands out the next request of a connection, if it is complete and the
-    /// one before is answered.
+    /// Returns the next request of a connection, if it is complete and the
+    /// previous one has its response.
     fn parse_next(&mut self, now: Timestamp, id: ConnectionId) -> Option<ReceivedRequest> {
         let connection = self.connections.get_mut(&id)?;
         if connection.awaits_response || connection.input.is_empty() {
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Sends what waits to be sent, and closes a connection that is done.
+    /// Sends pending output, and closes a connection that is done.
     fn flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -287,7 +290,7 @@
     }
 }
 
-/// Reads what has arrived. Returns whether the connection is still open.
+/// Reads the bytes that have arrived. Returns whether the connection is still open.
 fn read_available(connection: &mut Connection, limit: usize) -> bool {
     let mut buffer = [0; READ_BYTES];
     loop {
--- a/crates/petrellatch/src/http/message.rs
+++ b/crates/petrellatch/src/http/message.rs
@@ -45,16 +45,16 @@
     pub status: u16,
     /// The content type.
     pub content_type: &'static str,
-    /// How long the client waits before it asks again.
+    /// How long the client should wait before a retry.
     pub retry_after: Option<Duration>,
-    /// Where to ask instead.
+    /// Where to send the request instead.
     pub location: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl HttpResponse {
-    /// Makes a response of JSON text.
+    /// Creates a response with a JSON body.
     pub fn json(status: u16, body: String) -> Self {
         HttpResponse {
             status,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Makes a response of plain text.
+    /// Creates a response with a plain-text body.
     pub fn text(status: u16, body: Vec<u8>) -> Self {
         HttpResponse {
             status,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Makes a successful response of a document.
+    /// Creates a successful response with a document.
     pub fn document(document: &impl Serialize) -> Self {
         match serde_json::to_string(document) {
             Ok(body) => HttpResponse::json(200, body),
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Makes the response to a failure.
+    /// Creates an error response.
     pub fn error(kind: ErrorKind, message: impl Into<String>) -> Self {
         HttpResponse::failure(kind, &ErrorDocument::new(kind, message))
     }
 
-    /// Makes the response to a failure with a body of its own.
+    /// Creates an error response with this body.
     pub fn refusal(document: &ErrorDocument) -> Self {
         let kind = kind_by_name(&document.error.kind).unwrap_or(ErrorKind::Internal);
         HttpResponse::failure(kind, document)
--- a/crates/petrellatch/src/http/mod.rs
+++ b/crates/petrellatch/src/http/mod.rs
@@ -1,6 +1,6 @@
-//! Small HTTP servers with bounds: [`HttpServer`] on top of `tiny_http`, with
-//! threads that answer, and [`EventServer`] inside an event loop, for processes
-//! with little memory.
+//! Small HTTP servers with request limits: [`HttpServer`] on top of `tiny_http`,
+//! with worker threads, and [`EventServer`], which runs inside an event loop, for
+//! processes with little memory.
 
 mod event_server;
 mod message;
--- a/crates/petrellatch/src/http/poll.rs
+++ b/crates/petrellatch/src/http/poll.rs
@@ -1,21 +1,21 @@
-//! Reads small JSON documents from servers that may be slow or gone.
+//! Reads small JSON documents from servers that may be slow or unreachable.
 
 use std::time::Duration;
 
 use serde::de::DeserializeOwned;
 use ureq::Agent;
 
-/// The largest document that is read, in bytes.
+/// Maximum size of a document, in bytes.
 const DOCUMENT_BYTES: u64 = 16 * 1024 * 1024;
 
-/// A client that gives up soon.
+/// A client with a short timeout.
 #[derive(Debug)]
 pub struct DocumentReader {
     agent: Agent,
 }
 
 impl DocumentReader {
-    /// Makes a client that waits so long for a whole answer.
+    /// Creates a client with this timeout for a complete response.
     pub fn new(timeout: Duration) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -27,8 +27,8 @@
         DocumentReader { agent }
     }
 
-    /// Reads a document, whatever status it comes with. Returns why there is
-    /// none.
+    /// Reads a document, whatever the status of the response. The error says why
+    /// there is no document.
     pub fn read<T: DeserializeOwned>(&self, url: &str) -> Result<T, String> {
         let mut response = self.agent.get(url).call().map_err(|it| it.to_string())?;
         let body = response.body_mut().with_config().limit(DOCUMENT_BYTES);
--- a/crates/petrellatch/src/http/server.rs
+++ b/crates/petrellatch/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: one thread takes requests, a few answer them.
+//! A threaded HTTP server: one thread accepts requests, workers handle them.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
@@ -14,34 +14,35 @@
 use super::message::{HttpRequest, HttpResponse};
 use crate::error::ProgramError;
 
-/// Threads that answer refused requests with large bodies.
+/// Number of threads that respond to refused requests with large bodies.
 const REFUSAL_THREADS: usize = 4;
-/// A body of at most so many bytes has been read when its request arrives.
+/// The server library has already read a body of at most this size when it
+/// passes on the request.
 const READ_AHEAD_BYTES: usize = 1_024;
-/// The longest that a closing server waits for its last answers to leave.
+/// How long a closing server waits until its last responses are sent.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two looks at them.
+/// Interval between checks for responses that are still to be sent.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Answers requests.
+/// Handles requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Answers one request. May be called by several threads at once.
+    /// Handles one request. May be called by several threads at once.
     fn handle(&self, request: &HttpRequest) -> HttpResponse;
 }
 
-/// Bounds of a server.
+/// Threads and request limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Threads that answer.
+    /// Number of threads that handle requests.
     pub workers: usize,
-    /// Requests worked on or waiting at once; more are refused.
+    /// Maximum number of requests that are handled or wait; more are refused.
     pub requests: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
 }
 
-/// A running server. Dropping it closes the address, and gives the answers
-/// that are on their way a short time to leave.
+/// A running server. Dropping it closes the address, and waits a short time
+/// until pending responses are sent.
 pub struct HttpServer {
     address: SocketAddrV4,
     server: Arc<Server>,
@@ -49,13 +50,13 @@
     accept_thread: Option<JoinHandle<()>>,
 }
 
-/// A request that is refused, with its answer.
+/// A request that is refused, with its response.
 struct Refusal {
     request: Request,
     response: HttpResponse,
 }
 
-/// What the threads of one server share.
+/// State shared by the threads of one server.
 struct ServerState<H> {
     handler: Arc<H>,
     limits: HttpLimits,
@@ -64,7 +65,7 @@
 }
 
 impl HttpServer {
-    /// Starts to serve.
+    /// Starts the server.
     pub fn start<H: HttpHandler>(
         listener: TcpListener,
         limits: HttpLimits,
@@ -124,7 +125,7 @@
 }
 
 impl<H: HttpHandler> ServerState<H> {
-    /// Takes requests and refuses those above the bounds.
+    /// Accepts requests and refuses those above the limits.
     fn accept(&self, server: &Server, queue: &Sender<Request>, refusals: &Sender<Refusal>) {
         for request in server.incoming_requests() {
             let length = request.body_length().unwrap_or(0);
@@ -163,8 +164,8 @@
     }
 }
 
-/// Starts the threads that answer refused requests with large bodies. They end
-/// when the returned end is dropped.
+/// Starts the threads that respond to refused requests with large bodies. They
+/// end when the returned sender is dropped.
 fn start_refusal_threads() -> Result<Sender<Refusal>, ProgramError> {
     let (sender, receiver) = channel::<Refusal>();
     let receiver = Arc::new(Mutex::new(receiver));
@@ -184,9 +185,9 @@
     Ok(sender)
 }
 
-/// Refuses a request. Answering one reads what is left of its body, for which
-/// a slow client can take any time, so that is left to other threads. Small
-/// bodies have been read before.
+/// Refuses a request. To respond, the rest of the body has to be read, and a slow
+/// client can delay that without limit, so other threads do it. Small bodies
+/// are read already.
 fn refuse(request: Request, response: HttpResponse, refusals: &Sender<Refusal>) {
     let is_read = request
         .body_length()
@@ -224,7 +225,7 @@
     HttpResponse::error(ErrorKind::TooLarge, message)
 }
 
-/// Sends a response. A client that has gone away is its own affair.
+/// Sends a response. A failure to send is ignored: the client has disconnected.
 fn send_response(request: Request, response: &HttpResponse) {
     let mut http_response = Response::from_data(response.body.clone())
         .with_status_code(response.status)
@@ -240,7 +241,7 @@
     Header::from_bytes(name, value).expect("names and values here are printable ASCII")
 }
 
-/// Opens a TCP address for HTTP.
+/// Binds a TCP address for HTTP.
 pub fn open_listener(
     address: SocketAddrV4,
     purpose: &'static str,
@@ -252,7 +253,7 @@
     })
 }
 
-/// Returns the address that a listener was opened on.
+/// Returns the address that a listener is bound to.
 pub fn local_address(listener: &TcpListener) -> Option<SocketAddrV4> {
     match listener.local_addr() {
         Ok(SocketAddr::V4(address)) => Some(address),
--- a/crates/petrellatch/src/lib.rs
+++ b/crates/petrellatch/src/lib.rs
@@ -1,8 +1,8 @@
 //! The programs of petrellatch: control replica, balancer, agent and the
 //! operator's command line, all in one binary.
 //!
-//! The state machines live in `petrellatch-core`; this crate gives them
-//! sockets, clocks, disks, logs and HTTP.
+//! The state machines are in `petrellatch-core`; this crate provides sockets,
+//! clocks, storage, logs and HTTP.
 
 pub mod api;
 pub mod check;
@@ -31,7 +31,7 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let command_line = match CommandLine::parse_args_default(&arguments) {
         Ok(command_line) => command_line,
-        Err(error) => return usage::wrong_usage(&error.to_string()),
+        Err(error) => return usage::report_usage_error(&error.to_string()),
     };
     if command_line.version {
         println!("petrellatch {}", env!("CARGO_PKG_VERSION"));
@@ -43,7 +43,7 @@
     }
     match command_line.command {
         Some(command) => report(execute(command)),
-        None => usage::wrong_usage("a command is missing"),
+        None => usage::report_usage_error("a command is missing"),
     }
 }
 
--- a/crates/petrellatch/src/logging.rs
+++ b/crates/petrellatch/src/logging.rs
@@ -8,17 +8,17 @@
 use serde::Deserialize;
 use slog::{Drain, Level, LevelFilter, Logger, debug, error, info, o, warn};
 
-/// Entries that the log holds back for a slow reader before it drops some.
+/// Number of entries that are queued for a slow reader before some are dropped.
 const LOG_QUEUE_ENTRIES: usize = 4_096;
 
 /// How log entries are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One readable line an entry.
+    /// One readable line per entry.
     #[default]
     Terminal,
-    /// One JSON object an entry.
+    /// One JSON object per entry.
     Json,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Makes the logger of a process. Every entry carries the node's name.
+/// Creates the logger of a process. Every entry carries the node's name.
 pub fn make_logger(format: LogFormat, level: LogLevel, node: &str) -> Logger {
     let level = level.as_level();
     let background = match format {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Logs an event that the program itself found.
+/// Logs an event that the program itself detected.
 pub fn log(logger: &Logger, kind: EventKind, subject: impl Into<String>) {
     log_event(logger, &Event::new(kind, subject));
 }
--- a/crates/petrellatch/src/usage.rs
+++ b/crates/petrellatch/src/usage.rs
@@ -1,4 +1,4 @@
-//! Help texts and the answer to a wrong command line.
+//! Help texts and the report of an invalid command line.
 
 use std::process::ExitCode;
 
@@ -61,7 +61,7 @@
     ("check", "petrellatch check --role agent settings.toml"),
 ];
 
-/// Prints the help of the innermost command that was named.
+/// Prints the help of the innermost command on the command line.
 pub fn print_help(command_line: &CommandLine) {
     let mut options: &dyn Options = command_line;
     let mut path = Vec::new();
@@ -89,8 +89,8 @@
     }
 }
 
-/// Reports a wrong command line.
-pub fn wrong_usage(message: &str) -> ExitCode {
+/// Reports an invalid command line.
+pub fn report_usage_error(message: &str) -> ExitCode {
     eprintln!("petrellatch: {message}; see petrellatch --help");
     let code = ErrorKind::InvalidSettings.answer().exit_code;
     ExitCode::from(u8::try_from(code).unwrap_or(1))
