--- a/crates/petrellatch/tests/catalogues.rs
+++ b/crates/petrellatch/tests/catalogues.rs
@@ -1,4 +1,4 @@
-//! The catalogues in the documentation against the code.
+//! Compares the catalogues in the documentation with the code.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -12,7 +12,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../docs")
         .join(document);
-    let text = std::fs::read_to_string(path).expect("the document is there");
+    let text = std::fs::read_to_string(path).expect("the document exists");
     text.lines()
         .filter(|line| line.starts_with("| `"))
         .map(str::to_string)
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_error_table_is_the_one_in_the_code() {
+fn the_error_table_matches_the_code() {
     let documented: Vec<String> = rows("ERRORS.md")
         .iter()
         .map(|row| row.split('|').take(6).collect::<Vec<_>>().join("|"))
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_settings_keys_are_the_ones_in_the_code() {
+fn the_settings_keys_match_the_code() {
     let expected: Vec<String> = KEYS
         .iter()
         .map(|description| {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn the_endpoints_are_the_ones_in_the_code() {
+fn the_endpoints_match_the_code() {
     let documented: Vec<String> = rows("API.md")
         .iter()
         .filter_map(|row| row.split('`').nth(1))
@@ -103,7 +103,7 @@
     assert_eq!(documented, expected);
 }
 
-/// Returns the keys that a document is serialized with.
+/// Returns the keys of a serialized document.
 fn keys(document: &impl serde::Serialize) -> BTreeSet<String> {
     let value = serde_json::to_value(document).expect("JSON");
     let object = value.as_object().expect("an object");
@@ -112,8 +112,8 @@
 
 fn documented_fields(heading: &str) -> BTreeSet<String> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/API.md");
-    let text = std::fs::read_to_string(path).expect("the document is there");
-    let (_, table) = text.split_once(heading).expect("the table is there");
+    let text = std::fs::read_to_string(path).expect("the document exists");
+    let (_, table) = text.split_once(heading).expect("the table exists");
     let rows = table
         .lines()
         .skip(2)
@@ -123,11 +123,11 @@
 }
 
 #[test]
-fn the_fields_of_documents_are_the_ones_in_the_code() {
+fn the_fields_of_documents_match_the_code() {
     let text = "[[services]]\nname='s'\naddress='10.0.0.1:80'\npolicy='p'\n\
                 [[backends]]\nname='b'\nservice='s'\nagent='a'\nzone='z'\n\
                 server='127.0.0.1:1'\nslots=1\ndraining=true\n";
-    let document = Document::parse("test.toml", text).expect("a sound document");
+    let document = Document::parse("test.toml", text).expect("a valid document");
     let service = documented_fields("| field of a service |");
     assert_eq!(service, keys(&document.services[0]));
     let backend = documented_fields("| field of a back end |");
--- a/crates/petrellatch/tests/command_line.rs
+++ b/crates/petrellatch/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Help, version and wrong command lines.
+//! Help, version and invalid command lines.
 
 use std::process::{Command, Output};
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_wrong_command_line_exits_with_two() {
+fn an_invalid_command_line_exits_with_code_two() {
     for arguments in [&[][..], &["fly"], &["control", "--speed", "9"]] {
         let output = run(arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_wrong_flag_is_reported_with_what_is_allowed() {
+fn an_invalid_option_is_reported_with_its_allowed_values() {
     let output = run(&["balancer", "--name", "a b", "--data-address", "here"]);
     let message = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!(output.status.code(), Some(2));
--- a/crates/petrellatch/tests/control_group.rs
+++ b/crates/petrellatch/tests/control_group.rs
@@ -1,5 +1,5 @@
-//! Control replicas with a balancer and an agent, as they run in production
-//! but in threads of the test.
+//! Control replicas with a balancer and an agent, set up as in production but
+//! run in threads of the test.
 
 mod support;
 
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn an_accepted_change_comes_into_force_at_every_daemon() {
-    let mut cluster = Cluster::found(3);
+fn an_accepted_change_takes_effect_at_every_daemon() {
+    let mut cluster = Cluster::start(3);
     cluster.start_daemon(Role::Balancer, "balancer-1");
     cluster.start_daemon(Role::Agent, "agent-1");
     cluster.wait_for_status("both are members", |status| status.members.len() == 2);
@@ -41,21 +41,21 @@
     let admin = cluster.running["balancer-1"]
         .ready
         .admin
-        .expect("it is open");
+        .expect("the address is open");
     assert_eq!(read_admin(admin, "/readyz").0, 200);
     let (_, metrics) = read_admin(admin, "/metrics");
     assert!(metrics.contains("petrellatch_view_version"), "{metrics}");
 }
 
 #[test]
-fn the_metrics_are_the_ones_in_the_documentation() {
-    let mut cluster = Cluster::found(1);
+fn all_metrics_are_documented() {
+    let mut cluster = Cluster::start(1);
     cluster.start_daemon(Role::Balancer, "balancer-1");
     cluster.start_daemon(Role::Agent, "agent-1");
     let page = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/API.md");
-    let page = std::fs::read_to_string(page).expect("the page is there");
+    let page = std::fs::read_to_string(page).expect("the page exists");
     for (name, running) in &cluster.running {
-        let admin = running.ready.admin.expect("it is open");
+        let admin = running.ready.admin.expect("the address is open");
         let (_, metrics) = read_admin(admin, "/metrics");
         let names = metrics
             .lines()
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn changes_go_on_when_the_leader_stops_and_it_catches_up_when_it_is_back() {
-    let mut cluster = Cluster::found(3);
+fn changes_are_accepted_while_the_leader_is_stopped_and_it_catches_up_after_a_restart() {
+    let mut cluster = Cluster::start(3);
     cluster.apply(&policy("first"));
     let leader = cluster.status().leader;
     cluster.take(&leader).stop();
@@ -80,7 +80,7 @@
         .iter()
         .map(|it| it.durable_index)
         .max();
-    cluster.wait_for_status("it has caught up", |status| {
+    cluster.wait_for_status("the replica has caught up", |status| {
         let mut replicas = status.replicas.iter();
         replicas.any(|it| it.name == leader && Some(it.durable_index) >= newest)
     });
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn a_planned_stop_of_the_leader_costs_no_election_timeout() {
+fn a_graceful_stop_of_the_leader_causes_no_election_timeout() {
     let election = Duration::from_secs(4);
-    let mut cluster = Cluster::found_with(3, election);
+    let mut cluster = Cluster::start_with(3, election);
     cluster.apply(&policy("before"));
     let leader = cluster.status().leader;
     let stopping = Instant::now();
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_group_that_was_killed_keeps_what_it_accepted() {
-    let mut cluster = Cluster::found(3);
+fn a_group_that_was_killed_keeps_its_accepted_changes() {
+    let mut cluster = Cluster::start(3);
     let names = ["one", "two", "three", "four"];
     let mut version = 0;
     for name in names {
@@ -125,29 +125,30 @@
 }
 
 #[test]
-fn a_replica_that_lost_its_folder_is_admitted_again_and_then_counts() {
-    let mut cluster = Cluster::found(3);
+fn a_replica_that_lost_its_folder_is_admitted_again_and_counts_for_the_quorum() {
+    let mut cluster = Cluster::start(3);
     cluster.apply(&policy("before"));
     let lost = cluster.follower();
     cluster.take(&lost).kill();
     std::fs::remove_dir_all(cluster.data_folder(&lost)).expect("the folder is removed");
     cluster.restart_control(&lost);
-    // Until it is admitted with its new incarnation, its former life counts.
+    // Until the replica is admitted with its new incarnation, the membership
+    // lists its previous one.
     let incarnation = cluster.running[&lost].ready.incarnation.clone();
-    let incarnation = incarnation.expect("a control replica prints it");
-    cluster.wait_for_status("it is a voter again", |status| {
+    let incarnation = incarnation.expect("a control replica prints its incarnation");
+    cluster.wait_for_status("the replica is a voter again", |status| {
         let mut replicas = status.replicas.iter();
         replicas.any(|it| it.incarnation == incarnation && it.role == "voter")
     });
-    // A second machine is lost right after the first one was repaired. The
-    // quorum now needs the one that came back.
+    // A second machine is lost right after the first one was repaired, so the
+    // quorum needs the repaired one.
     let leader = cluster.status().leader;
     let second = cluster
         .replicas
         .iter()
         .map(|replica| replica.name.clone())
         .find(|name| *name != leader && *name != lost)
-        .expect("there are three");
+        .expect("the group has three replicas");
     cluster.take(&second).kill();
     cluster.apply(&policy("after"));
     assert_eq!(policy_names(&cluster), ["after", "before"]);
@@ -155,7 +156,7 @@
 
 #[test]
 fn an_operator_removes_and_adds_a_replica() {
-    let mut cluster = Cluster::found(3);
+    let mut cluster = Cluster::start(3);
     cluster.apply(&policy("before"));
     let name = cluster.follower();
     cluster.ctl_output(&["replica", "remove", &name]);
@@ -163,7 +164,7 @@
     cluster.take(&name).kill();
     std::fs::remove_dir_all(cluster.data_folder(&name)).expect("the folder is removed");
     cluster.restart_control(&name);
-    cluster.wait_for_status("it has announced itself", |status| {
+    cluster.wait_for_status("the replica has announced itself", |status| {
         status.announced.iter().any(|replica| replica.name == name)
     });
     cluster.ctl_output(&["replica", "add", &name]);
@@ -173,24 +174,26 @@
 }
 
 #[test]
-fn a_planned_stop_takes_a_balancer_and_an_agent_out_of_the_cluster() {
-    let mut cluster = Cluster::found(1);
+fn a_graceful_stop_removes_a_balancer_and_an_agent_from_the_cluster() {
+    let mut cluster = Cluster::start(1);
     cluster.start_daemon(Role::Balancer, "balancer-1");
     cluster.start_daemon(Role::Agent, "agent-1");
     cluster.wait_for_status("both are members", |status| status.members.len() == 2);
     let admin = cluster.running["balancer-1"]
         .ready
         .admin
-        .expect("it is open");
-    wait_for("it is ready", || read_admin(admin, "/readyz").0 == 200);
+        .expect("the address is open");
+    wait_for("the balancer is ready", || {
+        read_admin(admin, "/readyz").0 == 200
+    });
     cluster.take("agent-1").stop();
     cluster.take("balancer-1").stop();
     cluster.wait_for_status("both have left", |status| status.members.is_empty());
 }
 
 #[test]
-fn a_document_with_more_edits_than_a_change_may_have_is_applied_whole() {
-    let cluster = Cluster::found(1);
+fn a_document_with_more_edits_than_a_change_may_have_is_applied_completely() {
+    let cluster = Cluster::start(1);
     let names = (0..200).map(|number| format!("policy-{number:03}"));
     let expected: Vec<String> = names.collect();
     let document: Vec<String> = expected.iter().map(|name| policy(name)).collect();
@@ -201,8 +204,8 @@
 }
 
 #[test]
-fn a_restarted_daemon_is_ready_again_with_what_happened_meanwhile() {
-    let mut cluster = Cluster::found(1);
+fn a_restarted_daemon_is_ready_with_the_changes_made_meanwhile() {
+    let mut cluster = Cluster::start(1);
     cluster.start_daemon(Role::Balancer, "balancer-1");
     let first = cluster.apply(&policy("first"));
     cluster.ctl_output(&["wait", "--version", &first.to_string()]);
@@ -212,7 +215,7 @@
         version = cluster.apply(&policy(&format!("policy-{number}")));
     }
     cluster.start_daemon(Role::Balancer, "balancer-1");
-    cluster.wait_for_status("it has the newest version", |status| {
+    cluster.wait_for_status("the balancer has the newest version", |status| {
         let mut members = status.members.iter();
         members.any(|member| member.name == "balancer-1" && member.version >= version)
     });
--- a/crates/petrellatch/tests/deployments.rs
+++ b/crates/petrellatch/tests/deployments.rs
@@ -1,4 +1,4 @@
-//! The ready-made deployments are read without complaint.
+//! The settings and documents of the shipped deployments are valid.
 
 use std::path::PathBuf;
 
@@ -19,7 +19,7 @@
         let settings: Result<SettingsFile, _> = toml::from_str(&text);
         let settings = settings.unwrap_or_else(|error| panic!("{deployment}: {error}"));
         assert_eq!(settings.cluster.replicas.len(), 3, "{deployment}");
-        // The fleet script sets these for loopback and needs them to be there.
+        // The fleet script replaces these for loopback and requires them to be set.
         assert!(settings.platform.list_url.is_some(), "{deployment}");
         assert!(settings.backends.health_path.is_some(), "{deployment}");
     }
--- a/crates/petrellatch/tests/event_server.rs
+++ b/crates/petrellatch/tests/event_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server inside event loops, and connections that go silent.
+//! The HTTP server of event loops, and its handling of idle connections.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpStream};
@@ -11,17 +11,17 @@
 const MAX_CONNECTIONS: usize = 4;
 const FIRST_CONNECTION: usize = 10;
 const SERVER: Token = Token(0);
-const PATIENCE: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-struct Served {
+struct TestServer {
     poll: Poll,
     server: EventServer,
-    /// The time that the server is told.
+    /// The current time, as passed to the server.
     now: Timestamp,
 }
 
-impl Served {
-    fn start() -> Served {
+impl TestServer {
+    fn start() -> TestServer {
         let poll = Poll::new().expect("a selector");
         let server = EventServer::open(
             SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0),
@@ -31,7 +31,7 @@
             MAX_CONNECTIONS,
             1_024,
         );
-        Served {
+        TestServer {
             poll,
             server: server.expect("a free port"),
             now: Timestamp::from_millis(1_000),
@@ -39,16 +39,16 @@
     }
 
     fn connect(&self) -> TcpStream {
-        let address: SocketAddr = self.server.local_address().expect("it is bound");
-        let stream = TcpStream::connect(address).expect("it listens");
+        let address: SocketAddr = self.server.local_address().expect("the server is bound");
+        let stream = TcpStream::connect(address).expect("the server listens");
         stream
             .set_read_timeout(Some(Duration::from_millis(20)))
             .expect("a socket");
         stream
     }
 
-    /// Takes what has happened, and answers all requests.
-    fn turn(&mut self) {
+    /// Handles all pending events, and responds to all requests.
+    fn run_once(&mut self) {
         let mut events = Events::with_capacity(16);
         let wait = Some(Duration::from_millis(5));
         self.poll.poll(&mut events, wait).expect("a selector");
@@ -56,26 +56,26 @@
             let registry = self.poll.registry();
             let received = self.server.handle_event(self.now, registry, event.token());
             for request in received {
-                let answer = HttpResponse::json(200, "{}".to_owned());
-                self.server.respond(self.now, request.connection, &answer);
+                let response = HttpResponse::json(200, "{}".to_owned());
+                self.server.respond(self.now, request.connection, &response);
             }
         }
         self.server.expire(self.now);
     }
 
-    /// Sends a request; returns whether it is answered.
+    /// Sends a request. Returns whether a successful response arrives.
     fn is_served(&mut self, stream: &mut TcpStream) -> bool {
         let sent = stream.write_all(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n");
         if sent.is_err() {
             return false;
         }
-        let end = Instant::now() + PATIENCE;
-        let mut answer = [0; 256];
+        let end = Instant::now() + RESPONSE_TIMEOUT;
+        let mut response = [0; 256];
         while Instant::now() < end {
-            self.turn();
-            match stream.read(&mut answer) {
+            self.run_once();
+            match stream.read(&mut response) {
                 Ok(0) => return false,
-                Ok(length) => return answer[..length].starts_with(b"HTTP/1.1 200"),
+                Ok(length) => return response[..length].starts_with(b"HTTP/1.1 200"),
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return false,
                 Err(_) => {}
             }
@@ -85,29 +85,32 @@
 }
 
 #[test]
-fn connections_that_went_silent_give_way_to_new_ones() {
-    let mut served = Served::start();
-    let mut silent: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| served.connect()).collect();
+fn idle_connections_are_closed_for_new_ones() {
+    let mut server = TestServer::start();
+    let mut silent: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| server.connect()).collect();
     for stream in &mut silent {
-        assert!(served.is_served(stream));
+        assert!(server.is_served(stream));
     }
-    served.now = served.now + Duration::from_secs(2);
-    let mut new = served.connect();
-    assert!(served.is_served(&mut new), "the silent ones hold no place");
-    assert!(served.is_served(&mut new), "it is kept");
+    server.now = server.now + Duration::from_secs(2);
+    let mut new = server.connect();
+    assert!(
+        server.is_served(&mut new),
+        "an idle connection is closed for a new one"
+    );
+    assert!(server.is_served(&mut new), "the new connection is kept");
 }
 
 #[test]
-fn connections_that_speak_are_not_closed_for_new_ones() {
-    let mut served = Served::start();
-    let mut open: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| served.connect()).collect();
+fn active_connections_are_not_closed_for_new_ones() {
+    let mut server = TestServer::start();
+    let mut open: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| server.connect()).collect();
     for stream in &mut open {
-        assert!(served.is_served(stream));
+        assert!(server.is_served(stream));
     }
-    served.now = served.now + Duration::from_millis(500);
-    let mut new = served.connect();
-    assert!(!served.is_served(&mut new));
+    server.now = server.now + Duration::from_millis(500);
+    let mut new = server.connect();
+    assert!(!server.is_served(&mut new));
     for stream in &mut open {
-        assert!(served.is_served(stream));
+        assert!(server.is_served(stream));
     }
 }
--- a/crates/petrellatch/tests/overload.rs
+++ b/crates/petrellatch/tests/overload.rs
@@ -1,4 +1,4 @@
-//! A server with more requests than it takes answers the rest at once.
+//! A server above its request limit refuses further requests immediately.
 
 use std::io::Write;
 use std::net::{SocketAddrV4, TcpStream};
@@ -10,61 +10,61 @@
 use petrellatch::http::open_listener;
 use petrellatch::http::{HttpHandler, HttpLimits, HttpRequest, HttpResponse, HttpServer};
 
-/// Requests that the server takes at once.
+/// Maximum number of requests in progress at the server.
 const LIMIT: usize = 4;
-/// How many times that is sent.
+/// Number of refused requests, as a multiple of the limit.
 const FACTOR: usize = 10;
 
-/// The longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a response is waited for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers when the test says so.
-struct HeldHandler {
+/// Responds when the test releases it.
+struct BlockedHandler {
     started: Mutex<Sender<()>>,
     release: Mutex<Receiver<()>>,
 }
 
-impl HttpHandler for HeldHandler {
+impl HttpHandler for BlockedHandler {
     fn handle(&self, _request: &HttpRequest) -> HttpResponse {
         self.started
             .lock()
             .expect("no panic")
             .send(())
-            .expect("the test waits");
+            .expect("the test receives");
         self.release
             .lock()
             .expect("no panic")
             .recv()
-            .expect("the test lives");
+            .expect("the test is running");
         HttpResponse::json(200, "{}".to_string())
     }
 }
 
-/// Answers at once.
-struct PromptHandler;
+/// Responds immediately.
+struct ImmediateHandler;
 
-impl HttpHandler for PromptHandler {
+impl HttpHandler for ImmediateHandler {
     fn handle(&self, _request: &HttpRequest) -> HttpResponse {
         HttpResponse::json(200, "{}".to_string())
     }
 }
 
-struct Answered {
+struct ReceivedResponse {
     status: u16,
     retry_after: Option<String>,
     body: String,
 }
 
-fn ask(address: SocketAddrV4) -> Answered {
+fn send_request(address: SocketAddrV4) -> ReceivedResponse {
     let agent: ureq::Agent = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(RESPONSE_TIMEOUT))
         .build()
         .into();
     let url = format!("http://{address}/v1/status");
-    let mut response = agent.get(&url).call().expect("an answer");
+    let mut response = agent.get(&url).call().expect("a response");
     let retry_after = response.headers().get("Retry-After");
-    Answered {
+    ReceivedResponse {
         status: response.status().as_u16(),
         retry_after: retry_after.map(|value| value.to_str().expect("text").to_string()),
         body: response.body_mut().read_to_string().expect("a body"),
@@ -72,10 +72,10 @@
 }
 
 #[test]
-fn ten_times_the_limit_is_shed_at_once_and_the_rest_is_served() {
+fn requests_above_the_limit_are_refused_at_once_and_the_others_are_served() {
     let (started_sender, started) = channel();
     let (release, released) = channel();
-    let handler = HeldHandler {
+    let handler = BlockedHandler {
         started: Mutex::new(started_sender),
         release: Mutex::new(released),
     };
@@ -86,21 +86,21 @@
     };
     let any_port = "127.0.0.1:0".parse().expect("an address");
     let listener = open_listener(any_port, "a test").expect("a free port");
-    let server = HttpServer::start(listener, limits, Arc::new(handler)).expect("it starts");
+    let server = HttpServer::start(listener, limits, Arc::new(handler)).expect("the server starts");
     let address = server.address();
     let served: Vec<_> = (0..LIMIT)
-        .map(|_| thread::spawn(move || ask(address)))
+        .map(|_| thread::spawn(move || send_request(address)))
         .collect();
     for _ in 0..LIMIT {
         started.recv().expect("a request has started");
     }
-    // None of the requests that are being served has ended, so every answer
-    // that comes now was given without waiting for one of them.
+    // All workers are busy until the test releases them, so each response
+    // received here was sent without waiting for a worker.
     for _ in 0..LIMIT * FACTOR {
-        let answered = ask(address);
-        assert_eq!(answered.status, 429);
-        assert_eq!(answered.retry_after.as_deref(), Some("1"));
-        assert!(answered.body.contains("overloaded"), "{}", answered.body);
+        let received = send_request(address);
+        assert_eq!(received.status, 429);
+        assert_eq!(received.retry_after.as_deref(), Some("1"));
+        assert!(received.body.contains("overloaded"), "{}", received.body);
     }
     for _ in 0..LIMIT {
         release.send(()).expect("the handler waits");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_refused_client_that_keeps_its_body_back_holds_up_no_one() {
+fn a_refused_client_that_withholds_its_body_delays_no_other_request() {
     let limits = HttpLimits {
         workers: LIMIT,
         requests: LIMIT,
@@ -119,16 +119,19 @@
     };
     let any_port = "127.0.0.1:0".parse().expect("an address");
     let listener = open_listener(any_port, "a test").expect("a free port");
-    let server = HttpServer::start(listener, limits, Arc::new(PromptHandler)).expect("it starts");
+    let server =
+        HttpServer::start(listener, limits, Arc::new(ImmediateHandler)).expect("the server starts");
     let address = server.address();
-    let mut slow = TcpStream::connect(address).expect("it is open");
-    let head = "POST /v1/changes HTTP/1.1\r\nHost: test\r\nContent-Length: 1000000\r\n\r\n";
-    slow.write_all(head.as_bytes()).expect("it is sent");
-    slow.write_all(b"{").expect("it is sent");
-    // The refusal of the slow client and these requests may come in any order,
-    // so there are several.
+    let mut slow = TcpStream::connect(address).expect("the server accepts connections");
+    let request_header =
+        "POST /v1/changes HTTP/1.1\r\nHost: test\r\nContent-Length: 1000000\r\n\r\n";
+    slow.write_all(request_header.as_bytes())
+        .expect("the bytes are sent");
+    slow.write_all(b"{").expect("the bytes are sent");
+    // The slow client may be refused before or after any of these requests, so
+    // several are sent.
     for _ in 0..LIMIT * FACTOR {
-        assert_eq!(ask(address).status, 200);
+        assert_eq!(send_request(address).status, 200);
     }
     drop(slow);
 }
--- a/crates/petrellatch/tests/refused_starts.rs
+++ b/crates/petrellatch/tests/refused_starts.rs
@@ -1,4 +1,4 @@
-//! Processes that can't start, or can't go on, say why.
+//! Processes that can't start, or can't continue, report the reason.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use petrellatch::runtime::DataFolder;
 use petrellatch::runtime::control::open_replica_folder;
 use petrellatch::settings::{Role, read_cluster_key};
-use support::{Cluster, KEY, OTHER_KEY, PATIENCE, is_in_use, policy, read_admin, wait_for};
+use support::{Cluster, KEY, OTHER_KEY, TEST_TIMEOUT, is_in_use, policy, read_admin, wait_for};
 
 /// A scratch folder with a key file.
 fn scratch() -> tempfile::TempDir {
@@ -37,38 +37,41 @@
     assert!(message.contains(part), "'{part}' is not in: {message}");
 }
 
-/// Returns why something that was just closed can't be opened.
+/// Returns why a resource that was just closed can't be opened.
 fn refusal<T>(mut open: impl FnMut() -> Result<T, ProgramError>) -> ProgramError {
     let mut refusal = None;
-    wait_for("the lock of the former life is gone", || {
+    wait_for("the lock of the previous incarnation is released", || {
         refusal = open().err();
         !refusal.as_ref().is_some_and(is_in_use)
     });
-    refusal.expect("it is refused")
+    refusal.expect("opening is refused")
 }
 
 #[test]
 fn a_folder_in_use_is_refused() {
-    let mut cluster = Cluster::found(1);
+    let mut cluster = Cluster::start(1);
     cluster.start_daemon(Role::Balancer, "balancer-1");
     let folder = cluster.data_folder("balancer-1");
-    let error = DataFolder::open(&folder).expect_err("it is refused");
+    let error = DataFolder::open(&folder).expect_err("opening is refused");
     assert!(is_in_use(&error), "{error}");
     let settings = cluster.settings(Role::Control, "control-1", false);
-    let key = read_cluster_key(&settings.key_file).expect("a sound key");
-    let error = open_replica_folder(&settings, &key).expect_err("it is refused");
+    let key = read_cluster_key(&settings.key_file).expect("a valid key");
+    let error = open_replica_folder(&settings, &key).expect_err("opening is refused");
     assert!(is_in_use(&error), "{error}");
 }
 
 #[test]
-fn an_address_in_use_is_named() {
+fn an_address_in_use_is_named_in_the_error() {
     let folder = scratch();
     let holder = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    let address = holder.local_addr().expect("it is bound").to_string();
+    let address = holder
+        .local_addr()
+        .expect("the socket is bound")
+        .to_string();
     let replica = format!("control-1={address}");
     let output = control(folder.path(), &["--replica", &replica])
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     refused(
         &output,
         12,
@@ -77,38 +80,38 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_made_is_named() {
+fn a_folder_that_cannot_be_created_is_named_in_the_error() {
     let folder = scratch();
-    fs::write(folder.path().join("data"), "a file").expect("it is written");
+    fs::write(folder.path().join("data"), "a file").expect("the file is written");
     let arguments = ["--replica", "control-1=127.0.0.1:0"];
     let output = control(folder.path(), &arguments)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     refused(&output, 14, "data");
 }
 
 #[test]
 fn a_folder_of_another_cluster_is_refused() {
-    let cluster = Cluster::found(1);
+    let cluster = Cluster::start(1);
     let name = "control-1";
     let mut settings = cluster.settings(Role::Control, name, false);
     settings.data_folder = cluster.data_folder("copied");
-    let key = read_cluster_key(&settings.key_file).expect("a sound key");
-    drop(open_replica_folder(&settings, &key).expect("it is formatted"));
-    fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("it is written");
-    let other = read_cluster_key(&cluster.folder.path().join("other")).expect("a sound key");
+    let key = read_cluster_key(&settings.key_file).expect("a valid key");
+    drop(open_replica_folder(&settings, &key).expect("the folder is formatted"));
+    fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("the file is written");
+    let other = read_cluster_key(&cluster.folder.path().join("other")).expect("a valid key");
     let error = refusal(|| open_replica_folder(&settings, &other));
     assert_eq!(error.kind().answer().name, "invalid_settings");
     assert!(error.to_string().contains("belongs to cluster"), "{error}");
 }
 
 #[test]
-fn founding_a_group_on_a_folder_in_use_is_refused() {
-    let cluster = Cluster::found(1);
+fn bootstrapping_a_group_on_a_folder_in_use_is_refused() {
+    let cluster = Cluster::start(1);
     let mut settings = cluster.settings(Role::Control, "control-1", true);
     settings.data_folder = cluster.data_folder("formatted");
-    let key = read_cluster_key(&settings.key_file).expect("a sound key");
-    drop(open_replica_folder(&settings, &key).expect("it is formatted"));
+    let key = read_cluster_key(&settings.key_file).expect("a valid key");
+    drop(open_replica_folder(&settings, &key).expect("the folder is formatted"));
     let error = refusal(|| open_replica_folder(&settings, &key));
     assert!(
         error.to_string().contains("already holds a replica"),
@@ -117,34 +120,37 @@
 }
 
 #[test]
-fn a_daemon_with_another_key_is_not_heard() {
-    let mut cluster = Cluster::found(1);
-    fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("it is written");
+fn messages_of_a_daemon_with_another_key_are_rejected() {
+    let mut cluster = Cluster::start(1);
+    fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("the file is written");
     let mut settings = cluster.settings(Role::Balancer, "stranger", false);
     settings.key_file = cluster.folder.path().join("other");
     cluster.start_daemon_with(Role::Balancer, settings);
     let admin = cluster.running["control-1"]
         .ready
         .admin
-        .expect("it is open");
-    wait_for("foreign datagrams are counted", || {
+        .expect("the address is open");
+    wait_for("datagrams sealed with another key are counted", || {
         let (_, metrics) = read_admin(admin, "/metrics");
         let counted = |line: &str| {
             line.starts_with("petrellatch_rejected_datagrams_total") && !line.ends_with(" 0")
         };
         metrics.lines().any(counted)
     });
-    let stranger = cluster.running["stranger"].ready.admin.expect("it is open");
+    let stranger = cluster.running["stranger"]
+        .ready
+        .admin
+        .expect("the address is open");
     assert_eq!(read_admin(stranger, "/readyz").0, 503);
     assert_eq!(read_admin(stranger, "/healthz").0, 200);
     assert!(cluster.status().members.is_empty());
 }
 
 #[test]
-fn a_replica_that_cannot_write_ends_with_the_reason() {
+fn a_replica_that_cannot_write_exits_with_an_error() {
     let folder = scratch();
-    // The limit of file sizes stands in for a full disk. The signal that
-    // comes with it is ignored, so that the write itself fails.
+    // A file size limit simulates a full disk. SIGXFSZ is ignored, so that the
+    // write itself fails.
     let script = "trap '' XFSZ; ulimit -f 16; exec \"$@\"";
     let mut program = Command::new("sh");
     program
@@ -162,17 +168,17 @@
         .args(["--replica", "control-1=127.0.0.1:0"])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped());
-    let mut child = program.spawn().expect("it starts");
+    let mut child = program.spawn().expect("the program starts");
     let operator = read_operator(&mut child);
     let mut number = 0;
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     let status = loop {
-        if let Some(status) = child.try_wait().expect("its state is known") {
+        if let Some(status) = child.try_wait().expect("the state of the child is known") {
             break status;
         }
         if Instant::now() > deadline {
-            child.kill().expect("it ends");
-            panic!("it still runs after {number} changes");
+            child.kill().expect("the child is killed");
+            panic!("the replica still runs after {number} changes");
         }
         number += 1;
         apply(
@@ -182,7 +188,7 @@
         );
     };
     let mut errors = String::new();
-    let mut stderr = child.stderr.take().expect("it is piped");
+    let mut stderr = child.stderr.take().expect("the stream is piped");
     stderr.read_to_string(&mut errors).expect("text");
     assert_eq!(status.code(), Some(14), "{errors}");
     assert!(errors.contains("data/log"), "{errors}");
@@ -190,7 +196,7 @@
 
 fn read_operator(child: &mut std::process::Child) -> String {
     use std::io::{BufRead, BufReader};
-    let stdout = child.stdout.take().expect("it is piped");
+    let stdout = child.stdout.take().expect("the stream is piped");
     let mut line = String::new();
     BufReader::new(stdout).read_line(&mut line).expect("a line");
     let ready: serde_json::Value = serde_json::from_str(&line).expect("JSON");
@@ -198,7 +204,7 @@
 }
 
 fn apply(folder: &Path, operator: &str, document: &str) {
-    fs::write(folder.join("document.toml"), document).expect("it is written");
+    fs::write(folder.join("document.toml"), document).expect("the file is written");
     Command::new(env!("CARGO_BIN_EXE_petrellatch"))
         .current_dir(folder)
         .args([
@@ -212,5 +218,5 @@
         ])
         .args(["apply", "document.toml"])
         .output()
-        .expect("it runs");
+        .expect("the program runs");
 }
--- a/crates/petrellatch/tests/silent_replica.rs
+++ b/crates/petrellatch/tests/silent_replica.rs
@@ -1,4 +1,4 @@
-//! Operators get on although a control replica does not answer.
+//! Operator commands work while a control replica does not respond.
 
 mod support;
 
@@ -7,19 +7,19 @@
 
 use support::{Cluster, ReplicaAddress, policy};
 
-/// The time after which a client gave a silent server up in earlier versions.
-/// A command makes several requests, and must not wait so long even once.
-const FORMER_ATTEMPT_LIMIT: Duration = Duration::from_secs(5);
+/// Attempt timeout of clients that did not skip silent servers. A command makes
+/// several requests, and all of them together must take less than this.
+const MAX_COMMAND_TIME: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_silent_replica_costs_a_command_little() {
-    let mut cluster = Cluster::found(1);
+fn a_silent_replica_delays_a_command_only_briefly() {
+    let mut cluster = Cluster::start(1);
     cluster.apply(&policy("before"));
-    // It accepts connections and says nothing, like a frozen process.
+    // It accepts connections and never responds, like a frozen process.
     let frozen = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = match frozen.local_addr().expect("it is bound") {
+    let address = match frozen.local_addr().expect("the listener is bound") {
         std::net::SocketAddr::V4(address) => address,
-        std::net::SocketAddr::V6(address) => panic!("{address} is no IPv4 address"),
+        std::net::SocketAddr::V6(address) => panic!("{address} is not an IPv4 address"),
     };
     let silent = ReplicaAddress {
         name: "frozen".to_string(),
@@ -30,5 +30,5 @@
     let started = Instant::now();
     cluster.apply(&policy("after"));
     let elapsed = started.elapsed();
-    assert!(elapsed < FORMER_ATTEMPT_LIMIT, "it took {elapsed:?}");
+    assert!(elapsed < MAX_COMMAND_TIME, "the command took {elapsed:?}");
 }
--- a/crates/petrellatch/tests/support/mod.rs
+++ b/crates/petrellatch/tests/support/mod.rs
@@ -24,18 +24,18 @@
 use petrellatch_storage::StorageError;
 use tempfile::TempDir;
 
-/// The longest that anything in these tests may take.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// The usual shortest time without a leader before an election.
-const ELECTION: Duration = Duration::from_millis(500);
-/// Between two looks at something that is waited for.
+/// Timeout of every wait in these tests.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Default election timeout: minimum time without a leader before an election.
+const ELECTION_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between checks of a condition that is waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The key of the cluster, and one of another cluster.
+/// The key of the cluster, and the key of another cluster.
 pub const KEY: &str = "000102030405060708090a0b0c0d0e0f";
 pub const OTHER_KEY: &str = "ffeeddccbbaa99887766554433221100";
 
-/// Where a control replica is reached.
+/// Name and addresses of a control replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaAddress {
     pub name: String,
@@ -51,22 +51,22 @@
 }
 
 impl Running {
-    /// Asks for a planned stop and waits for its end.
+    /// Requests a graceful stop and waits until the daemon has ended.
     pub fn stop(mut self) {
         self.stop.stop();
         self.thread
             .join()
             .expect("the daemon does not panic")
-            .expect("it stops well");
+            .expect("the daemon stops without an error");
     }
 
-    /// Ends the daemon at once, as if it was killed.
+    /// Stops the daemon immediately, as if it was killed.
     pub fn kill(mut self) {
         self.stop.stop_immediately();
         self.thread
             .join()
             .expect("the daemon does not panic")
-            .expect("it ends");
+            .expect("the daemon ends without an error");
     }
 
     pub fn is_running(&self) -> bool {
@@ -74,13 +74,13 @@
     }
 }
 
-/// Numbers the clusters of this process.
+/// Number of clusters that this process has started.
 static CLUSTERS: AtomicU8 = AtomicU8::new(0);
 
-/// Draws two loopback addresses that no other cluster of any test uses, for
+/// Chooses two loopback addresses that no other cluster of any test uses, for
 /// control replicas and for daemons. A port of a stopped replica therefore
 /// stays free until it is started again.
-fn draw_addresses() -> [Ipv4Addr; 2] {
+fn choose_addresses() -> [Ipv4Addr; 2] {
     let cluster = CLUSTERS.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let first = 1 + 2 * (cluster % 100);
@@ -89,7 +89,7 @@
 
 /// A cluster on the loopback interface.
 pub struct Cluster {
-    /// Where control replicas and daemons listen.
+    /// Addresses that control replicas and daemons listen on.
     addresses: [Ipv4Addr; 2],
     election: Duration,
     pub folder: TempDir,
@@ -98,25 +98,24 @@
 }
 
 impl Cluster {
-    /// Founds a control group of so many replicas.
-    pub fn found(replicas: usize) -> Cluster {
-        Cluster::found_with(replicas, ELECTION)
+    /// Starts a control group with this number of replicas.
+    pub fn start(replicas: usize) -> Cluster {
+        Cluster::start_with(replicas, ELECTION_TIMEOUT)
     }
 
-    /// Founds a control group with this shortest time without a leader before
-    /// an election.
-    pub fn found_with(replicas: usize, election: Duration) -> Cluster {
+    /// Starts a control group with this election timeout.
+    pub fn start_with(replicas: usize, election: Duration) -> Cluster {
         let folder = tempfile::tempdir().expect("a scratch folder");
         std::fs::write(folder.path().join("key"), KEY).expect("the key is written");
         let mut cluster = Cluster {
-            addresses: draw_addresses(),
+            addresses: choose_addresses(),
             election,
             folder,
             replicas: Vec::new(),
             running: BTreeMap::new(),
         };
-        // All sockets are open before the addresses are told to anyone, so no
-        // other process can take a port in between.
+        // All sockets are bound before any address is passed on, so no other
+        // process can take a port in between.
         let sockets: Vec<ControlSockets> = (1..=replicas)
             .map(|number| {
                 let name = format!("control-{number}");
@@ -125,8 +124,8 @@
                 let ready = sockets.ready_line(&name, Default::default());
                 cluster.replicas.push(ReplicaAddress {
                     name,
-                    control: ready.control.expect("it is open"),
-                    operator: ready.operator.expect("it is open"),
+                    control: ready.control.expect("the address is open"),
+                    operator: ready.operator.expect("the address is open"),
                 });
                 sockets
             })
@@ -139,13 +138,13 @@
         cluster
     }
 
-    /// Starts a control replica again on its folder and addresses.
+    /// Restarts a control replica with its folder and addresses.
     pub fn restart_control(&mut self, name: &str) {
         let settings = self.settings(Role::Control, name, false);
         self.restart_control_with(settings);
     }
 
-    /// Starts a control replica again with these settings.
+    /// Restarts a control replica with these settings.
     pub fn restart_control_with(&mut self, settings: Settings) {
         let sockets = open_when_free(|| ControlSockets::open(&settings));
         self.run_control(settings, sockets);
@@ -194,17 +193,17 @@
         );
     }
 
-    /// Takes a daemon out, to stop or kill it.
+    /// Removes a daemon from the cluster, to stop or kill it.
     pub fn take(&mut self, name: &str) -> Running {
-        self.running.remove(name).expect("it runs")
+        self.running.remove(name).expect("the daemon is running")
     }
 
-    /// Where a process has its files.
+    /// Returns the data folder of a process.
     pub fn data_folder(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
-    /// The settings of a process.
+    /// Returns the settings of a process.
     pub fn settings(&self, role: Role, name: &str, bootstrap: bool) -> Settings {
         self.settings_with(role, name, bootstrap, &self.replicas)
     }
@@ -252,7 +251,7 @@
         file.timing.lease_milliseconds = Some(1_000);
         file.timing.election_milliseconds = Some(self.election.as_millis() as u64);
         file.timing.stop_seconds = Some(20);
-        resolve("test", file, &options, Some(role)).expect("sound settings")
+        resolve("test", file, &options, Some(role)).expect("valid settings")
     }
 
     /// Runs `petrellatch ctl` against all replicas.
@@ -291,7 +290,7 @@
         serde_json::from_str(&output).expect("a status document")
     }
 
-    /// Waits until the status is as wanted.
+    /// Waits until the status meets a condition.
     pub fn wait_for_status(
         &self,
         what: &str,
@@ -304,16 +303,16 @@
             last = Some(status);
             found
         });
-        last.expect("it was read")
+        last.expect("the status was read")
     }
 
-    /// Returns the name of a control replica that does not lead.
+    /// Returns the name of a control replica that is not the leader.
     pub fn follower(&self) -> String {
         let leader = self.status().leader;
         let mut names = self.replicas.iter().map(|replica| replica.name.clone());
         names
             .find(|name| *name != leader)
-            .expect("there are others")
+            .expect("the group has followers")
     }
 }
 
@@ -328,7 +327,7 @@
 
 fn process(settings: Settings) -> (Process, StopHandle) {
     let (stop, handle) = StopSignal::manual().expect("a pair of sockets");
-    let key = read_cluster_key(&settings.key_file).expect("a sound key");
+    let key = read_cluster_key(&settings.key_file).expect("a valid key");
     let process = Process {
         logger: make_logger(LogFormat::Terminal, LogLevel::Error, &settings.name),
         key,
@@ -338,14 +337,14 @@
     (process, handle)
 }
 
-/// Opens what a former life of a process has closed.
+/// Opens a resource that a previous incarnation of a process has closed.
 ///
 /// A program that another test starts at this moment holds copies of all open
 /// files of this process, its sockets and locks included, until it runs its
-/// own code. So what was just closed may still be in use for a moment.
+/// own code. So a resource that was just closed may still be in use for a moment.
 pub fn open_when_free<T>(mut open: impl FnMut() -> Result<T, ProgramError>) -> T {
     let mut opened = None;
-    wait_for("what was closed is free", || match open() {
+    wait_for("the closed resource is free", || match open() {
         Ok(value) => {
             opened = Some(value);
             true
@@ -353,10 +352,10 @@
         Err(error) if is_in_use(&error) => false,
         Err(error) => panic!("{error}"),
     });
-    opened.expect("it was waited for")
+    opened.expect("the resource is free")
 }
 
-/// Whether an address or a folder is used by another process.
+/// Returns whether an address or a folder is used by another process.
 pub fn is_in_use(error: &ProgramError) -> bool {
     match error {
         ProgramError::Bind { source, .. } => source.kind() == ErrorKind::AddrInUse,
@@ -366,10 +365,10 @@
     }
 }
 
-/// Waits until something holds.
-pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !holds() {
+/// Waits until a condition is met.
+pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !is_met() {
         assert!(Instant::now() < deadline, "waited too long: {what}");
         thread::sleep(POLL_INTERVAL);
     }
@@ -382,7 +381,7 @@
         .build()
         .into();
     let url = format!("http://{address}{path}");
-    let mut response = agent.get(&url).call().expect("an answer");
+    let mut response = agent.get(&url).call().expect("a response");
     let body = response.body_mut().read_to_string().expect("a body");
     (response.status().as_u16(), body)
 }
@@ -408,7 +407,7 @@
 slots = 7
 "#;
 
-/// A document with one further policy.
+/// A document with one more policy.
 pub fn policy(name: &str) -> String {
     format!("[[policies]]\nname = \"{name}\"\neligible = \"true\"\nweight = \"1.0\"\n")
 }
