--- a/crates/petrellatch/src/ctl/apply.rs
+++ b/crates/petrellatch/src/ctl/apply.rs
@@ -51,9 +51,9 @@
                 print_result(output, "accepted", accepted.version);
                 return Ok(());
             }
-            Ok(_) => check_time(client)?,
+            Ok(_) => check_deadline(client)?,
             Err(failure) if failure.kind == ErrorKind::Conflict && options.rebase => {
-                check_time(client)?;
+                check_deadline(client)?;
             }
             Err(failure) => return Err(failure.into()),
         }
@@ -91,7 +91,7 @@
 }
 
 /// Returns an error if the deadline has passed.
-pub fn check_time(client: &OperatorClient) -> Result<(), ProgramError> {
+pub fn check_deadline(client: &OperatorClient) -> Result<(), ProgramError> {
     if client.time_left().is_zero() {
         let message = "other changes conflicted with this one until the deadline";
         return Err(request_error(ErrorKind::DeadlineExceeded, message));
--- a/crates/petrellatch/src/ctl/drain.rs
+++ b/crates/petrellatch/src/ctl/drain.rs
@@ -2,7 +2,7 @@
 
 use petrellatch_core::ErrorKind;
 
-use super::apply::{check_time, current_version, random_request_id, send};
+use super::apply::{check_deadline, current_version, random_request_id, send};
 use super::client::OperatorClient;
 use super::output::print_result;
 use crate::api::{ChangeRequest, DrainEdit, DrainKind, EditDocument};
@@ -59,7 +59,7 @@
                 print_result(output, "accepted", accepted.version);
                 return Ok(());
             }
-            Err(failure) if failure.kind == ErrorKind::Conflict => check_time(client)?,
+            Err(failure) if failure.kind == ErrorKind::Conflict => check_deadline(client)?,
             Err(failure) => return Err(failure.into()),
         }
     }
--- a/crates/petrellatch/src/runtime/control/documents.rs
+++ b/crates/petrellatch/src/runtime/control/documents.rs
@@ -194,8 +194,8 @@
 
 fn progress_document(status: &ClusterStatus, version: Option<u64>) -> api::ProgressDocument {
     let version = version.unwrap_or(status.version);
-    let lacks = |member: &&MemberStatus| member.version.is_none_or(|it| it < version);
-    let lagging = || status.members.iter().filter(lacks);
+    let is_behind = |member: &&MemberStatus| member.version.is_none_or(|it| it < version);
+    let lagging = || status.members.iter().filter(is_behind);
     api::ProgressDocument {
         version,
         newest: status.version,
--- a/crates/petrellatch/tests/event_server.rs
+++ b/crates/petrellatch/tests/event_server.rs
@@ -87,8 +87,8 @@
 #[test]
 fn idle_connections_are_closed_for_new_ones() {
     let mut server = TestServer::start();
-    let mut silent: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| server.connect()).collect();
-    for stream in &mut silent {
+    let mut idle: Vec<TcpStream> = (0..MAX_CONNECTIONS).map(|_| server.connect()).collect();
+    for stream in &mut idle {
         assert!(server.is_served(stream));
     }
     server.now = server.now + Duration::from_secs(2);
--- a/crates/petrellatch/tests/refused_starts.rs
+++ b/crates/petrellatch/tests/refused_starts.rs
@@ -31,20 +31,20 @@
     command
 }
 
-fn refused(output: &Output, code: i32, part: &str) {
+fn assert_refused(output: &Output, code: i32, part: &str) {
     let message = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(code), "{message}");
     assert!(message.contains(part), "'{part}' is not in: {message}");
 }
 
 /// Returns why a resource that was just closed can't be opened.
-fn refusal<T>(mut open: impl FnMut() -> Result<T, ProgramError>) -> ProgramError {
-    let mut refusal = None;
+fn open_error<T>(mut open: impl FnMut() -> Result<T, ProgramError>) -> ProgramError {
+    let mut open_error = None;
     wait_for("the lock of the previous incarnation is released", || {
-        refusal = open().err();
-        !refusal.as_ref().is_some_and(is_in_use)
+        open_error = open().err();
+        !open_error.as_ref().is_some_and(is_in_use)
     });
-    refusal.expect("opening is refused")
+    open_error.expect("opening is refused")
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let output = control(folder.path(), &["--replica", &replica])
         .output()
         .expect("the program runs");
-    refused(
+    assert_refused(
         &output,
         12,
         &format!("can't open {address} for control messages"),
@@ -87,7 +87,7 @@
     let output = control(folder.path(), &arguments)
         .output()
         .expect("the program runs");
-    refused(&output, 14, "data");
+    assert_refused(&output, 14, "data");
 }
 
 #[test]
@@ -100,7 +100,7 @@
     drop(open_replica_folder(&settings, &key).expect("the folder is formatted"));
     fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("the file is written");
     let other = read_cluster_key(&cluster.folder.path().join("other")).expect("a valid key");
-    let error = refusal(|| open_replica_folder(&settings, &other));
+    let error = open_error(|| open_replica_folder(&settings, &other));
     assert_eq!(error.kind().answer().name, "invalid_settings");
     assert!(error.to_string().contains("belongs to cluster"), "{error}");
 }
@@ -112,7 +112,7 @@
     settings.data_folder = cluster.data_folder("formatted");
     let key = read_cluster_key(&settings.key_file).expect("a valid key");
     drop(open_replica_folder(&settings, &key).expect("the folder is formatted"));
-    let error = refusal(|| open_replica_folder(&settings, &key));
+    let error = open_error(|| open_replica_folder(&settings, &key));
     assert!(
         error.to_string().contains("already holds a replica"),
         "{error}"
@@ -137,12 +137,12 @@
         };
         metrics.lines().any(counted)
     });
-    let stranger = cluster.running["stranger"]
+    let foreign = cluster.running["stranger"]
         .ready
         .admin
         .expect("the address is open");
-    assert_eq!(read_admin(stranger, "/readyz").0, 503);
-    assert_eq!(read_admin(stranger, "/healthz").0, 200);
+    assert_eq!(read_admin(foreign, "/readyz").0, 503);
+    assert_eq!(read_admin(foreign, "/healthz").0, 200);
     assert!(cluster.status().members.is_empty());
 }
 
--- a/crates/petrellatch/tests/silent_replica.rs
+++ b/crates/petrellatch/tests/silent_replica.rs
@@ -21,12 +21,12 @@
         std::net::SocketAddr::V4(address) => address,
         std::net::SocketAddr::V6(address) => panic!("{address} is not an IPv4 address"),
     };
-    let silent = ReplicaAddress {
+    let silent_replica = ReplicaAddress {
         name: "frozen".to_string(),
         control: address,
         operator: address,
     };
-    cluster.replicas.insert(0, silent);
+    cluster.replicas.insert(0, silent_replica);
     let started = Instant::now();
     cluster.apply(&policy("after"));
     let elapsed = started.elapsed();
