--- a/crates/petrellatch/src/api/status.rs
+++ b/crates/petrellatch/src/api/status.rs
@@ -90,7 +90,7 @@
     pub name: String,
     /// The newest placement generation.
     pub generation: u64,
-    /// Whether the owners of all its buckets have settled this generation.
+    /// Whether all owners of this generation have settled it.
     pub settled: bool,
     /// Back ends with their shares.
     pub backends: Vec<BackendShare>,
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -42,7 +42,7 @@
 pub struct OperatorClient {
     agent: Agent,
     servers: Vec<String>,
-    /// The server for the next attempt: the last one that responded.
+    /// The server for the next attempt; it stays the same while it responds.
     current: usize,
     /// Until when servers that did not respond are skipped.
     silent_until: BTreeMap<usize, Instant>,
--- a/crates/petrellatch/src/runtime/control/replica_folder.rs
+++ b/crates/petrellatch/src/runtime/control/replica_folder.rs
@@ -74,6 +74,8 @@
 fn cluster_number(key: &ClusterKey) -> u64 {
     let mut sealed = Vec::new();
     key.seal(&Envelope::default(), &mut sealed);
-    let digest = sealed.first_chunk().expect("a tag stands in front");
+    let digest = sealed
+        .first_chunk()
+        .expect("a sealed message starts with its tag");
     u64::from_be_bytes(*digest)
 }
