--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to the operator API until the answer is known.
+//! Sends requests to the operator API, with retries until the outcome is known.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,26 +16,25 @@
 use crate::api::{ErrorBody, ErrorDocument, kind_by_name};
 use crate::error::ProgramError;
 
-/// The wait for the first answer when there are other servers to ask, so that
-/// a silent one costs little. It doubles with each answer that did not come.
-const FIRST_ATTEMPT_LIMIT: Duration = Duration::from_secs(1);
-/// The longest wait for one answer.
-const LAST_ATTEMPT_LIMIT: Duration = Duration::from_secs(5);
-/// A server that did not answer is not asked again for so long, unless there
-/// is no other.
-const SILENCE_MEMORY: Duration = Duration::from_secs(5);
-/// How many leader hints are followed in a row without a wait.
-const MAX_HINTS_IN_A_ROW: u32 = 3;
-
-/// A failure that a server reported, or that kept its answer away.
+/// Timeout of the first attempt if there are several servers, so that a silent
+/// one costs little time. It doubles with each attempt without a response.
+const FIRST_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum timeout of one attempt.
+const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a server that did not respond is skipped, unless there is no other.
+const SILENCE_TTL: Duration = Duration::from_secs(5);
+/// Maximum number of leader hints that are followed in a row without a wait.
+const MAX_CONSECUTIVE_HINTS: u32 = 3;
+
+/// An error that a server reported, or a failed attempt to reach it.
 #[derive(Clone, Debug)]
 pub struct Failure {
     /// The kind.
     pub kind: ErrorKind,
-    /// What the server said.
+    /// The error that the server reported.
     pub body: ErrorBody,
-    /// Whether the server said nothing.
-    pub is_silence: bool,
+    /// Whether the server did not respond.
+    pub got_no_response: bool,
 }
 
 /// A client of the control replicas.
@@ -43,17 +42,17 @@
 pub struct OperatorClient {
     agent: Agent,
     servers: Vec<String>,
-    /// The server that is asked next: the one that answered last.
+    /// The server for the next attempt; it stays the same while it responds.
     current: usize,
-    /// Until when servers that did not answer are left alone.
-    silent: BTreeMap<usize, Instant>,
-    attempt_limit: Duration,
+    /// Until when servers that did not respond are skipped.
+    silent_until: BTreeMap<usize, Instant>,
+    attempt_timeout: Duration,
     backoff: Backoff,
     deadline: Instant,
 }
 
 impl OperatorClient {
-    /// Makes a client of these servers.
+    /// Creates a client of these servers.
     pub fn new(servers: &[String], retries: u32, deadline: Instant) -> Self {
         let agent = Agent::config_builder()
             .http_status_as_error(false)
@@ -63,10 +62,10 @@
             agent,
             servers: servers.to_vec(),
             current: 0,
-            silent: BTreeMap::new(),
-            attempt_limit: match servers.len() {
-                1 => LAST_ATTEMPT_LIMIT,
-                _ => FIRST_ATTEMPT_LIMIT,
+            silent_until: BTreeMap::new(),
+            attempt_timeout: match servers.len() {
+                1 => MAX_ATTEMPT_TIMEOUT,
+                _ => FIRST_ATTEMPT_TIMEOUT,
             },
             backoff: Backoff::new(retries),
             deadline,
@@ -78,8 +77,8 @@
         self.request(path, None)
     }
 
-    /// Sends a document and reads the answer. The server must treat a resent
-    /// document as the same request.
+    /// Sends a document and reads the response. The server must treat a retry
+    /// of the same document as the same request.
     pub fn post<T: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -103,47 +102,47 @@
         let mut hints = 0;
         loop {
             let failure = match self.attempt(path, body) {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             if !failure.kind.answer().retryable {
                 return Err(failure);
             }
-            if failure.is_silence {
-                self.note_silence();
+            if failure.got_no_response {
+                self.note_silent_server();
             }
-            let hinted = hints < MAX_HINTS_IN_A_ROW && self.follow_hint(&failure);
+            let hinted = hints < MAX_CONSECUTIVE_HINTS && self.follow_hint(&failure);
             if hinted {
                 hints += 1;
                 continue;
             }
             hints = 0;
-            self.take_next_server();
+            self.select_next_server();
             self.wait_before_retry(failure)?;
         }
     }
 
-    fn note_silence(&mut self) {
-        let until = Instant::now() + SILENCE_MEMORY;
-        self.silent.insert(self.current, until);
-        self.attempt_limit = (self.attempt_limit * 2).min(LAST_ATTEMPT_LIMIT);
+    fn note_silent_server(&mut self) {
+        let until = Instant::now() + SILENCE_TTL;
+        self.silent_until.insert(self.current, until);
+        self.attempt_timeout = (self.attempt_timeout * 2).min(MAX_ATTEMPT_TIMEOUT);
     }
 
     fn is_silent(&self, server: usize) -> bool {
-        let until = self.silent.get(&server);
+        let until = self.silent_until.get(&server);
         until.is_some_and(|until| Instant::now() < *until)
     }
 
-    /// Takes the next server in turn, if possible one that is not silent.
-    fn take_next_server(&mut self) {
+    /// Selects the next server in order, preferably one that is not silent.
+    fn select_next_server(&mut self) {
         let count = self.servers.len();
         let mut others = (1..=count).map(|step| (self.current + step) % count);
         let next = others.find(|server| !self.is_silent(*server));
         self.current = next.unwrap_or((self.current + 1) % count);
     }
 
-    /// Makes the leader that the failure names the next server, unless it did
-    /// not answer just now.
+    /// Selects the leader that the failure names as the next server, unless that
+    /// server did not respond recently.
     fn follow_hint(&mut self, failure: &Failure) -> bool {
         let Some(leader) = &failure.body.leader else {
             return false;
@@ -164,13 +163,13 @@
     }
 
     fn wait_before_retry(&mut self, failure: Failure) -> Result<(), Failure> {
-        let wish = Duration::from_millis(failure.body.retry_after_ms.unwrap_or(0));
-        let Some(wait) = self.backoff.next_wait(wish) else {
+        let min_wait = Duration::from_millis(failure.body.retry_after_ms.unwrap_or(0));
+        let Some(wait) = self.backoff.next_wait(min_wait) else {
             return Err(failure);
         };
         if wait >= self.time_left() {
             let message = format!(
-                "no answer in time; the last failure: {}",
+                "no response before the deadline; the last failure: {}",
                 failure.body.message
             );
             return Err(Failure::new(ErrorKind::DeadlineExceeded, message));
@@ -182,7 +181,7 @@
     fn attempt<T: DeserializeOwned>(&self, path: &str, body: Option<&[u8]>) -> Result<T, Failure> {
         let server = &self.servers[self.current];
         let url = format!("http://{server}{path}");
-        let limit = Some(self.time_left().min(self.attempt_limit));
+        let limit = Some(self.time_left().min(self.attempt_timeout));
         let sent = match body {
             Some(body) => self
                 .agent
@@ -212,32 +211,32 @@
             .map_err(|error| Failure::new(ErrorKind::Internal, format!("{server}: {error}")));
     }
     let reported: ErrorDocument = serde_json::from_str(&text).map_err(|_| {
-        let message = format!("{server} answered {}", response.status());
+        let message = format!("{server} responded with {}", response.status());
         Failure::new(ErrorKind::Unavailable, message)
     })?;
     let kind = kind_by_name(&reported.error.kind).unwrap_or(ErrorKind::Internal);
     Err(Failure {
         kind,
         body: reported.error,
-        is_silence: false,
+        got_no_response: false,
     })
 }
 
 fn unreachable(server: &str, error: &ureq::Error) -> Failure {
     let mut failure = Failure::new(ErrorKind::Unavailable, format!("{server}: {error}"));
-    // Another server may answer at once; the backoff alone decides.
+    // Another server may respond at once, so only the backoff sets the wait.
     failure.body.retry_after_ms = None;
-    failure.is_silence = true;
+    failure.got_no_response = true;
     failure
 }
 
 impl Failure {
-    /// Makes a failure that this client found.
+    /// Creates a failure that this client detected.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Failure {
             kind,
             body: ErrorDocument::new(kind, message).error,
-            is_silence: false,
+            got_no_response: false,
         }
     }
 }
--- a/crates/petrellatch/src/http/event_server.rs
+++ b/crates/petrellatch/src/http/event_server.rs
@@ -1,6 +1,6 @@
-//! An HTTP/1.1 server without threads: it lives in the event loop of its
-//! process. Requests are parsed by `httparse`; a request is handed out when
-//! its body is complete, and answered at any later time.
+//! An HTTP/1.1 server without threads, which runs in the event loop of its
+//! process. A request is returned once its body is complete, and the response
+//! may follow at any later time. `httparse` parses the requests.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind as IoErrorKind, Read, Write};
@@ -14,28 +14,29 @@
 use super::message::{HttpRequest, HttpResponse};
 use crate::error::ProgramError;
 
-/// Most headers of a request.
+/// Maximum number of headers of a request.
 const MAX_HEADERS: usize = 32;
-/// Most bytes before the body.
-const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Bytes that are read in one go.
+/// Maximum size of the request line and headers, in bytes.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// A connection without a complete request is closed after this.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// A connection that has rested for so long gives way to a new one if there are too
-/// many: a caller in the middle of a call is not silent for a second.
-const GIVE_WAY_LIMIT: Duration = Duration::from_secs(1);
+/// A connection without activity is closed after this.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// A connection that was idle for this long may be closed for a new one when the
+/// connection limit is reached. A client that is sending a request is not silent
+/// for a second.
+const RECLAIM_IDLE_TIME: Duration = Duration::from_secs(1);
 /// A request that is not complete after this is refused.
-const REQUEST_LIMIT: Duration = Duration::from_secs(3);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A connection. Numbers are never used twice.
+/// Identifies a connection. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(usize);
 
-/// A request that waits for its answer.
+/// A request that awaits its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedRequest {
-    /// Where it came from.
+    /// The connection that it was received on.
     pub connection: ConnectionId,
     /// The request.
     pub request: HttpRequest,
@@ -57,9 +58,9 @@
     stream: TcpStream,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// A request was handed out and is not answered yet.
-    waits: bool,
-    close_after_answer: bool,
+    /// A request was returned to the event loop and has no response yet.
+    awaits_response: bool,
+    close_after_response: bool,
     active_at: Timestamp,
 }
 
@@ -74,7 +75,8 @@
 }
 
 impl EventServer {
-    /// Opens the address. Connections get tokens from `first_connection` on.
+    /// Binds the address. Connections get selector tokens from `first_connection`
+    /// on.
     pub fn open(
         address: SocketAddrV4,
         registry: &Registry,
@@ -102,12 +104,12 @@
         })
     }
 
-    /// The address that is served.
+    /// Returns the address that is served.
     pub fn local_address(&self) -> Option<std::net::SocketAddr> {
         self.listener.local_addr().ok()
     }
 
-    /// Does what an event asks for; returns the requests that are complete.
+    /// Handles a selector event. Returns the requests that are complete.
     pub fn handle_event(
         &mut self,
         now: Timestamp,
@@ -120,8 +122,8 @@
         self.serve(now, ConnectionId(token.0))
     }
 
-    /// Answers a request. A caller that has gone away is its own affair.
-    /// Returns a request that had been sent ahead, if there is one.
+    /// Responds to a request. Does nothing if the client has disconnected.
+    /// Returns the next pipelined request, if there is one.
     pub fn respond(
         &mut self,
         now: Timestamp,
@@ -129,34 +131,34 @@
         response: &HttpResponse,
     ) -> Option<ReceivedRequest> {
         let connection = self.connections.get_mut(&id)?;
-        connection.waits = false;
+        connection.awaits_response = false;
         connection.active_at = now;
         write_response(
             response,
-            connection.close_after_answer,
+            connection.close_after_response,
             &mut connection.output,
         );
         self.flush(id);
         self.parse_next(now, id)
     }
 
-    /// Closes connections that are idle or too slow.
+    /// Closes connections that are idle or too slow to send a request.
     pub fn expire(&mut self, now: Timestamp) {
-        let too_slow = |connection: &Connection| {
-            let rest = now.saturating_since(connection.active_at);
-            let partial = !connection.input.is_empty() && !connection.waits;
-            rest >= IDLE_LIMIT || (partial && rest >= REQUEST_LIMIT)
+        let has_expired = |connection: &Connection| {
+            let idle_time = now.saturating_since(connection.active_at);
+            let partial = !connection.input.is_empty() && !connection.awaits_response;
+            idle_time >= IDLE_TIMEOUT || (partial && idle_time >= REQUEST_TIMEOUT)
         };
         let expired: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, connection)| too_slow(connection))
+            .filter(|(_, connection)| has_expired(connection))
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
             if let Some(connection) = self.connections.get_mut(&id)
                 && !connection.input.is_empty()
-                && !connection.waits
+                && !connection.awaits_response
             {
                 let response = HttpResponse::error(ErrorKind::Invalid, "the request is cut short");
                 write_response(&response, true, &mut connection.output);
@@ -166,15 +168,16 @@
         }
     }
 
-    /// Closes the connection that has rested longest, if it may have gone silent
-    /// without a reset. Returns whether one was closed.
-    fn close_silent(&mut self, now: Timestamp) -> bool {
-        let resting = self.connections.iter().filter(|(_, connection)| {
-            let rest = now.saturating_since(connection.active_at);
-            !connection.waits && rest >= GIVE_WAY_LIMIT
+    /// Closes the connection that was idle longest, if it was idle for at least
+    /// [`RECLAIM_IDLE_TIME`]: its client may have vanished without a reset.
+    /// Returns whether one was closed.
+    fn close_longest_idle(&mut self, now: Timestamp) -> bool {
+        let reclaimable = self.connections.iter().filter(|(_, connection)| {
+            let idle_time = now.saturating_since(connection.active_at);
+            !connection.awaits_response && idle_time >= RECLAIM_IDLE_TIME
         });
-        let longest = resting.min_by_key(|(_, connection)| connection.active_at);
-        let Some(id) = longest.map(|(id, _)| *id) else {
+        let longest_idle = reclaimable.min_by_key(|(_, connection)| connection.active_at);
+        let Some(id) = longest_idle.map(|(id, _)| *id) else {
             return false;
         };
         self.connections.remove(&id);
@@ -184,7 +187,7 @@
     fn accept(&mut self, now: Timestamp, registry: &Registry) -> Vec<ReceivedRequest> {
         let mut received = Vec::new();
         while let Ok((mut stream, _)) = self.listener.accept() {
-            if self.connections.len() >= self.max_connections && !self.close_silent(now) {
+            if self.connections.len() >= self.max_connections && !self.close_longest_idle(now) {
                 continue;
             }
             let id = ConnectionId(self.next_connection);
@@ -200,8 +203,8 @@
                 stream,
                 input: Vec::new(),
                 output: Vec::new(),
-                waits: false,
-                close_after_answer: false,
+                awaits_response: false,
+                close_after_response: false,
                 active_at: now,
             };
             self.connections.insert(id, connection);
@@ -215,9 +218,9 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return Vec::new();
         };
-        let limit = self.max_body_bytes + MAX_HEAD_BYTES;
+        let limit = self.max_body_bytes + MAX_HEADER_BYTES;
         let is_open = read_available(connection, limit);
-        if !is_open && connection.waits {
+        if !is_open && connection.awaits_response {
             self.connections.remove(&id);
             return Vec::new();
         }
@@ -228,11 +231,11 @@
         request.into_iter().collect()
     }
 
-    /// Hands out the next request of a connection, if it is complete and the
-    /// one before is answered.
+    /// Returns the next request of a connection, if it is complete and the
+    /// previous one has its response.
     fn parse_next(&mut self, now: Timestamp, id: ConnectionId) -> Option<ReceivedRequest> {
         let connection = self.connections.get_mut(&id)?;
-        if connection.waits || connection.input.is_empty() {
+        if connection.awaits_response || connection.input.is_empty() {
             return None;
         }
         match parse(&connection.input, self.max_body_bytes) {
@@ -244,8 +247,8 @@
             } => {
                 connection.input.drain(..bytes);
                 connection.input.shrink_to(READ_BYTES);
-                connection.waits = true;
-                connection.close_after_answer = !keep_alive;
+                connection.awaits_response = true;
+                connection.close_after_response = !keep_alive;
                 connection.active_at = now;
                 Some(ReceivedRequest {
                     connection: id,
@@ -254,7 +257,7 @@
             }
             Parsed::Refused(response) => {
                 connection.input.clear();
-                connection.close_after_answer = true;
+                connection.close_after_response = true;
                 write_response(&response, true, &mut connection.output);
                 self.flush(id);
                 None
@@ -262,7 +265,7 @@
         }
     }
 
-    /// Sends what waits to be sent, and closes a connection that is done.
+    /// Sends pending output, and closes a connection that is done.
     fn flush(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -280,14 +283,14 @@
                 }
             }
         }
-        let done = connection.output.is_empty() && !connection.waits;
-        if broken || (done && connection.close_after_answer) {
+        let done = connection.output.is_empty() && !connection.awaits_response;
+        if broken || (done && connection.close_after_response) {
             self.connections.remove(&id);
         }
     }
 }
 
-/// Reads what has arrived. Returns whether the connection is still open.
+/// Reads the bytes that have arrived. Returns whether the connection is still open.
 fn read_available(connection: &mut Connection, limit: usize) -> bool {
     let mut buffer = [0; READ_BYTES];
     loop {
@@ -308,10 +311,10 @@
 
 fn parse(input: &[u8], max_body_bytes: usize) -> Parsed {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut head = httparse::Request::new(&mut headers);
-    let head_bytes = match head.parse(input) {
+    let mut header_block = httparse::Request::new(&mut headers);
+    let header_bytes = match header_block.parse(input) {
         Ok(httparse::Status::Complete(bytes)) => bytes,
-        Ok(httparse::Status::Partial) if input.len() <= MAX_HEAD_BYTES => {
+        Ok(httparse::Status::Partial) if input.len() <= MAX_HEADER_BYTES => {
             return Parsed::Incomplete;
         }
         Ok(httparse::Status::Partial) => {
@@ -320,7 +323,7 @@
         Err(error) => return refused(ErrorKind::Invalid, &error.to_string()),
     };
     let header = |name: &str| {
-        let found = head
+        let found = header_block
             .headers
             .iter()
             .find(|it| it.name.eq_ignore_ascii_case(name));
@@ -335,23 +338,23 @@
         Some(Ok(_)) => return refused(ErrorKind::TooLarge, "the body is too large"),
         Some(Err(_)) => return refused(ErrorKind::Invalid, "Content-Length is no number"),
     };
-    let end = head_bytes + length;
+    let end = header_bytes + length;
     if input.len() < end {
         return Parsed::Incomplete;
     }
     let connection = header("connection").unwrap_or("").to_ascii_lowercase();
-    let keep_alive = match head.version {
+    let keep_alive = match header_block.version {
         Some(1) => connection != "close",
         _ => connection == "keep-alive",
     };
-    let target = head.path.unwrap_or("/");
+    let target = header_block.path.unwrap_or("/");
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     Parsed::Request {
         request: HttpRequest {
-            method: head.method.unwrap_or("").to_string(),
+            method: header_block.method.unwrap_or("").to_string(),
             path: path.to_string(),
             query: query.to_string(),
-            body: input[head_bytes..end].to_vec(),
+            body: input[header_bytes..end].to_vec(),
         },
         bytes: end,
         keep_alive,
@@ -364,23 +367,23 @@
 
 fn write_response(response: &HttpResponse, close: bool, output: &mut Vec<u8>) {
     let status = response.status;
-    let mut head = format!(
+    let mut header_block = format!(
         "HTTP/1.1 {status} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n",
         reason_phrase(status),
         response.content_type,
         response.body.len()
     );
     if let Some(wait) = response.retry_after {
-        head.push_str(&format!("Retry-After: {}\r\n", wait.as_secs().max(1)));
+        header_block.push_str(&format!("Retry-After: {}\r\n", wait.as_secs().max(1)));
     }
     if let Some(location) = &response.location {
-        head.push_str(&format!("Location: {location}\r\n"));
+        header_block.push_str(&format!("Location: {location}\r\n"));
     }
     if close {
-        head.push_str("Connection: close\r\n");
+        header_block.push_str("Connection: close\r\n");
     }
-    head.push_str("\r\n");
-    output.extend_from_slice(head.as_bytes());
+    header_block.push_str("\r\n");
+    output.extend_from_slice(header_block.as_bytes());
     output.extend_from_slice(&response.body);
 }
 
--- a/crates/petrellatch/src/http/server.rs
+++ b/crates/petrellatch/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The server: one thread takes requests, a few answer them.
+//! A threaded HTTP server: one thread accepts requests, workers handle them.
 
 use std::io::Read;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener};
@@ -14,49 +14,50 @@
 use super::message::{HttpRequest, HttpResponse};
 use crate::error::ProgramError;
 
-/// Threads that answer refused requests with large bodies.
-const REFUSERS: usize = 4;
-/// A body of at most so many bytes has been read when its request arrives.
+/// Number of threads that respond to refused requests with large bodies.
+const REFUSAL_THREADS: usize = 4;
+/// The server library has already read a body of at most this size when it
+/// passes on the request.
 const READ_AHEAD_BYTES: usize = 1_024;
-/// The longest that a closing server waits for its last answers to leave.
-const LAST_ANSWERS_LIMIT: Duration = Duration::from_secs(1);
-/// Between two looks at them.
-const LAST_ANSWERS_POLL: Duration = Duration::from_millis(2);
+/// How long a closing server waits until its last responses are sent.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between checks for responses that are still to be sent.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Answers requests.
+/// Handles requests.
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Answers one request. May be called by several threads at once.
+    /// Handles one request. May be called by several threads at once.
     fn handle(&self, request: &HttpRequest) -> HttpResponse;
 }
 
-/// Bounds of a server.
+/// Threads and request limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Threads that answer.
+    /// Number of threads that handle requests.
     pub workers: usize,
-    /// Requests worked on or waiting at once; more are refused.
+    /// Maximum number of requests that are handled or wait; more are refused.
     pub requests: usize,
-    /// The largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
 }
 
-/// A running server. Dropping it closes the address, and gives the answers
-/// that are on their way a short time to leave.
+/// A running server. Dropping it closes the address, and waits a short time
+/// until pending responses are sent.
 pub struct HttpServer {
     address: SocketAddrV4,
     server: Arc<Server>,
     requests: Arc<AtomicUsize>,
-    accepting: Option<JoinHandle<()>>,
+    accept_thread: Option<JoinHandle<()>>,
 }
 
-/// A request that is refused, with its answer.
+/// A request that is refused, with its response.
 struct Refusal {
     request: Request,
     response: HttpResponse,
 }
 
-/// What the threads of one server share.
-struct Shared<H> {
+/// State shared by the threads of one server.
+struct ServerState<H> {
     handler: Arc<H>,
     limits: HttpLimits,
     requests: Arc<AtomicUsize>,
@@ -64,7 +65,7 @@
 }
 
 impl HttpServer {
-    /// Starts to serve.
+    /// Starts the server.
     pub fn start<H: HttpHandler>(
         listener: TcpListener,
         limits: HttpLimits,
@@ -80,27 +81,27 @@
             })?;
         let (sender, receiver) = channel();
         let requests = Arc::new(AtomicUsize::new(0));
-        let shared = Arc::new(Shared {
+        let state = Arc::new(ServerState {
             handler,
             limits,
             requests: Arc::clone(&requests),
             queue: Mutex::new(receiver),
         });
         for _ in 0..limits.workers {
-            let shared = Arc::clone(&shared);
-            spawn("http-worker", move || shared.work())?;
+            let state = Arc::clone(&state);
+            spawn("http-worker", move || state.run_worker())?;
         }
         let server = Arc::new(server);
         let accepted = Arc::clone(&server);
-        let refusals = start_refusers()?;
-        let accepting = spawn("http-server", move || {
-            shared.accept(&accepted, &sender, &refusals);
+        let refusals = start_refusal_threads()?;
+        let accept_thread = spawn("http-server", move || {
+            state.accept(&accepted, &sender, &refusals);
         })?;
         Ok(HttpServer {
             address,
             server,
             requests,
-            accepting: Some(accepting),
+            accept_thread: Some(accept_thread),
         })
     }
 
@@ -113,18 +114,18 @@
 impl Drop for HttpServer {
     fn drop(&mut self) {
         self.server.unblock();
-        if let Some(accepting) = self.accepting.take() {
-            let _ = accepting.join();
+        if let Some(accept_thread) = self.accept_thread.take() {
+            let _ = accept_thread.join();
         }
-        let deadline = Instant::now() + LAST_ANSWERS_LIMIT;
+        let deadline = Instant::now() + CLOSE_TIMEOUT;
         while self.requests.load(Ordering::Acquire) > 0 && Instant::now() < deadline {
-            thread::sleep(LAST_ANSWERS_POLL);
+            thread::sleep(CLOSE_POLL_INTERVAL);
         }
     }
 }
 
-impl<H: HttpHandler> Shared<H> {
-    /// Takes requests and refuses those above the bounds.
+impl<H: HttpHandler> ServerState<H> {
+    /// Accepts requests and refuses those above the limits.
     fn accept(&self, server: &Server, queue: &Sender<Request>, refusals: &Sender<Refusal>) {
         for request in server.incoming_requests() {
             let length = request.body_length().unwrap_or(0);
@@ -145,7 +146,7 @@
         }
     }
 
-    fn work(&self) {
+    fn run_worker(&self) {
         loop {
             let next = self
                 .queue
@@ -157,18 +158,18 @@
                 Ok(request) => self.handler.handle(&request),
                 Err(refusal) => refusal,
             };
-            answer(request, &response);
+            send_response(request, &response);
             self.requests.fetch_sub(1, Ordering::AcqRel);
         }
     }
 }
 
-/// Starts the threads that answer refused requests with large bodies. They end
-/// when the returned end is dropped.
-fn start_refusers() -> Result<Sender<Refusal>, ProgramError> {
+/// Starts the threads that respond to refused requests with large bodies. They
+/// end when the returned sender is dropped.
+fn start_refusal_threads() -> Result<Sender<Refusal>, ProgramError> {
     let (sender, receiver) = channel::<Refusal>();
     let receiver = Arc::new(Mutex::new(receiver));
-    for _ in 0..REFUSERS {
+    for _ in 0..REFUSAL_THREADS {
         let receiver = Arc::clone(&receiver);
         spawn("http-refuser", move || {
             loop {
@@ -177,22 +178,22 @@
                     .unwrap_or_else(PoisonError::into_inner)
                     .recv();
                 let Ok(refusal) = next else { return };
-                answer(refusal.request, &refusal.response);
+                send_response(refusal.request, &refusal.response);
             }
         })?;
     }
     Ok(sender)
 }
 
-/// Refuses a request. Answering one reads what is left of its body, for which
-/// a slow client can take any time, so that is left to other threads. Small
-/// bodies have been read before.
+/// Refuses a request. To respond, the rest of the body has to be read, and a slow
+/// client can delay that without limit, so other threads do it. Small bodies
+/// are read already.
 fn refuse(request: Request, response: HttpResponse, refusals: &Sender<Refusal>) {
     let is_read = request
         .body_length()
         .is_none_or(|length| length <= READ_AHEAD_BYTES);
     if is_read {
-        answer(request, &response);
+        send_response(request, &response);
     } else {
         let _ = refusals.send(Refusal { request, response });
     }
@@ -224,23 +225,23 @@
     HttpResponse::error(ErrorKind::TooLarge, message)
 }
 
-/// Sends a response. A client that has gone away is its own affair.
-fn answer(request: Request, response: &HttpResponse) {
-    let mut reply = Response::from_data(response.body.clone())
+/// Sends a response. A failure to send is ignored: the client has disconnected.
+fn send_response(request: Request, response: &HttpResponse) {
+    let mut http_response = Response::from_data(response.body.clone())
         .with_status_code(response.status)
         .with_header(header("Content-Type", response.content_type));
     if let Some(wait) = response.retry_after {
         let seconds = wait.as_secs().max(1);
-        reply = reply.with_header(header("Retry-After", &seconds.to_string()));
+        http_response = http_response.with_header(header("Retry-After", &seconds.to_string()));
     }
-    let _ = request.respond(reply);
+    let _ = request.respond(http_response);
 }
 
 fn header(name: &str, value: &str) -> Header {
     Header::from_bytes(name, value).expect("names and values here are printable ASCII")
 }
 
-/// Opens a TCP address for HTTP.
+/// Binds a TCP address for HTTP.
 pub fn open_listener(
     address: SocketAddrV4,
     purpose: &'static str,
@@ -252,7 +253,7 @@
     })
 }
 
-/// Returns the address that a listener was opened on.
+/// Returns the address that a listener is bound to.
 pub fn local_address(listener: &TcpListener) -> Option<SocketAddrV4> {
     match listener.local_addr() {
         Ok(SocketAddr::V4(address)) => Some(address),
--- a/crates/petrellatch/src/runtime/agent/backend_connection.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connection.rs
@@ -9,11 +9,11 @@
 use petrellatch_core::agent_node::BackendEvent;
 use socket2::SockRef;
 
-/// Most bytes read from one connection before others have their turn, and
-/// before the flow may ask to pause.
+/// Maximum number of bytes read from one connection before the other
+/// connections are served and before the flow can pause reading.
 pub(super) const READ_BUDGET_BYTES: usize = 16 * 1024;
 
-/// A connection with what is to be written to it.
+/// A connection and the bytes that are still to be written to it.
 #[derive(Debug)]
 pub(super) struct BackendConnection {
     stream: TcpStream,
@@ -29,21 +29,21 @@
 enum Phase {
     Connecting,
     Open,
-    /// It failed, and the flow was told.
-    Gone,
+    /// It failed, and the flow was notified.
+    Failed,
 }
 
-/// Whether there may be more to move at once.
+/// Whether a connection can make further progress without a new event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// The connection waits for its next event.
-    Waits,
-    /// The budget was spent; serve it again.
+    /// The connection waits for its next selector event.
+    Blocked,
+    /// The read budget was spent; serve the connection again.
     More,
 }
 
 impl BackendConnection {
-    /// Begins to open a connection.
+    /// Starts to open a connection.
     pub(super) fn open(
         registry: &Registry,
         token: Token,
@@ -67,53 +67,53 @@
         })
     }
 
-    /// Takes bytes to write, and writes what the back end takes at once.
-    pub(super) fn write(&mut self, bytes: Vec<u8>, tell: &mut impl FnMut(BackendEvent)) {
+    /// Replaces the pending bytes, and writes as many as the socket accepts now.
+    pub(super) fn write(&mut self, bytes: Vec<u8>, notify: &mut impl FnMut(BackendEvent)) {
         self.pending = bytes;
         self.written = 0;
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
     }
 
-    /// Whether it failed and the flow was told.
-    pub(super) fn is_gone(&self) -> bool {
-        self.phase == Phase::Gone
+    /// Returns whether the connection failed and the flow was notified.
+    pub(super) fn has_failed(&self) -> bool {
+        self.phase == Phase::Failed
     }
 
-    /// Shuts down the direction to the back end after the last write.
-    pub(super) fn finish(&mut self, tell: &mut impl FnMut(BackendEvent)) {
+    /// Shuts down the direction to the back end once all pending bytes are written.
+    pub(super) fn finish(&mut self, notify: &mut impl FnMut(BackendEvent)) {
         self.finish = true;
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
     }
 
-    /// Stops or resumes reading.
+    /// Pauses or resumes reading.
     pub(super) fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
 
-    /// Moves what can be moved now, and tells what happened.
+    /// Reads and writes as much as is possible now, and notifies the flow.
     pub(super) fn serve(
         &mut self,
         buffer: &mut [u8],
-        tell: &mut impl FnMut(BackendEvent),
+        notify: &mut impl FnMut(BackendEvent),
     ) -> Progress {
-        if self.phase == Phase::Connecting && !self.check_connected(tell) {
-            return Progress::Waits;
+        if self.phase == Phase::Connecting && !self.check_connected(notify) {
+            return Progress::Blocked;
         }
         if self.phase == Phase::Open {
-            self.write_pending(tell);
+            self.write_pending(notify);
         }
         if self.phase == Phase::Open {
-            return self.read(buffer, tell);
+            return self.read(buffer, notify);
         }
-        Progress::Waits
+        Progress::Blocked
     }
 
-    /// Closes the connection. Unless the back end closed its direction before,
-    /// it is reset, so that the back end learns that its answer is not wanted.
+    /// Closes the connection. Unless the back end has closed its direction,
+    /// the connection is reset, so that the back end can abandon its response.
     pub(super) fn close(mut self, registry: &Registry) {
         let _ = registry.deregister(&mut self.stream);
         if !self.read_closed {
@@ -121,36 +121,36 @@
         }
     }
 
-    fn check_connected(&mut self, tell: &mut impl FnMut(BackendEvent)) -> bool {
+    fn check_connected(&mut self, notify: &mut impl FnMut(BackendEvent)) -> bool {
         if let Ok(Some(_)) | Err(_) = self.stream.take_error() {
-            self.phase = Phase::Gone;
-            tell(BackendEvent::ConnectFailed);
+            self.phase = Phase::Failed;
+            notify(BackendEvent::ConnectFailed);
             return false;
         }
         match self.stream.peer_addr() {
             Ok(_) => {
                 self.phase = Phase::Open;
-                tell(BackendEvent::Connected);
+                notify(BackendEvent::Connected);
                 true
             }
             Err(error) if error.kind() == io::ErrorKind::NotConnected => false,
             Err(_) => {
-                self.phase = Phase::Gone;
-                tell(BackendEvent::ConnectFailed);
+                self.phase = Phase::Failed;
+                notify(BackendEvent::ConnectFailed);
                 false
             }
         }
     }
 
-    fn write_pending(&mut self, tell: &mut impl FnMut(BackendEvent)) {
+    fn write_pending(&mut self, notify: &mut impl FnMut(BackendEvent)) {
         let wrote = !self.pending.is_empty();
         while self.written < self.pending.len() {
             match self.stream.write(&self.pending[self.written..]) {
-                Ok(0) => return self.fail(tell),
+                Ok(0) => return self.fail(notify),
                 Ok(count) => self.written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return self.fail(tell),
+                Err(_) => return self.fail(notify),
             }
         }
         self.pending.clear();
@@ -160,11 +160,11 @@
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         if wrote {
-            tell(BackendEvent::Writable);
+            notify(BackendEvent::Writable);
         }
     }
 
-    fn read(&mut self, buffer: &mut [u8], tell: &mut impl FnMut(BackendEvent)) -> Progress {
+    fn read(&mut self, buffer: &mut [u8], notify: &mut impl FnMut(BackendEvent)) -> Progress {
         let mut total = 0;
         while !self.paused && !self.read_closed {
             if total >= READ_BUDGET_BYTES {
@@ -173,25 +173,25 @@
             match self.stream.read(buffer) {
                 Ok(0) => {
                     self.read_closed = true;
-                    tell(BackendEvent::Finished);
+                    notify(BackendEvent::Finished);
                 }
                 Ok(count) => {
                     total += count;
-                    tell(BackendEvent::Data(buffer[..count].to_vec()));
+                    notify(BackendEvent::Data(buffer[..count].to_vec()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.fail(tell),
+                Err(_) => self.fail(notify),
             }
-            if self.phase == Phase::Gone {
+            if self.phase == Phase::Failed {
                 break;
             }
         }
-        Progress::Waits
+        Progress::Blocked
     }
 
-    fn fail(&mut self, tell: &mut impl FnMut(BackendEvent)) {
-        self.phase = Phase::Gone;
-        tell(BackendEvent::Reset);
+    fn fail(&mut self, notify: &mut impl FnMut(BackendEvent)) {
+        self.phase = Phase::Failed;
+        notify(BackendEvent::Reset);
     }
 }
--- a/crates/petrellatch/src/runtime/agent/mod.rs
+++ b/crates/petrellatch/src/runtime/agent/mod.rs
@@ -23,9 +23,11 @@
 use super::clock::ProcessClock;
 use super::data_folder::DataFolder;
 use super::datagram_socket::{Batch, DatagramSocket};
-use super::process::{DaemonSockets, Process, link_settings, node_identity, open_poll, waited};
+use super::process::{
+    DaemonSockets, Process, check_wait_result, link_settings, node_identity, open_poll,
+};
 use super::sealed_socket::SealedSocket;
-use super::stop_signal::StopWish;
+use super::stop_signal::StopRequest;
 use super::view_writer::ViewWriter;
 use crate::error::ProgramError;
 
@@ -33,12 +35,12 @@
 const DATA: Token = Token(1);
 const STOP: Token = Token(2);
 const WAKE: Token = Token(3);
-/// Tokens from here on belong to connections to back ends.
+/// First token of the connections to back ends.
 const FIRST_BACKEND_TOKEN: usize = 16;
 
-/// Most events taken in one go.
+/// Maximum number of selector events per iteration.
 const EVENTS: usize = 1_024;
-/// Between two updates of the metrics, and the longest sleep.
+/// Interval between updates of the metrics; also the longest sleep.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs an agent until it has stopped.
@@ -71,7 +73,7 @@
         buffer: Vec::new(),
         backends: BackendConnections::new(&poll, FIRST_BACKEND_TOKEN)?,
         prober,
-        probed: Vec::new(),
+        probe_targets: Vec::new(),
         views: ViewWriter::start(folder, process.logger.clone())?,
         metrics: AgentMetrics::new(admin.registry()),
         admin,
@@ -86,7 +88,7 @@
 
 fn start_prober(path: String, poll: &Poll) -> Result<HealthProber, ProgramError> {
     let waker = Waker::new(poll.registry(), WAKE).map_err(|source| ProgramError::System {
-        action: "watch for answers of back ends",
+        action: "create the waker of the health prober",
         source,
     })?;
     HealthProber::start(path, Arc::new(waker))
@@ -99,20 +101,20 @@
     control: SealedSocket,
     data: DatagramSocket,
     key: ClusterKey,
-    /// The sealed datagram that is being sent.
+    /// Scratch space for the sealed datagram that is sent.
     buffer: Vec<u8>,
     backends: BackendConnections,
     prober: Option<HealthProber>,
-    /// The back ends that the prober asks.
-    probed: Vec<ProbedBackend>,
+    /// The back ends that the prober probes.
+    probe_targets: Vec<ProbedBackend>,
     views: ViewWriter,
     admin: Arc<AdminState>,
     metrics: AgentMetrics,
-    /// Data datagrams that were dropped because of their seal or content.
+    /// Number of data datagrams dropped because their seal or content was wrong.
     rejected: u64,
     reported_at: Timestamp,
     reported_rejected: u64,
-    /// When a planned stop ends even if flows are still open.
+    /// When a graceful stop ends even if flows are still open.
     stop_deadline: Option<Timestamp>,
 }
 
@@ -129,11 +131,11 @@
                 true => Duration::ZERO,
                 false => self.clock.until(self.node.poll_timeout(), REPORT_INTERVAL),
             };
-            waited(poll.poll(&mut events, Some(wait)))?;
+            check_wait_result(poll.poll(&mut events, Some(wait)))?;
             match self.process.stop.check() {
-                StopWish::None => {}
-                StopWish::Planned => self.begin_stop(),
-                StopWish::AtOnce => break,
+                StopRequest::None => {}
+                StopRequest::Graceful => self.begin_stop(),
+                StopRequest::Immediate => break,
             }
             for event in &events {
                 self.backends.note_ready(event);
@@ -141,7 +143,7 @@
             more = self.receive();
             self.serve_backends();
             self.take_drain_reports();
-            self.work();
+            self.run_node();
             more |= self.backends.has_ready();
         }
         self.process.log(EventKind::ProcessStopped, "agent");
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Takes one batch from each socket. Returns whether there may be more.
+    /// Receives one batch from each socket. Returns whether more datagrams may be waiting.
     fn receive(&mut self) -> bool {
         let now = self.clock.now();
         let AgentLoop {
@@ -184,26 +186,26 @@
         control_batch == Batch::Full || data_batch == Batch::Full
     }
 
-    /// Moves bytes of connections to back ends.
+    /// Reads from and writes to the connections that are ready.
     fn serve_backends(&mut self) {
         let now = self.clock.now();
         let AgentLoop { node, backends, .. } = self;
         backends.serve(|flow, event| node.handle_backend(now, flow, event));
     }
 
-    fn work(&mut self) {
+    fn run_node(&mut self) {
         let now = self.clock.now();
         if self.node.poll_timeout().is_some_and(|due| due <= now) {
             self.node.handle_timeout(now);
         }
         while let Some(output) = self.node.poll_output() {
-            self.carry_out(now, output);
+            self.process_output(now, output);
         }
         self.admin.set_ready(self.node.link().is_current());
         if now.saturating_since(self.reported_at) >= REPORT_INTERVAL {
             self.reported_at = now;
             self.report();
-            self.choose_probed();
+            self.update_probe_targets();
         }
     }
 
@@ -215,8 +217,8 @@
         }
     }
 
-    /// Lets the prober ask the back ends that are beside this agent now.
-    fn choose_probed(&mut self) {
+    /// Passes the back ends that this agent serves now to the prober.
+    fn update_probe_targets(&mut self) {
         let Some(prober) = &self.prober else {
             return;
         };
@@ -228,15 +230,15 @@
                 server: record.server.into(),
             })
             .collect();
-        if present != self.probed {
+        if present != self.probe_targets {
             prober.set_targets(present.clone());
-            self.probed = present;
+            self.probe_targets = present;
         }
     }
 
-    fn carry_out(&mut self, now: Timestamp, output: AgentOutput) {
+    fn process_output(&mut self, now: Timestamp, output: AgentOutput) {
         let AgentLoop { node, backends, .. } = self;
-        let tell = |flow, event| node.handle_backend(now, flow, event);
+        let notify = |flow, event| node.handle_backend(now, flow, event);
         match output {
             AgentOutput::Send { to, envelope } => self.control.send(to, &envelope),
             AgentOutput::Forward { to, datagram } => {
@@ -246,9 +248,9 @@
             AgentOutput::Packet(packet) => {
                 self.data.send(self.process.settings.fabric, &packet);
             }
-            AgentOutput::Connect { flow, server } => backends.connect(flow, server, tell),
-            AgentOutput::Write { flow, bytes } => backends.write(flow, bytes, tell),
-            AgentOutput::Finish { flow } => backends.finish(flow, tell),
+            AgentOutput::Connect { flow, server } => backends.connect(flow, server, notify),
+            AgentOutput::Write { flow, bytes } => backends.write(flow, bytes, notify),
+            AgentOutput::Finish { flow } => backends.finish(flow, notify),
             AgentOutput::Abort { flow } => backends.abort(flow),
             AgentOutput::PauseReading { flow } => backends.pause_reading(flow),
             AgentOutput::ResumeReading { flow } => backends.resume_reading(flow),
--- a/crates/petrellatch/src/runtime/control/documents.rs
+++ b/crates/petrellatch/src/runtime/control/documents.rs
@@ -1,4 +1,4 @@
-//! Turns what the control node answers into the documents of the API.
+//! Converts the control node's responses into the documents of the API.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -17,30 +17,30 @@
 use crate::http::HttpResponse;
 use crate::settings::ReplicaSettings;
 
-/// Most names in the list of lagging members.
+/// Maximum number of names in the list of lagging members.
 const MAX_LISTED_NAMES: usize = 32;
 
-/// The document that answers a request that was carried out.
+/// The document in the response to a request that succeeded.
 pub(super) enum OperatorDocument {
     /// The change was accepted.
     Changed(api::ChangeAccepted),
-    /// The configuration, still as records.
+    /// The configuration, not converted from its records yet.
     Configuration(Configuration),
     /// The status.
     Status(api::StatusDocument),
-    /// How far a version has come.
+    /// Progress of a version.
     Progress(api::ProgressDocument),
-    /// What each back end of a service receives.
+    /// What a policy decides for each back end of a service.
     Explanation(api::PolicyExplanation),
-    /// The policy is sound.
+    /// The policy is valid.
     PolicyAccepted,
-    /// The change of the replicas has begun.
+    /// The change of the replica set has started.
     ReplicasChanging,
 }
 
 impl OperatorDocument {
-    /// Makes the response. This is done by the thread that waits, so that a
-    /// large document does not hold up the event loop.
+    /// Creates the HTTP response. The thread that waits for the response calls
+    /// this, so that a large document does not block the event loop.
     pub(super) fn into_response(self) -> HttpResponse {
         match self {
             OperatorDocument::Changed(accepted) => HttpResponse::document(&accepted),
@@ -60,40 +60,40 @@
     }
 }
 
-/// Which document a status is made into.
+/// The document that a status is converted into.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Shape {
-    /// All of it.
-    Whole,
-    /// How far one version has come.
+pub(super) enum StatusDocumentKind {
+    /// The full status.
+    Full,
+    /// The progress of one version.
     Progress {
-        /// The version; none for the newest.
+        /// The version; `None` for the newest.
         version: Option<u64>,
     },
 }
 
 /// Names and operator addresses of the control replicas.
-pub(super) struct Directory {
+pub(super) struct ReplicaDirectory {
     replicas: BTreeMap<NodeId, (String, Option<SocketAddrV4>)>,
 }
 
-impl Directory {
-    /// Takes them from the settings.
+impl ReplicaDirectory {
+    /// Reads them from the settings.
     pub(super) fn new(replicas: &[ReplicaSettings]) -> Self {
         let entry = |replica: &ReplicaSettings| {
             let node = NodeId::from_name(&replica.name);
             (node, (replica.name.clone(), replica.operator))
         };
-        Directory {
+        ReplicaDirectory {
             replicas: replicas.iter().map(entry).collect(),
         }
     }
 
-    /// Makes the document for an answer.
+    /// Creates the document for a response of the control node.
     pub(super) fn describe(
         &self,
         response: OperatorResponse,
-        shape: Shape,
+        status_kind: StatusDocumentKind,
         node: &ControlNode,
     ) -> OperatorDocument {
         let view = node.state().view();
@@ -105,9 +105,11 @@
             OperatorResponse::Configuration(configuration) => {
                 OperatorDocument::Configuration(configuration)
             }
-            OperatorResponse::Status(status) => match shape {
-                Shape::Whole => OperatorDocument::Status(self.status_document(status, node)),
-                Shape::Progress { version } => {
+            OperatorResponse::Status(status) => match status_kind {
+                StatusDocumentKind::Full => {
+                    OperatorDocument::Status(self.status_document(status, node))
+                }
+                StatusDocumentKind::Progress { version } => {
                     OperatorDocument::Progress(progress_document(&status, version))
                 }
             },
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Makes the body for an error.
+    /// Creates the error body for an error of the control node.
     pub(super) fn describe_error(&self, error: OperatorError) -> api::ErrorDocument {
         let mut document = api::ErrorDocument::new(error.kind, error.message);
         let leader = error.leader.and_then(|node| self.replicas.get(&node));
@@ -192,8 +194,8 @@
 
 fn progress_document(status: &ClusterStatus, version: Option<u64>) -> api::ProgressDocument {
     let version = version.unwrap_or(status.version);
-    let lacks = |member: &&MemberStatus| member.version.is_none_or(|it| it < version);
-    let lagging = || status.members.iter().filter(lacks);
+    let is_behind = |member: &&MemberStatus| member.version.is_none_or(|it| it < version);
+    let lagging = || status.members.iter().filter(is_behind);
     api::ProgressDocument {
         version,
         newest: status.version,
--- a/crates/petrellatch/src/runtime/control/operator_api.rs
+++ b/crates/petrellatch/src/runtime/control/operator_api.rs
@@ -12,53 +12,54 @@
 use petrellatch_core::policy::PolicySource;
 use petrellatch_proto::command::OperatorChange;
 
-use super::documents::{OperatorDocument, Shape};
+use super::documents::{OperatorDocument, StatusDocumentKind};
 use crate::api::{
     ChangeRequest, Endpoint, ErrorDocument, PolicyCheckRequest, ReplicaAction, ReplicaRequest,
 };
 use crate::http::{HttpHandler, HttpRequest, HttpResponse};
 
-/// Added to the time after which the event loop answers by itself.
-const ANSWER_MARGIN: Duration = Duration::from_secs(1);
+/// Added to the request timeout of the control node, so that its own error
+/// response arrives first.
+const RESPONSE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Where the answer to one request goes.
-pub(super) type AnswerSender = SyncSender<Answer>;
+/// Channel for the response to one request.
+pub(super) type ResponseSender = SyncSender<LoopResponse>;
 
-/// What the event loop is asked.
+/// A request to the event loop.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum LoopRequest {
     /// A request for the control node.
-    Node(OperatorRequest, Shape),
-    /// Adds the replica of this node that has announced itself.
+    Node(OperatorRequest, StatusDocumentKind),
+    /// Adds the replica that this node has announced.
     AddAnnounced(NodeId),
 }
 
-/// A request on its way to the event loop.
+/// A request that is sent to the event loop.
 pub(super) struct PendingRequest {
     /// The request.
     pub(super) request: LoopRequest,
-    /// Where its answer goes.
-    pub(super) answer: AnswerSender,
+    /// Where its response goes.
+    pub(super) response_sender: ResponseSender,
 }
 
-/// The answer of the event loop.
-pub(super) enum Answer {
-    /// The request was carried out.
-    Done(OperatorDocument),
-    /// It was not, or its outcome is not known.
-    Refused(ErrorDocument),
+/// The response of the event loop.
+pub(super) enum LoopResponse {
+    /// The request succeeded.
+    Success(OperatorDocument),
+    /// The request failed, or its outcome is unknown.
+    Failure(ErrorDocument),
 }
 
-/// Turns HTTP requests into requests to the event loop, and waits there for
-/// the answers.
+/// Converts HTTP requests into requests to the event loop, and waits for the
+/// responses.
 pub(super) struct OperatorApi {
     requests: Sender<PendingRequest>,
     waker: Arc<Waker>,
-    patience: Duration,
+    response_timeout: Duration,
 }
 
 impl OperatorApi {
-    /// Makes the API in front of an event loop that gives up requests after
+    /// Creates the API of an event loop whose node fails requests after
     /// `request_timeout`.
     pub(super) fn new(
         requests: Sender<PendingRequest>,
@@ -68,24 +69,27 @@
         OperatorApi {
             requests,
             waker,
-            patience: request_timeout + ANSWER_MARGIN,
+            response_timeout: request_timeout + RESPONSE_MARGIN,
         }
     }
 
-    fn ask(&self, request: LoopRequest) -> HttpResponse {
-        let (answer, answers) = sync_channel(1);
-        let pending = PendingRequest { request, answer };
+    fn submit(&self, request: LoopRequest) -> HttpResponse {
+        let (response_sender, responses) = sync_channel(1);
+        let pending = PendingRequest {
+            request,
+            response_sender,
+        };
         if self.requests.send(pending).is_err() {
             return stopped();
         }
         let _ = self.waker.wake();
-        self.wait(&answers)
+        self.wait(&responses)
     }
 
-    fn wait(&self, answers: &Receiver<Answer>) -> HttpResponse {
-        match answers.recv_timeout(self.patience) {
-            Ok(Answer::Done(document)) => document.into_response(),
-            Ok(Answer::Refused(document)) => HttpResponse::refusal(&document),
+    fn wait(&self, responses: &Receiver<LoopResponse>) -> HttpResponse {
+        match responses.recv_timeout(self.response_timeout) {
+            Ok(LoopResponse::Success(document)) => document.into_response(),
+            Ok(LoopResponse::Failure(document)) => HttpResponse::refusal(&document),
             Err(_) => stopped(),
         }
     }
@@ -94,7 +98,7 @@
 impl HttpHandler for OperatorApi {
     fn handle(&self, request: &HttpRequest) -> HttpResponse {
         match read_request(request) {
-            Ok(request) => self.ask(request),
+            Ok(request) => self.submit(request),
             Err(refusal) => refusal,
         }
     }
@@ -106,7 +110,7 @@
         let message = format!("there is no {method} {path}; see docs/API.md");
         return Err(HttpResponse::error(ErrorKind::NotFound, message));
     };
-    let node = |request| Ok(LoopRequest::Node(request, Shape::Whole));
+    let node = |request| Ok(LoopRequest::Node(request, StatusDocumentKind::Full));
     match endpoint {
         Endpoint::Change => {
             let change: ChangeRequest = request.json()?;
@@ -151,7 +155,10 @@
     let wait = OperatorRequest::Wait {
         version: version.unwrap_or(0),
     };
-    Ok(LoopRequest::Node(wait, Shape::Progress { version }))
+    Ok(LoopRequest::Node(
+        wait,
+        StatusDocumentKind::Progress { version },
+    ))
 }
 
 fn read_replica_change(request: &ReplicaRequest) -> Result<LoopRequest, HttpResponse> {
@@ -170,7 +177,7 @@
         }
     };
     let request = OperatorRequest::ChangeReplicas(change);
-    Ok(LoopRequest::Node(request, Shape::Whole))
+    Ok(LoopRequest::Node(request, StatusDocumentKind::Full))
 }
 
 fn invalid(message: &str) -> HttpResponse {
