--- a/crates/petrellatch-core/src/admission/load_table.rs
+++ b/crates/petrellatch-core/src/admission/load_table.rs
@@ -9,7 +9,7 @@
 
 use crate::Timestamp;
 use crate::identity::BackendId;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 use super::BackendUse;
 
@@ -29,7 +29,7 @@
     /// The back end.
     pub backend: BackendId,
     /// The agent beside it.
-    pub agent: AgentLife,
+    pub agent: AgentIncarnation,
     /// Its placement weight, positive.
     pub weight: u32,
     /// Its slots; zero stands for no limit.
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Debug)]
 struct PeerLoad {
-    reporter: AgentLife,
+    reporter: AgentIncarnation,
     /// The number of the report; zero before the first.
     sequence: u64,
     present: BackendUse,
@@ -57,7 +57,7 @@
 
 impl PeerLoad {
     /// What is assumed before the first report.
-    fn unreported(agent: AgentLife) -> Self {
+    fn unreported(agent: AgentIncarnation) -> Self {
         PeerLoad {
             reporter: agent,
             sequence: 0,
@@ -78,7 +78,7 @@
 
     /// Takes a report. One that is older than the newest of the same life is
     /// ignored.
-    pub fn handle_report(&mut self, reporter: AgentLife, report: &LoadReport) {
+    pub fn handle_report(&mut self, reporter: AgentIncarnation, report: &LoadReport) {
         let backend = BackendId(report.backend);
         let known = self.loads.get(&backend);
         if known.is_some_and(|it| it.reporter == reporter && it.sequence >= report.sequence) {
@@ -139,7 +139,7 @@
     }
 
     /// Forgets the reports of lives for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(AgentLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(AgentIncarnation) -> bool) {
         self.loads.retain(|_, load| keep(load.reporter));
     }
 
--- a/crates/petrellatch-core/src/admission/redirect_table.rs
+++ b/crates/petrellatch-core/src/admission/redirect_table.rs
@@ -6,7 +6,7 @@
 use crate::Timestamp;
 use crate::identity::{BackendId, NodeId};
 use crate::placement::FlowKey;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 /// How long packets are passed on to a life that was fenced. It may be alive
 /// and only cut off from the control group, or come back under a new life and
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Redirect {
     /// The agent that has it.
-    pub holder: AgentLife,
+    pub holder: AgentIncarnation,
     /// The flow was passed to the holder as a new one, and the holder has not
     /// answered yet.
     pub pending: Option<PendingHunt>,
@@ -57,7 +57,7 @@
     }
 
     /// Notes that `holder` has the flow.
-    pub fn insert(&mut self, now: Timestamp, key: FlowKey, holder: AgentLife) {
+    pub fn insert(&mut self, now: Timestamp, key: FlowKey, holder: AgentIncarnation) {
         let redirect = Redirect {
             holder,
             pending: None,
@@ -73,7 +73,7 @@
         &mut self,
         now: Timestamp,
         key: FlowKey,
-        holder: AgentLife,
+        holder: AgentIncarnation,
         pending: PendingHunt,
     ) {
         self.insert(now, key, holder);
@@ -95,7 +95,7 @@
     }
 
     /// Notes the answer of `holder` that it admitted the flow.
-    pub fn confirm(&mut self, key: &FlowKey, holder: AgentLife) {
+    pub fn confirm(&mut self, key: &FlowKey, holder: AgentIncarnation) {
         if let Some(redirect) = self.redirects.get_mut(key)
             && redirect.holder == holder
         {
@@ -104,7 +104,7 @@
     }
 
     /// Takes out a pending hunt that `holder` refused.
-    pub fn take_refused(&mut self, key: &FlowKey, holder: AgentLife) -> Option<PendingHunt> {
+    pub fn take_refused(&mut self, key: &FlowKey, holder: AgentIncarnation) -> Option<PendingHunt> {
         let redirect = self.redirects.get(key)?;
         if redirect.holder != holder || redirect.pending.is_none() {
             return None;
@@ -145,13 +145,13 @@
 
     /// Forgets the redirects to earlier lives of the node: the new life has
     /// said which flows it took over.
-    pub fn replace_former_lives(&mut self, life: AgentLife) {
+    pub fn replace_former_lives(&mut self, life: AgentIncarnation) {
         self.redirects
             .retain(|_, redirect| redirect.holder.node != life.node || redirect.holder == life);
     }
 
     /// Marks the redirects to lives that are not members any more.
-    pub fn mark_orphans(&mut self, now: Timestamp, is_member: impl Fn(AgentLife) -> bool) {
+    pub fn mark_orphans(&mut self, now: Timestamp, is_member: impl Fn(AgentIncarnation) -> bool) {
         for redirect in self.redirects.values_mut() {
             if is_member(redirect.holder) {
                 redirect.orphaned_at = None;
--- a/crates/petrellatch-core/src/admission/report_inbox.rs
+++ b/crates/petrellatch-core/src/admission/report_inbox.rs
@@ -5,13 +5,13 @@
 use petrellatch_proto::admission::{FlowEntry, FlowReport};
 
 use crate::identity::NodeId;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 /// The newest report of each agent life of one service, put together from its
 /// parts.
 #[derive(Clone, Debug, Default)]
 pub struct ReportInbox {
-    reports: BTreeMap<AgentLife, IncomingReport>,
+    reports: BTreeMap<AgentIncarnation, IncomingReport>,
 }
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 
     /// Takes one part. A report of an older generation than one already
     /// received from the same life is ignored.
-    pub fn handle_part(&mut self, sender: AgentLife, part: &FlowReport) {
+    pub fn handle_part(&mut self, sender: AgentIncarnation, part: &FlowReport) {
         let fresh = IncomingReport {
             generation: part.generation,
             parts: part.parts,
@@ -50,14 +50,14 @@
     /// Returns whether the life's report for exactly this generation is
     /// complete. A report for a newer one says nothing about the buckets that
     /// this generation gives to the recipient.
-    pub fn is_complete(&self, sender: AgentLife, generation: u64) -> bool {
+    pub fn is_complete(&self, sender: AgentIncarnation, generation: u64) -> bool {
         self.reports
             .get(&sender)
             .is_some_and(|report| report.generation == generation && report.is_complete())
     }
 
     /// Takes the flows of a complete report that were not taken yet.
-    pub fn take_complete(&mut self, generation: u64) -> Vec<(AgentLife, Vec<FlowEntry>)> {
+    pub fn take_complete(&mut self, generation: u64) -> Vec<(AgentIncarnation, Vec<FlowEntry>)> {
         let mut taken = Vec::new();
         for (sender, report) in &mut self.reports {
             let ready = report.generation == generation && report.is_complete();
@@ -76,7 +76,7 @@
     }
 
     /// Forgets the reports of lives for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(AgentLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(AgentIncarnation) -> bool) {
         self.reports.retain(|life, _| keep(*life));
     }
 }
--- a/crates/petrellatch-core/src/admission/report_outbox.rs
+++ b/crates/petrellatch-core/src/admission/report_outbox.rs
@@ -7,7 +7,7 @@
 
 use crate::Timestamp;
 use crate::identity::ServiceId;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 /// Flows in one part, so that a part takes about 8 KiB.
 const FLOWS_PER_PART: usize = 256;
@@ -23,14 +23,14 @@
 /// recipient. A report for a newer generation replaces the former one.
 #[derive(Clone, Debug, Default)]
 pub struct ReportOutbox {
-    reports: BTreeMap<AgentLife, PendingReport>,
+    reports: BTreeMap<AgentIncarnation, PendingReport>,
 }
 
 /// One part of a report and who gets it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingReport {
     /// The recipient.
-    pub recipient: AgentLife,
+    pub recipient: AgentIncarnation,
     /// The part.
     pub report: FlowReport,
 }
@@ -57,7 +57,7 @@
     pub fn put(
         &mut self,
         now: Timestamp,
-        recipient: AgentLife,
+        recipient: AgentIncarnation,
         service: ServiceId,
         generation: u64,
         flows: &[FlowEntry],
@@ -83,7 +83,7 @@
     }
 
     /// Handles the confirmation of one part.
-    pub fn handle_ack(&mut self, recipient: AgentLife, ack: &FlowReportAck) {
+    pub fn handle_ack(&mut self, recipient: AgentIncarnation, ack: &FlowReportAck) {
         let Some(report) = self.reports.get_mut(&recipient) else {
             return;
         };
@@ -120,12 +120,12 @@
     }
 
     /// Forgets the reports to lives for which `keep` is false.
-    pub fn retain(&mut self, keep: impl Fn(AgentLife) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(AgentIncarnation) -> bool) {
         self.reports.retain(|life, _| keep(*life));
     }
 
     /// Returns whether a report to `recipient` was not confirmed yet.
-    pub fn has_report_for(&self, recipient: AgentLife) -> bool {
+    pub fn has_report_for(&self, recipient: AgentIncarnation) -> bool {
         self.reports.contains_key(&recipient)
     }
 
@@ -142,7 +142,7 @@
         self.retry = (self.retry * 2).min(LONGEST_RETRY);
     }
 
-    fn part(&self, part: u32, recipient: AgentLife) -> FlowReport {
+    fn part(&self, part: u32, recipient: AgentIncarnation) -> FlowReport {
         FlowReport {
             service: self.service.0,
             generation: self.generation,
--- a/crates/petrellatch-core/src/admission/service_admission.rs
+++ b/crates/petrellatch-core/src/admission/service_admission.rs
@@ -12,7 +12,7 @@
 use crate::cluster::ClusterView;
 use crate::identity::{BucketIndex, Incarnation, NodeId, ServiceId};
 use crate::placement::FlowKey;
-use crate::routing::{AgentLife, BucketOwner, PlacedGeneration};
+use crate::routing::{AgentIncarnation, BucketOwner, PlacedGeneration};
 
 use super::redirect_table::ORPHAN_GRACE;
 use super::{AdmissionMutations, RedirectTable, ReportInbox, ReportOutbox};
@@ -53,7 +53,7 @@
 pub struct ServiceAdmission {
     service: ServiceId,
     address: SocketAddrV4,
-    own: AgentLife,
+    own: AgentIncarnation,
     mutations: AdmissionMutations,
     /// Listed generations, the newest last.
     generations: Vec<PlacedGeneration>,
@@ -61,14 +61,14 @@
     retired: Vec<PlacedGeneration>,
     applied_at: Timestamp,
     /// What was reported last: the generation and the life that reported it.
-    reported: Option<(u64, AgentLife)>,
+    reported: Option<(u64, AgentIncarnation)>,
     /// Earlier owners that may still admit.
-    unreleased: BTreeSet<AgentLife>,
+    unreleased: BTreeSet<AgentIncarnation>,
     /// Members that report for the newest generation.
-    reporters: BTreeSet<AgentLife>,
+    reporters: BTreeSet<AgentIncarnation>,
     /// Owners whose life ended, with the time until which they are taken to
     /// have flows still.
-    lost: BTreeMap<AgentLife, Timestamp>,
+    lost: BTreeMap<AgentIncarnation, Timestamp>,
     inbox: ReportInbox,
     outbox: ReportOutbox,
     /// The flows that other agents have.
@@ -77,7 +77,11 @@
 
 impl ServiceAdmission {
     /// Starts without any generation.
-    pub fn new(service: &ServiceRecord, own: AgentLife, mutations: AdmissionMutations) -> Self {
+    pub fn new(
+        service: &ServiceRecord,
+        own: AgentIncarnation,
+        mutations: AdmissionMutations,
+    ) -> Self {
         ServiceAdmission {
             service: ServiceId(service.id),
             address: service.address.into(),
@@ -104,7 +108,7 @@
         now: Timestamp,
         view: &ClusterView,
         service: &ServiceRecord,
-        own: AgentLife,
+        own: AgentIncarnation,
         flows: &dyn Fn() -> Vec<FlowKey>,
     ) {
         self.own = own;
@@ -115,7 +119,7 @@
         self.find_lost_lives(now, view);
         self.trim_retired(now);
         self.find_reporters(view);
-        let is_member = |life: AgentLife| view.is_member(life.node, life.incarnation);
+        let is_member = |life: AgentIncarnation| view.is_member(life.node, life.incarnation);
         self.redirects.mark_orphans(now, is_member);
         self.outbox.retain(is_member);
         self.inbox.retain(is_member);
@@ -127,7 +131,7 @@
     /// Returns whether the membership of a node matters to the service.
     pub fn concerns(&self, node: NodeId) -> bool {
         let mut placed = self.generations.iter().chain(&self.retired);
-        placed.any(|it| it.lives().any(|life| life.node == node))
+        placed.any(|it| it.agents().any(|life| life.node == node))
             || self.reporters.iter().any(|life| life.node == node)
             || self.inbox.has_report_of(node)
             || self.redirects.leads_to(node)
@@ -190,7 +194,7 @@
     pub fn knows_all_flows(&self, now: Timestamp) -> bool {
         let generation = self.generation();
         let quiet = now.saturating_since(self.applied_at) >= RESET_GRACE;
-        let complete = |life: &AgentLife| self.inbox.is_complete(*life, generation);
+        let complete = |life: &AgentIncarnation| self.inbox.is_complete(*life, generation);
         quiet && self.unreleased.is_empty() && self.reporters.iter().all(complete)
     }
 
@@ -270,8 +274,8 @@
     /// Notes owners whose life ended.
     fn find_lost_lives(&mut self, now: Timestamp, view: &ClusterView) {
         let known = self.generations.iter().chain(&self.retired);
-        let ended: BTreeSet<AgentLife> = known
-            .flat_map(PlacedGeneration::lives)
+        let ended: BTreeSet<AgentIncarnation> = known
+            .flat_map(PlacedGeneration::agents)
             .filter(|life| !view.is_member(life.node, life.incarnation))
             .collect();
         self.lost.retain(|life, _| ended.contains(life));
@@ -284,10 +288,11 @@
     /// longer, to reach it if it is only cut off from the control group.
     fn trim_retired(&mut self, now: Timestamp) {
         let lost = &self.lost;
-        let may_have_flows = |life: AgentLife| lost.get(&life).is_some_and(|until| *until > now);
+        let may_have_flows =
+            |life: AgentIncarnation| lost.get(&life).is_some_and(|until| *until > now);
         let mut excess = self.retired.len().saturating_sub(RETIRED_GENERATIONS);
         self.retired.retain(|generation| {
-            let drop = excess > 0 && !generation.lives().any(may_have_flows);
+            let drop = excess > 0 && !generation.agents().any(may_have_flows);
             excess -= usize::from(drop);
             !drop
         });
@@ -298,15 +303,15 @@
     /// Finds the members that have a share in a listed generation or a back
     /// end of the service; all of them report.
     fn find_reporters(&mut self, view: &ClusterView) {
-        let shares = self.generations.iter().flat_map(PlacedGeneration::lives);
-        let with_share: BTreeSet<AgentLife> = shares
+        let shares = self.generations.iter().flat_map(PlacedGeneration::agents);
+        let with_share: BTreeSet<AgentIncarnation> = shares
             .filter(|life| view.is_member(life.node, life.incarnation))
             .collect();
         let beside = view
             .backends_of(self.service)
             .filter_map(|backend| view.member(NodeId::from_name(&backend.agent)))
             .filter(|member| member.role() == NodeRole::Agent)
-            .map(|member| AgentLife {
+            .map(|member| AgentIncarnation {
                 node: NodeId(member.node),
                 incarnation: Incarnation(member.incarnation),
             });
@@ -318,7 +323,7 @@
         let generation = self.generation();
         let older = self.generations.iter().rev().skip(1);
         self.unreleased = older
-            .flat_map(PlacedGeneration::owning_lives)
+            .flat_map(PlacedGeneration::owning_agents)
             .filter(|life| *life != self.own)
             .filter(|life| view.is_member(life.node, life.incarnation))
             .filter(|life| !self.inbox.is_complete(*life, generation))
--- a/crates/petrellatch-core/src/admission/service_admission/flow_reports.rs
+++ b/crates/petrellatch-core/src/admission/service_admission/flow_reports.rs
@@ -9,7 +9,7 @@
 use crate::cluster::ClusterView;
 use crate::identity::{Incarnation, NodeId};
 use crate::placement::FlowKey;
-use crate::routing::{AgentLife, PlacedGeneration};
+use crate::routing::{AgentIncarnation, PlacedGeneration};
 
 use super::super::OutgoingReport;
 use super::ServiceAdmission;
@@ -21,7 +21,7 @@
         &mut self,
         now: Timestamp,
         view: &ClusterView,
-        sender: AgentLife,
+        sender: AgentIncarnation,
         report: &FlowReport,
     ) -> Option<FlowReportAck> {
         let for_this_life = report.recipient_incarnation == self.own.incarnation.0;
@@ -45,7 +45,7 @@
     }
 
     /// Takes the confirmation of one part of this agent's report.
-    pub fn handle_ack(&mut self, sender: AgentLife, ack: &FlowReportAck) {
+    pub fn handle_ack(&mut self, sender: AgentIncarnation, ack: &FlowReportAck) {
         self.outbox.handle_ack(sender, ack);
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether a report to `recipient` was not confirmed yet.
-    pub fn is_reporting_to(&self, recipient: AgentLife) -> bool {
+    pub fn is_reporting_to(&self, recipient: AgentIncarnation) -> bool {
         self.outbox.has_report_for(recipient)
     }
 
@@ -87,8 +87,8 @@
         let Some(newest) = self.generations.last() else {
             return;
         };
-        let recipients: BTreeSet<AgentLife> = newest
-            .owning_lives()
+        let recipients: BTreeSet<AgentIncarnation> = newest
+            .owning_agents()
             .filter(|life| *life != self.own)
             .filter(|life| view.is_member(life.node, life.incarnation))
             .collect();
@@ -104,7 +104,7 @@
     /// Returns whether this agent has, or had, anything to do with the
     /// service.
     fn takes_part(&self, view: &ClusterView, flows: &[FlowKey]) -> bool {
-        let mut lives = self.generations.iter().flat_map(PlacedGeneration::lives);
+        let mut lives = self.generations.iter().flat_map(PlacedGeneration::agents);
         let has_share = lives.any(|life| life == self.own);
         let mut backends = view.backends_of(self.service);
         let beside = backends.any(|it| NodeId::from_name(&it.agent) == self.own.node);
@@ -115,12 +115,12 @@
         &self,
         newest: &PlacedGeneration,
         flows: &[FlowKey],
-    ) -> BTreeMap<AgentLife, Vec<FlowEntry>> {
-        let mut entries: BTreeMap<AgentLife, Vec<FlowEntry>> = BTreeMap::new();
+    ) -> BTreeMap<AgentIncarnation, Vec<FlowEntry>> {
+        let mut entries: BTreeMap<AgentIncarnation, Vec<FlowEntry>> = BTreeMap::new();
         if self.mutations.forget_redirects {
             return entries;
         }
-        let here = flows.iter().map(|key| (key, AgentLife::default()));
+        let here = flows.iter().map(|key| (key, AgentIncarnation::default()));
         let elsewhere = self.redirects.iter().map(|(key, it)| (key, it.holder));
         for (key, holder) in here.chain(elsewhere) {
             let bucket = key.bucket(newest.bucket_count());
@@ -149,14 +149,14 @@
 
     /// A new life of the node has reported which flows it took over, so the
     /// former lives have none.
-    fn resolve_lost_lives(&mut self, now: Timestamp, life: AgentLife) {
+    fn resolve_lost_lives(&mut self, now: Timestamp, life: AgentIncarnation) {
         let former = self.lost.iter_mut().filter(|(it, _)| it.node == life.node);
         for (_, until) in former {
             *until = now;
         }
     }
 
-    fn install_entry(&mut self, now: Timestamp, sender: AgentLife, entry: &FlowEntry) {
+    fn install_entry(&mut self, now: Timestamp, sender: AgentIncarnation, entry: &FlowEntry) {
         let key = FlowKey {
             source: entry.source.into(),
             destination: self.address,
@@ -165,7 +165,7 @@
             self.redirects.insert(now, key, sender);
             return;
         }
-        let holder = AgentLife {
+        let holder = AgentIncarnation {
             node: NodeId(entry.holder),
             incarnation: Incarnation(entry.holder_incarnation),
         };
--- a/crates/petrellatch-core/src/admission/tests/exclusive.rs
+++ b/crates/petrellatch-core/src/admission/tests/exclusive.rs
@@ -15,7 +15,7 @@
 use crate::admission::{AdmissionMutations, ServiceAdmission, Standing};
 use crate::cluster::ClusterView;
 use crate::identity::{BucketIndex, Incarnation, NodeId, ServiceId};
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 const AGENTS: u64 = 4;
 const BUCKETS: u32 = 16;
@@ -24,15 +24,15 @@
 
 struct Agent {
     admission: ServiceAdmission,
-    life: AgentLife,
+    life: AgentIncarnation,
     view: ClusterView,
     /// Whether the lease is valid; it is renewed only for members.
     leased: bool,
 }
 
 enum Message {
-    Report(AgentLife, AgentLife, FlowReport),
-    Ack(AgentLife, AgentLife, FlowReportAck),
+    Report(AgentIncarnation, AgentIncarnation, FlowReport),
+    Ack(AgentIncarnation, AgentIncarnation, FlowReportAck),
 }
 
 struct Model {
@@ -79,7 +79,7 @@
         };
         model.commit(Some(Record::Service(service())), None);
         for node in 1..=AGENTS {
-            let life = AgentLife {
+            let life = AgentIncarnation {
                 node: NodeId(node),
                 incarnation: Incarnation(node),
             };
@@ -101,7 +101,7 @@
         self.history.push(self.truth.clone());
     }
 
-    fn register(&mut self, life: AgentLife) {
+    fn register(&mut self, life: AgentIncarnation) {
         let member = MemberRecord {
             node: life.node.0,
             incarnation: life.incarnation.0,
@@ -154,7 +154,7 @@
             return;
         };
         let version = self.version_of[&newest.number];
-        let involved = |life: AgentLife| {
+        let involved = |life: AgentIncarnation| {
             let mut shares = generations.iter().flat_map(|it| &it.shares);
             shares.any(|it| (it.node, it.incarnation) == (life.node.0, life.incarnation.0))
         };
@@ -206,7 +206,12 @@
         }
     }
 
-    fn deliver_report(&mut self, from: AgentLife, to: AgentLife, report: &FlowReport) {
+    fn deliver_report(
+        &mut self,
+        from: AgentIncarnation,
+        to: AgentIncarnation,
+        report: &FlowReport,
+    ) {
         let agent = self.agents.iter_mut().find(|it| it.life.node == to.node);
         let agent = agent.unwrap();
         let ack = agent
@@ -227,7 +232,7 @@
         }
         self.commit(None, Some(RecordKey::Member(life.node.0)));
         self.next_life += 1;
-        let life = AgentLife {
+        let life = AgentIncarnation {
             node: life.node,
             incarnation: Incarnation(self.next_life),
         };
--- a/crates/petrellatch-core/src/admission/tests/limits.rs
+++ b/crates/petrellatch-core/src/admission/tests/limits.rs
@@ -14,7 +14,7 @@
     RefusalReason, ServiceTime, TokenBucket,
 };
 use crate::identity::{BackendId, Incarnation, NodeId};
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 const WAIT_LIMIT: Duration = Duration::from_millis(100);
 
@@ -43,8 +43,8 @@
     }
 }
 
-fn life(node: u64) -> AgentLife {
-    AgentLife {
+fn life(node: u64) -> AgentIncarnation {
+    AgentIncarnation {
         node: NodeId(node),
         incarnation: Incarnation(1),
     }
--- a/crates/petrellatch-core/src/admission/tests/reports.rs
+++ b/crates/petrellatch-core/src/admission/tests/reports.rs
@@ -17,10 +17,10 @@
 use crate::cluster::ClusterView;
 use crate::identity::{BucketIndex, Incarnation, NodeId, ServiceId};
 use crate::placement::FlowKey;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
-fn life(node: u64, incarnation: u64) -> AgentLife {
-    AgentLife {
+fn life(node: u64, incarnation: u64) -> AgentIncarnation {
+    AgentIncarnation {
         node: NodeId(node),
         incarnation: Incarnation(incarnation),
     }
@@ -165,7 +165,7 @@
     }
 }
 
-fn member(life: AgentLife) -> Record {
+fn member(life: AgentIncarnation) -> Record {
     Record::Member(MemberRecord {
         node: life.node.0,
         incarnation: life.incarnation.0,
@@ -174,8 +174,8 @@
     })
 }
 
-fn placement(number: u64, lives: &[AgentLife]) -> Record {
-    let share = |life: &AgentLife| ShareRecord {
+fn placement(number: u64, lives: &[AgentIncarnation]) -> Record {
+    let share = |life: &AgentIncarnation| ShareRecord {
         backend: life.node.0,
         weight: 1_000,
         node: life.node.0,
--- a/crates/petrellatch-core/src/agent_node/agent_directory.rs
+++ b/crates/petrellatch-core/src/agent_node/agent_directory.rs
@@ -9,7 +9,7 @@
 use crate::Timestamp;
 use crate::cluster::ClusterView;
 use crate::identity::{Incarnation, NodeId};
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 /// How long the address of a life that ended is remembered: a little longer
 /// than packets are passed on to it.
@@ -79,7 +79,7 @@
     }
 
     /// Returns the addresses of a life.
-    pub(super) fn find(&self, life: AgentLife) -> Option<AgentAddress> {
+    pub(super) fn find(&self, life: AgentIncarnation) -> Option<AgentAddress> {
         let member = self.members.get(&life.node).copied();
         let former = self.former.get(&life.node).map(|former| former.life);
         [member, former]
@@ -90,9 +90,9 @@
     }
 
     /// Returns the member life of a node.
-    pub(super) fn member(&self, node: NodeId) -> Option<AgentLife> {
+    pub(super) fn member(&self, node: NodeId) -> Option<AgentIncarnation> {
         let incarnation = self.members.get(&node)?.incarnation;
-        Some(AgentLife { node, incarnation })
+        Some(AgentIncarnation { node, incarnation })
     }
 
     /// Returns how many lives that ended are remembered.
--- a/crates/petrellatch-core/src/agent_node/control_messages.rs
+++ b/crates/petrellatch-core/src/agent_node/control_messages.rs
@@ -8,7 +8,7 @@
 use crate::Timestamp;
 use crate::identity::{BackendId, Incarnation, NodeId, ServiceId};
 use crate::placement::FlowKey;
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 use super::node::AgentNode;
 use super::service_state::ServiceState;
@@ -19,7 +19,7 @@
         if !self.identity.is_recipient(envelope) {
             return;
         }
-        let sender = AgentLife {
+        let sender = AgentIncarnation {
             node: NodeId(envelope.sender),
             incarnation: Incarnation(envelope.incarnation),
         };
@@ -67,7 +67,7 @@
         let Some(report) = report else {
             return;
         };
-        let mut peers: Vec<AgentLife> = state.candidates.iter().map(|it| it.agent).collect();
+        let mut peers: Vec<AgentIncarnation> = state.candidates.iter().map(|it| it.agent).collect();
         peers.sort_unstable();
         peers.dedup();
         for peer in peers.into_iter().filter(|peer| *peer != own) {
@@ -75,7 +75,12 @@
         }
     }
 
-    fn handle_flow_report(&mut self, now: Timestamp, sender: AgentLife, report: &FlowReport) {
+    fn handle_flow_report(
+        &mut self,
+        now: Timestamp,
+        sender: AgentIncarnation,
+        report: &FlowReport,
+    ) {
         let Some(state) = self.services.get_mut(&ServiceId(report.service)) else {
             return;
         };
@@ -89,14 +94,19 @@
         self.report_upward(now);
     }
 
-    fn handle_flow_report_ack(&mut self, now: Timestamp, sender: AgentLife, ack: &FlowReportAck) {
+    fn handle_flow_report_ack(
+        &mut self,
+        now: Timestamp,
+        sender: AgentIncarnation,
+        ack: &FlowReportAck,
+    ) {
         if let Some(state) = self.services.get_mut(&ServiceId(ack.service)) {
             state.admission.handle_ack(sender, ack);
         }
         self.maintain(now);
     }
 
-    fn handle_flows_ended(&mut self, now: Timestamp, sender: AgentLife, ended: &FlowsEnded) {
+    fn handle_flows_ended(&mut self, now: Timestamp, sender: AgentIncarnation, ended: &FlowsEnded) {
         let Some(state) = self.services.get_mut(&ServiceId(ended.service)) else {
             return;
         };
@@ -107,7 +117,7 @@
         }
     }
 
-    fn handle_load_report(&mut self, sender: AgentLife, report: &LoadReport) {
+    fn handle_load_report(&mut self, sender: AgentIncarnation, report: &LoadReport) {
         if let Some(state) = self.services.get_mut(&ServiceId(report.service)) {
             state.loads.handle_report(sender, report);
         }
--- a/crates/petrellatch-core/src/agent_node/hunts.rs
+++ b/crates/petrellatch-core/src/agent_node/hunts.rs
@@ -8,7 +8,7 @@
 use crate::admission::{PeerCandidate, PendingHunt};
 use crate::flow::PacketView;
 use crate::identity::{BackendId, NodeId, ServiceId};
-use crate::routing::{AgentLife, DropReason};
+use crate::routing::{AgentIncarnation, DropReason};
 
 use super::agent_output::FlowId;
 use super::control_messages::key_of;
@@ -111,7 +111,7 @@
     pub(super) fn handle_hunt_reply(
         &mut self,
         now: Timestamp,
-        sender: AgentLife,
+        sender: AgentIncarnation,
         reply: &HuntReply,
     ) {
         let Some(state) = self.services.get_mut(&ServiceId(reply.service)) else {
--- a/crates/petrellatch-core/src/agent_node/maintenance.rs
+++ b/crates/petrellatch-core/src/agent_node/maintenance.rs
@@ -12,7 +12,7 @@
 use crate::event::EventKind;
 use crate::identity::{BackendId, ServiceId};
 use crate::placement::FlowKey;
-use crate::routing::{AgentLife, DropReason};
+use crate::routing::{AgentIncarnation, DropReason};
 
 use super::agent_output::AgentOutput;
 use super::ended_flows::{EndedFlows, NOTICE_DELAY};
@@ -198,8 +198,8 @@
         &self,
         service: ServiceId,
         keys: Vec<FlowKey>,
-    ) -> BTreeMap<AgentLife, Vec<FlowKey>> {
-        let mut groups: BTreeMap<AgentLife, Vec<FlowKey>> = BTreeMap::new();
+    ) -> BTreeMap<AgentIncarnation, Vec<FlowKey>> {
+        let mut groups: BTreeMap<AgentIncarnation, Vec<FlowKey>> = BTreeMap::new();
         let newest = self.services.get(&service).map(|it| &it.admission);
         let Some(newest) = newest.and_then(ServiceAdmission::newest) else {
             return groups;
@@ -214,7 +214,7 @@
         groups
     }
 
-    fn is_reporting_to(&self, service: ServiceId, owner: AgentLife) -> bool {
+    fn is_reporting_to(&self, service: ServiceId, owner: AgentIncarnation) -> bool {
         let state = self.services.get(&service);
         state.is_some_and(|state| state.admission.is_reporting_to(owner))
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    fn send_ended_to(&mut self, owner: AgentLife, service: ServiceId, keys: &[FlowKey]) {
+    fn send_ended_to(&mut self, owner: AgentIncarnation, service: ServiceId, keys: &[FlowKey]) {
         for keys in keys.chunks(ENDED_LIMIT) {
             let ended = FlowsEnded {
                 service: service.0,
@@ -286,7 +286,7 @@
         let own = self.own_life();
         let released = self.services.values().all(|state| {
             let newest = state.admission.newest();
-            let owns = newest.is_some_and(|it| it.owning_lives().any(|life| life == own));
+            let owns = newest.is_some_and(|it| it.owning_agents().any(|life| life == own));
             !owns && state.admission.is_reported()
         });
         released && self.open_flows() == 0
--- a/crates/petrellatch-core/src/agent_node/node.rs
+++ b/crates/petrellatch-core/src/agent_node/node.rs
@@ -14,7 +14,7 @@
 use crate::event::{Event, EventKind};
 use crate::identity::{BackendId, BucketIndex, Incarnation, ServiceId};
 use crate::node::NodeIdentity;
-use crate::routing::{AgentLife, DropReason};
+use crate::routing::{AgentIncarnation, DropReason};
 
 use super::agent_counters::AgentCounters;
 use super::agent_directory::AgentDirectory;
@@ -190,8 +190,8 @@
     }
 
     /// Returns the present life of this agent.
-    pub(super) fn own_life(&self) -> AgentLife {
-        AgentLife {
+    pub(super) fn own_life(&self) -> AgentIncarnation {
+        AgentIncarnation {
             node: self.identity.node,
             incarnation: self.identity.incarnation,
         }
@@ -213,7 +213,7 @@
     }
 
     /// Sends a control message to another agent.
-    pub(super) fn send(&mut self, recipient: AgentLife, body: Body) {
+    pub(super) fn send(&mut self, recipient: AgentIncarnation, body: Body) {
         if let Some(address) = self.directory.find(recipient) {
             let envelope = self.identity.envelope(Some(recipient.node), body);
             let to = address.control;
--- a/crates/petrellatch-core/src/agent_node/packets.rs
+++ b/crates/petrellatch-core/src/agent_node/packets.rs
@@ -6,7 +6,7 @@
 use crate::admission::Standing;
 use crate::flow::{PacketView, reset_for};
 use crate::identity::{BackendId, BucketIndex, Incarnation, NodeId, ServiceId};
-use crate::routing::{AgentLife, BucketOwner, DropReason};
+use crate::routing::{AgentIncarnation, BucketOwner, DropReason};
 
 use super::agent_output::{AgentOutput, FlowId};
 use super::node::AgentNode;
@@ -84,7 +84,7 @@
     pub(super) fn forward(
         &mut self,
         packet: &CallerPacket,
-        recipient: AgentLife,
+        recipient: AgentIncarnation,
         kind: ForwardKind,
         backend: BackendId,
         generation: u64,
--- a/crates/petrellatch-core/src/agent_node/service_state.rs
+++ b/crates/petrellatch-core/src/agent_node/service_state.rs
@@ -10,7 +10,7 @@
 };
 use crate::cluster::ClusterView;
 use crate::identity::{BackendId, BucketIndex, Incarnation, NodeId};
-use crate::routing::AgentLife;
+use crate::routing::AgentIncarnation;
 
 /// The idle limit of a service that sets none.
 const DEFAULT_IDLE: Duration = Duration::from_secs(3_600);
@@ -37,7 +37,7 @@
     pub(super) fn new(
         now: Timestamp,
         record: &ServiceRecord,
-        own: AgentLife,
+        own: AgentIncarnation,
         mutations: AdmissionMutations,
     ) -> Self {
         ServiceState {
@@ -94,7 +94,7 @@
 /// Returns the back end of a share as a candidate if its agent is a member and
 /// it is not draining.
 fn candidate(view: &ClusterView, share: &ShareRecord) -> Option<PeerCandidate> {
-    let agent = AgentLife {
+    let agent = AgentIncarnation {
         node: NodeId(share.node),
         incarnation: Incarnation(share.incarnation),
     };
--- a/crates/petrellatch-core/src/control/control_snapshot.rs
+++ b/crates/petrellatch-core/src/control/control_snapshot.rs
@@ -172,7 +172,7 @@
         Ok(accepted) => (accepted.version, "", ""),
         Err(refusal) => (
             refusal.config_version,
-            refusal.kind.answer().name,
+            refusal.kind.response().name,
             refusal.message.as_str(),
         ),
     };
@@ -201,7 +201,7 @@
             version: record.version,
         }));
     }
-    let named = |kind: &&ErrorKind| kind.answer().name == record.refused;
+    let named = |kind: &&ErrorKind| kind.response().name == record.refused;
     let kind = ErrorKind::ALL.iter().find(named);
     let kind = kind.context(UnknownValueSnafu { what: "error kind" })?;
     Ok(Err(ChangeRefusal {
--- a/crates/petrellatch-core/src/control/operator.rs
+++ b/crates/petrellatch-core/src/control/operator.rs
@@ -174,7 +174,7 @@
         OperatorError {
             kind,
             message: message.into(),
-            retry_after: kind.answer().retry_after,
+            retry_after: kind.response().retry_after,
             leader: None,
             config_version: None,
         }
--- a/crates/petrellatch-core/src/error_kind.rs
+++ b/crates/petrellatch-core/src/error_kind.rs
@@ -39,7 +39,7 @@
 
 /// What a client gets for an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The stable name in documents and logs.
     pub name: &'static str,
     /// The HTTP status of the operator API.
@@ -72,36 +72,36 @@
     ];
 
     /// Returns what a client gets.
-    pub const fn answer(self) -> Answer {
+    pub const fn response(self) -> ErrorResponse {
         const SOON: Option<Duration> = Some(Duration::from_millis(250));
         const LATER: Option<Duration> = Some(Duration::from_secs(1));
         match self {
-            ErrorKind::Conflict => answer("conflict", 409, 3, false, None),
-            ErrorKind::NotLeader => answer("not_leader", 421, 4, true, SOON),
-            ErrorKind::Unavailable => answer("unavailable", 503, 5, true, LATER),
-            ErrorKind::Overloaded => answer("overloaded", 429, 6, true, LATER),
-            ErrorKind::TooLarge => answer("too_large", 413, 7, false, None),
-            ErrorKind::Invalid => answer("invalid", 400, 8, false, None),
-            ErrorKind::InvalidPolicy => answer("invalid_policy", 422, 9, false, None),
-            ErrorKind::NotFound => answer("not_found", 404, 10, false, None),
-            ErrorKind::DeadlineExceeded => answer("deadline_exceeded", 504, 11, true, SOON),
-            ErrorKind::InvalidSettings => answer("invalid_settings", 500, 2, false, None),
-            ErrorKind::AddressUnavailable => answer("address_unavailable", 500, 12, false, None),
-            ErrorKind::StorageDamaged => answer("storage_damaged", 500, 13, false, None),
-            ErrorKind::StorageFailed => answer("storage_failed", 507, 14, false, None),
-            ErrorKind::Internal => answer("internal", 500, 1, false, None),
+            ErrorKind::Conflict => response("conflict", 409, 3, false, None),
+            ErrorKind::NotLeader => response("not_leader", 421, 4, true, SOON),
+            ErrorKind::Unavailable => response("unavailable", 503, 5, true, LATER),
+            ErrorKind::Overloaded => response("overloaded", 429, 6, true, LATER),
+            ErrorKind::TooLarge => response("too_large", 413, 7, false, None),
+            ErrorKind::Invalid => response("invalid", 400, 8, false, None),
+            ErrorKind::InvalidPolicy => response("invalid_policy", 422, 9, false, None),
+            ErrorKind::NotFound => response("not_found", 404, 10, false, None),
+            ErrorKind::DeadlineExceeded => response("deadline_exceeded", 504, 11, true, SOON),
+            ErrorKind::InvalidSettings => response("invalid_settings", 500, 2, false, None),
+            ErrorKind::AddressUnavailable => response("address_unavailable", 500, 12, false, None),
+            ErrorKind::StorageDamaged => response("storage_damaged", 500, 13, false, None),
+            ErrorKind::StorageFailed => response("storage_failed", 507, 14, false, None),
+            ErrorKind::Internal => response("internal", 500, 1, false, None),
         }
     }
 }
 
-const fn answer(
+const fn response(
     name: &'static str,
     http_status: u16,
     exit_code: i32,
     retryable: bool,
     retry_after: Option<Duration>,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         name,
         http_status,
         exit_code,
--- a/crates/petrellatch-core/src/routing/mod.rs
+++ b/crates/petrellatch-core/src/routing/mod.rs
@@ -29,5 +29,5 @@
 mod tests;
 
 pub use drop_reason::DropReason;
-pub use placed_generation::{AgentLife, BucketOwner, PlacedGeneration};
+pub use placed_generation::{AgentIncarnation, BucketOwner, PlacedGeneration};
 pub use router::Router;
--- a/crates/petrellatch-core/src/routing/placed_generation.rs
+++ b/crates/petrellatch-core/src/routing/placed_generation.rs
@@ -7,7 +7,7 @@
 
 /// One life of an agent node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct AgentLife {
+pub struct AgentIncarnation {
     /// The node.
     pub node: NodeId,
     /// The life.
@@ -20,7 +20,7 @@
     /// The back end.
     pub backend: BackendId,
     /// The agent beside it.
-    pub agent: AgentLife,
+    pub agent: AgentIncarnation,
     /// The generation that says so.
     pub generation: u64,
 }
@@ -88,7 +88,7 @@
         let share = &self.shares[self.owner_position(bucket)?];
         Some(BucketOwner {
             backend: BackendId(share.backend),
-            agent: life_of(share),
+            agent: agent_of(share),
             generation: self.number,
         })
     }
@@ -109,16 +109,16 @@
     }
 
     /// Returns the lives of the agents that own buckets.
-    pub fn owning_lives(&self) -> impl Iterator<Item = AgentLife> {
+    pub fn owning_agents(&self) -> impl Iterator<Item = AgentIncarnation> {
         self.shares
             .iter()
             .filter(|share| share.receives() || !self.admits)
-            .map(life_of)
+            .map(agent_of)
     }
 
     /// Returns the lives of all agents with a share, also without weight.
-    pub fn lives(&self) -> impl Iterator<Item = AgentLife> {
-        self.shares.iter().map(life_of)
+    pub fn agents(&self) -> impl Iterator<Item = AgentIncarnation> {
+        self.shares.iter().map(agent_of)
     }
 
     fn has_shares(&self, shares: &[ShareRecord]) -> bool {
@@ -139,8 +139,8 @@
     }
 }
 
-fn life_of(share: &ShareRecord) -> AgentLife {
-    AgentLife {
+fn agent_of(share: &ShareRecord) -> AgentIncarnation {
+    AgentIncarnation {
         node: NodeId(share.node),
         incarnation: Incarnation(share.incarnation),
     }
--- a/crates/petrellatch-core/src/routing/router.rs
+++ b/crates/petrellatch-core/src/routing/router.rs
@@ -161,6 +161,6 @@
 
 fn agent_address(view: &ClusterView, share: &ShareRecord) -> Option<SocketAddrV4> {
     let member = view.member(NodeId(share.node))?;
-    let same_life = member.incarnation == share.incarnation;
-    same_life.then(|| member.data.into())
+    let is_same_incarnation = member.incarnation == share.incarnation;
+    is_same_incarnation.then(|| member.data.into())
 }
--- a/crates/petrellatch-core/tests/control/operators.rs
+++ b/crates/petrellatch-core/tests/control/operators.rs
@@ -87,7 +87,7 @@
     while versions.len() < 3 {
         match cluster.ask(resend()) {
             Ok(OperatorResponse::Changed(accepted)) => versions.push(accepted.version),
-            Err(error) => assert!(error.kind.answer().retryable, "{error:?}"),
+            Err(error) => assert!(error.kind.response().retryable, "{error:?}"),
             Ok(other) => panic!("{other:?}"),
         }
     }
--- a/crates/petrellatch/src/api/error_body.rs
+++ b/crates/petrellatch/src/api/error_body.rs
@@ -32,7 +32,7 @@
 impl ErrorDocument {
     /// Makes the body for an error kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
-        let answer = kind.answer();
+        let answer = kind.response();
         let wait = answer.retry_after.filter(|_| answer.retryable);
         ErrorDocument {
             error: ErrorBody {
@@ -50,5 +50,5 @@
 pub fn kind_by_name(name: &str) -> Option<ErrorKind> {
     ErrorKind::ALL
         .into_iter()
-        .find(|kind| kind.answer().name == name)
+        .find(|kind| kind.response().name == name)
 }
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -106,7 +106,7 @@
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
             };
-            if !failure.kind.answer().retryable {
+            if !failure.kind.response().retryable {
                 return Err(failure);
             }
             if failure.is_silence {
--- a/crates/petrellatch/src/error.rs
+++ b/crates/petrellatch/src/error.rs
@@ -76,7 +76,7 @@
         source: std::io::Error,
     },
     /// The system refused a request of an operator, or could not be reached.
-    #[snafu(display("{}: {message}", kind.answer().name))]
+    #[snafu(display("{}: {message}", kind.response().name))]
     Request {
         /// The kind.
         kind: ErrorKind,
--- a/crates/petrellatch/src/http/message.rs
+++ b/crates/petrellatch/src/http/message.rs
@@ -96,7 +96,7 @@
     }
 
     fn failure(kind: ErrorKind, document: &ErrorDocument) -> Self {
-        let answer = kind.answer();
+        let answer = kind.response();
         let body = serde_json::to_string(document).unwrap_or_default();
         HttpResponse {
             retry_after: document.error.retry_after_ms.map(Duration::from_millis),
--- a/crates/petrellatch/src/lib.rs
+++ b/crates/petrellatch/src/lib.rs
@@ -124,6 +124,6 @@
         return ExitCode::SUCCESS;
     };
     eprintln!("petrellatch: {error}");
-    let code = error.kind().answer().exit_code;
+    let code = error.kind().response().exit_code;
     ExitCode::from(u8::try_from(code).unwrap_or(1))
 }
--- a/crates/petrellatch/src/usage.rs
+++ b/crates/petrellatch/src/usage.rs
@@ -92,6 +92,6 @@
 /// Reports a wrong command line.
 pub fn wrong_usage(message: &str) -> ExitCode {
     eprintln!("petrellatch: {message}; see petrellatch --help");
-    let code = ErrorKind::InvalidSettings.answer().exit_code;
+    let code = ErrorKind::InvalidSettings.response().exit_code;
     ExitCode::from(u8::try_from(code).unwrap_or(1))
 }
--- a/crates/petrellatch/tests/catalogues.rs
+++ b/crates/petrellatch/tests/catalogues.rs
@@ -20,7 +20,7 @@
 }
 
 fn retry_after(kind: ErrorKind) -> String {
-    match kind.answer().retry_after {
+    match kind.response().retry_after {
         Some(wait) => format!("{} ms", wait.as_millis()),
         None => "-".to_string(),
     }
@@ -35,7 +35,7 @@
     let expected: Vec<String> = ErrorKind::ALL
         .into_iter()
         .map(|kind| {
-            let answer = kind.answer();
+            let answer = kind.response();
             let retry = if answer.retryable { "yes" } else { "no" };
             let (status, code) = (answer.http_status, answer.exit_code);
             let wait = retry_after(kind);
--- a/crates/petrellatch/tests/refused_starts.rs
+++ b/crates/petrellatch/tests/refused_starts.rs
@@ -98,7 +98,7 @@
     fs::write(cluster.folder.path().join("other"), OTHER_KEY).expect("it is written");
     let other = read_cluster_key(&cluster.folder.path().join("other")).expect("a sound key");
     let error = refusal(|| open_replica_folder(&settings, &other));
-    assert_eq!(error.kind().answer().name, "invalid_settings");
+    assert_eq!(error.kind().response().name, "invalid_settings");
     assert!(error.to_string().contains("belongs to cluster"), "{error}");
 }
 
