--- a/crates/petrellatch-core/src/cluster/cluster_view.rs
+++ b/crates/petrellatch-core/src/cluster/cluster_view.rs
@@ -148,7 +148,7 @@
 
     /// Returns a service by the operator's name for it.
     pub fn service_by_name(&self, name: &str) -> Option<&ServiceRecord> {
-        let ids = self.index.services_named_like(name);
+        let ids = self.index.services_with_name_hash(name);
         let mut found = ids.filter_map(|id| self.service(id));
         found.find(|service| service.name == name)
     }
@@ -182,7 +182,7 @@
 
     /// Returns a back end by the operator's name for it.
     pub fn backend_by_name(&self, name: &str) -> Option<&BackendRecord> {
-        let ids = self.index.backends_named_like(name);
+        let ids = self.index.backends_with_name_hash(name);
         let mut found = ids.filter_map(|id| self.backend(id));
         found.find(|backend| backend.name == name)
     }
--- a/crates/petrellatch-core/src/cluster/record_index.rs
+++ b/crates/petrellatch-core/src/cluster/record_index.rs
@@ -39,7 +39,7 @@
 
 impl RecordIndex {
     /// Returns the services whose names have the hash of `name`.
-    pub(super) fn services_named_like(&self, name: &str) -> impl Iterator<Item = ServiceId> {
+    pub(super) fn services_with_name_hash(&self, name: &str) -> impl Iterator<Item = ServiceId> {
         let hash = NameHash::of(name);
         let all = (hash, ServiceId(0))..=(hash, ServiceId(u32::MAX));
         self.services_by_name.range(all).map(|(_, id)| *id)
@@ -55,20 +55,20 @@
     }
 
     /// Returns the back ends whose names have the hash of `name`.
-    pub(super) fn backends_named_like(&self, name: &str) -> impl Iterator<Item = BackendId> {
-        let all = with_any_backend(NameHash::of(name));
+    pub(super) fn backends_with_name_hash(&self, name: &str) -> impl Iterator<Item = BackendId> {
+        let all = all_backends_with(NameHash::of(name));
         self.backends_by_name.range(all).map(|(_, id)| *id)
     }
 
     /// Returns the back ends of a service in ascending order.
     pub(super) fn backends_of(&self, service: ServiceId) -> impl Iterator<Item = BackendId> {
-        let all = with_any_backend(service);
+        let all = all_backends_with(service);
         self.backends_by_service.range(all).map(|(_, id)| *id)
     }
 
     /// Returns the back ends beside an agent in ascending order.
     pub(super) fn backends_of_agent(&self, agent: NodeId) -> impl Iterator<Item = BackendId> {
-        let all = with_any_backend(agent);
+        let all = all_backends_with(agent);
         self.backends_by_agent.range(all).map(|(_, id)| *id)
     }
 
@@ -121,6 +121,6 @@
 }
 
 /// Returns the range of all entries under one key.
-fn with_any_backend<Key: Copy>(key: Key) -> RangeInclusive<(Key, BackendId)> {
+fn all_backends_with<Key: Copy>(key: Key) -> RangeInclusive<(Key, BackendId)> {
     (key, BackendId(0))..=(key, BackendId(u64::MAX))
 }
--- a/crates/petrellatch-core/src/placement/assignment.rs
+++ b/crates/petrellatch-core/src/placement/assignment.rs
@@ -31,7 +31,7 @@
 
 /// A bucket that a back end holds for now.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct HeldBucket {
+struct AcceptedBucket {
     cost: u64,
     bucket: u32,
 }
@@ -46,8 +46,8 @@
 /// Returns for each bucket the position of its back end in `candidates`. The
 /// quotas must add up to `bucket_count`.
 pub(super) fn assign(bucket_count: u32, candidates: &[Candidate], quotas: &[u32]) -> Box<[u16]> {
-    let mut held: Vec<Vec<HeldBucket>> = Vec::with_capacity(candidates.len());
-    held.resize_with(candidates.len(), Vec::new);
+    let mut accepted: Vec<Vec<AcceptedBucket>> = Vec::with_capacity(candidates.len());
+    accepted.resize_with(candidates.len(), Vec::new);
     let mut proposals: Vec<Proposal> = (0..bucket_count)
         .map(|bucket| Proposal {
             bucket,
@@ -56,18 +56,18 @@
         .collect();
     while !proposals.is_empty() {
         for proposal in proposals.drain(..) {
-            propose(&proposal, candidates, &mut held);
+            propose(&proposal, candidates, &mut accepted);
         }
-        for (position, buckets) in held.iter_mut().enumerate() {
+        for (position, buckets) in accepted.iter_mut().enumerate() {
             let quota = quotas[position] as usize;
             reject_above_quota(position, quota, buckets, &mut proposals);
         }
     }
-    collect_positions(bucket_count, &held)
+    collect_positions(bucket_count, &accepted)
 }
 
 /// Adds the bucket to its most preferred back end after the last rejection.
-fn propose(proposal: &Proposal, candidates: &[Candidate], held: &mut [Vec<HeldBucket>]) {
+fn propose(proposal: &Proposal, candidates: &[Candidate], accepted: &mut [Vec<AcceptedBucket>]) {
     let next = preferences(proposal.bucket, candidates)
         .filter(|&preference| Some(preference) > proposal.rejected_by)
         .min();
@@ -75,7 +75,7 @@
     let Some((cost, position)) = next else {
         return;
     };
-    held[usize::from(position)].push(HeldBucket {
+    accepted[usize::from(position)].push(AcceptedBucket {
         cost,
         bucket: proposal.bucket,
     });
@@ -96,7 +96,7 @@
 fn reject_above_quota(
     position: usize,
     quota: usize,
-    buckets: &mut Vec<HeldBucket>,
+    buckets: &mut Vec<AcceptedBucket>,
     proposals: &mut Vec<Proposal>,
 ) {
     if buckets.len() <= quota {
@@ -112,11 +112,11 @@
 }
 
 /// Turns the lists of buckets into one position for each bucket.
-fn collect_positions(bucket_count: u32, held: &[Vec<HeldBucket>]) -> Box<[u16]> {
+fn collect_positions(bucket_count: u32, accepted: &[Vec<AcceptedBucket>]) -> Box<[u16]> {
     let mut positions = vec![0; bucket_count as usize].into_boxed_slice();
-    for (position, buckets) in held.iter().enumerate() {
-        for held_bucket in buckets {
-            positions[held_bucket.bucket as usize] = position as u16;
+    for (position, buckets) in accepted.iter().enumerate() {
+        for accepted_bucket in buckets {
+            positions[accepted_bucket.bucket as usize] = position as u16;
         }
     }
     positions
--- a/crates/petrellatch-core/src/policy/checker.rs
+++ b/crates/petrellatch-core/src/policy/checker.rs
@@ -51,7 +51,7 @@
 ];
 
 /// What the checker found out about an expression.
-pub(super) struct Checked {
+pub(super) struct CheckedExpression {
     /// The type of the result.
     pub(super) result: ExpressionType,
     /// The label keys that the expression names, sorted.
@@ -65,7 +65,7 @@
     part: PolicyPart,
     info: &SourceInfo,
     root: &Expression,
-) -> Result<Checked, PolicyError> {
+) -> Result<CheckedExpression, PolicyError> {
     let mut checker = Checker {
         part,
         info,
@@ -82,7 +82,7 @@
         let maximum = MAXIMUM_LABELS;
         return Err(checker.refuse(root, PolicyErrorReason::TooManyLabels { maximum }));
     }
-    Ok(Checked {
+    Ok(CheckedExpression {
         result,
         label_keys: checker.label_keys,
         backend_fields: checker.backend_fields,
@@ -103,7 +103,7 @@
 impl Checker<'_> {
     /// Checks a node and all below it, and returns its type.
     fn visit(&mut self, node: &Expression) -> Result<ExpressionType, PolicyError> {
-        self.count(node)?;
+        self.count_node(node)?;
         self.depth += 1;
         let result = self.visit_kind(node)?;
         self.depth -= 1;
@@ -111,7 +111,7 @@
     }
 
     /// Counts a node against the limits.
-    fn count(&mut self, node: &Expression) -> Result<(), PolicyError> {
+    fn count_node(&mut self, node: &Expression) -> Result<(), PolicyError> {
         self.nodes += 1;
         self.cost += 1;
         if matches!(&node.expr, Expr::Call(call) if !is_operator(call)) {
@@ -198,7 +198,7 @@
     ) -> Result<ExpressionType, PolicyError> {
         let selected = match &select.operand.expr {
             Expr::Ident(variable) => {
-                self.count(&select.operand)?;
+                self.count_node(&select.operand)?;
                 self.field_type(node, variable, &select.field)?
             }
             _ => {
--- a/crates/petrellatch-core/src/policy/context.rs
+++ b/crates/petrellatch-core/src/policy/context.rs
@@ -92,11 +92,11 @@
             Some((SERVICE, field)) => self.service_field(field),
             None if variable == BACKEND => {
                 let fields = checker::BACKEND_FIELDS.iter();
-                Some(whole(fields, |field| self.backend_field(field)))
+                Some(map_of_fields(fields, |field| self.backend_field(field)))
             }
             None if variable == SERVICE => {
                 let fields = checker::SERVICE_FIELDS.iter();
-                Some(whole(fields, |field| self.service_field(field)))
+                Some(map_of_fields(fields, |field| self.service_field(field)))
             }
             _ => None,
         }
@@ -121,7 +121,7 @@
 }
 
 /// Makes a map of all fields that are present.
-fn whole<'value>(
+fn map_of_fields<'value>(
     fields: impl Iterator<Item = &'value (&'static str, ExpressionType)>,
     value_of: impl Fn(&str) -> Option<CowVal<'value, 'value>>,
 ) -> CowVal<'value, 'value> {
--- a/crates/petrellatch-core/src/policy/edge_cases.rs
+++ b/crates/petrellatch-core/src/policy/edge_cases.rs
@@ -6,7 +6,7 @@
 use super::view::{BackendView, HEALTH_SCALE, ServiceView};
 
 /// The name of generated back ends, for error messages.
-const NAME: &str = "(edge case)";
+const GENERATED_NAME: &str = "(edge case)";
 
 /// The zone of generated back ends that no real back end has.
 const UNKNOWN_ZONE: &str = "(unknown zone)";
@@ -50,19 +50,23 @@
     let loads = loads();
     let mut backends = Vec::new();
     for zone in zones(current) {
-        backends.extend(place(&loads, &zone, &Labels::new()));
+        backends.extend(with_zone_and_labels(&loads, &zone, &Labels::new()));
     }
     let zone = current
         .first()
         .map_or(UNKNOWN_ZONE, |backend| &backend.zone);
     for labels in label_sets(current, label_keys) {
-        backends.extend(place(&loads, zone, &labels));
+        backends.extend(with_zone_and_labels(&loads, zone, &labels));
     }
     backends
 }
 
 /// Returns the back ends with this zone and these labels.
-fn place(loads: &[BackendView], zone: &str, labels: &Labels) -> impl Iterator<Item = BackendView> {
+fn with_zone_and_labels(
+    loads: &[BackendView],
+    zone: &str,
+    labels: &Labels,
+) -> impl Iterator<Item = BackendView> {
     loads.iter().map(|load| BackendView {
         zone: zone.to_owned(),
         labels: labels.clone(),
@@ -73,7 +77,7 @@
 /// Returns back ends without zone and labels, with all combinations of load.
 fn loads() -> Vec<BackendView> {
     let mut loads = vec![BackendView {
-        name: NAME.to_owned(),
+        name: GENERATED_NAME.to_owned(),
         ..BackendView::default()
     }];
     loads = vary(&loads, &SLOTS, |load, (slots, free_slots)| {
--- a/crates/petrellatch-core/src/policy/expression.rs
+++ b/crates/petrellatch-core/src/policy/expression.rs
@@ -4,7 +4,7 @@
 use cel::parser::Expression;
 use cel::{Context, ExecutionError, ParseErrors, Program, Value};
 
-use super::checker::{self, Checked};
+use super::checker::{self, CheckedExpression};
 use super::context;
 use super::error::{PolicyError, PolicyErrorReason};
 use super::expression_type::ExpressionType;
@@ -32,7 +32,7 @@
             .map_err(|errors| syntax_error(part, &errors))?;
         let checked = checker::check(part, program.source_info(), program.expression())?;
         check_result(part, checked.result)?;
-        let Checked {
+        let CheckedExpression {
             label_keys,
             backend_fields,
             ..
@@ -58,7 +58,7 @@
     /// Evaluates the expression.
     pub(super) fn evaluate(&self, variables: &Context<'_, '_>) -> Result<Value, PolicyError> {
         self.program.execute(variables).map_err(|error| {
-            let failed = locate(self.program.expression(), variables, &error);
+            let failed = find_failed_node(self.program.expression(), variables, &error);
             let position = SourcePosition::of_node(self.program.source_info(), failed.id);
             let message = describe(&error);
             PolicyError::new(
@@ -143,7 +143,7 @@
 }
 
 /// Returns the innermost node that fails by itself with the same error.
-fn locate<'tree>(
+fn find_failed_node<'tree>(
     node: &'tree Expression,
     variables: &Context<'_, '_>,
     error: &ExecutionError,
@@ -153,7 +153,7 @@
         .into_iter()
         .find(|child| Value::resolve(child, variables).as_ref() == Err(error));
     match failing {
-        Some(child) => locate(child, variables, error),
+        Some(child) => find_failed_node(child, variables, error),
         None => node,
     }
 }
--- a/crates/petrellatch-core/src/policy/shares.rs
+++ b/crates/petrellatch-core/src/policy/shares.rs
@@ -21,7 +21,7 @@
 impl Shares {
     /// Returns whether no back end receives new flows, because none is
     /// eligible or all weights are zero.
-    pub fn receives_nothing(&self) -> bool {
+    pub fn all_weights_are_zero(&self) -> bool {
         self.shares.iter().all(|share| share.weight == 0)
     }
 }
@@ -52,7 +52,7 @@
             explanation,
         });
     }
-    fill_parts(&mut result);
+    fill_per_mille(&mut result);
     result
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// Writes into each explanation its part of the sum of all shares.
-fn fill_parts(shares: &mut Shares) {
+fn fill_per_mille(shares: &mut Shares) {
     let total: u64 = shares.shares.iter().map(|it| u64::from(it.weight)).sum();
     for explanation in &mut shares.explanations {
         if let Explanation::Weighted {
--- a/crates/petrellatch-core/src/policy/tests.rs
+++ b/crates/petrellatch-core/src/policy/tests.rs
@@ -238,11 +238,11 @@
 #[test]
 fn no_eligible_backend_is_told_from_zero_weights() {
     let none = shares(&compile("false", "1.0"), &service(), &[backend(1)]);
-    assert!(none.none_eligible && none.receives_nothing());
+    assert!(none.none_eligible && none.all_weights_are_zero());
     let zero = shares(&compile("true", "0"), &service(), &[backend(1)]);
-    assert!(!zero.none_eligible && zero.receives_nothing());
+    assert!(!zero.none_eligible && zero.all_weights_are_zero());
     let empty = shares(&compile("true", "1.0"), &service(), &[]);
-    assert!(empty.none_eligible && empty.receives_nothing());
+    assert!(empty.none_eligible && empty.all_weights_are_zero());
 }
 
 #[test]
