--- a/crates/petrellatch-core/src/routing/drop_reason.rs
+++ b/crates/petrellatch-core/src/routing/drop_reason.rs
@@ -1,33 +1,37 @@
-//! Why a packet was not passed on.
+//! The reasons for dropping a packet.
 
 use crate::flow::PacketError;
 
-/// Why a balancer or an agent dropped a packet. The caller's TCP sends it
-/// again, so that no reason but the malformed ones loses a flow by itself.
+/// Why a balancer or an agent dropped a packet. The caller's TCP retransmits
+/// it, so a drop alone doesn't end a flow, unless its packets are malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DropReason {
-    /// The packet can't be read.
+    /// The packet can't be parsed.
     Malformed(PacketError),
-    /// The daemon has not heard from the leader since it started.
+    /// The daemon's view of the cluster is not up to date: it has received
+    /// nothing from the leader since it started.
     NotCurrent,
     /// No service has the destination address.
     UnknownService,
     /// The datagram names another service than the packet's destination.
     WrongService,
-    /// The datagram names a back end that is not of this agent and service.
+    /// The datagram names a back end that doesn't belong to this agent and
+    /// service.
     WrongBackend,
-    /// The datagram is meant for another life of the agent.
+    /// The datagram is addressed to another incarnation of the agent.
     WrongIncarnation,
-    /// No back end receives new flows.
+    /// No back end owns the packet's bucket.
     NoOwner,
-    /// The owner is not a member any more, or its address is not known.
+    /// The owner's incarnation is not a member any more, or its address is not
+    /// known.
     UnknownAgent,
-    /// It was passed on too often.
+    /// The packet was forwarded the maximum number of times.
     TooManyHops,
-    /// This agent may not admit now: no lease.
+    /// The agent may not admit flows, since it has no valid lease.
     NoLease,
-    /// The packet opens a flow that is already being decided about.
+    /// The packet is a duplicate of a SYN that was just forwarded, whose
+    /// admission is still being decided.
     Repeated,
-    /// An earlier owner may still admit or hold flows of the bucket.
+    /// A previous owner of the bucket may still admit flows or own open ones.
     Unsettled,
 }
--- a/crates/petrellatch-core/src/routing/mod.rs
+++ b/crates/petrellatch-core/src/routing/mod.rs
@@ -1,13 +1,13 @@
-//! Routing: from a caller packet to the agent that admits or has its flow.
+//! Routing of a caller's packet to the agent that admits or owns its flow.
 //!
 //! A balancer looks up the service by the packet's destination, the bucket by
 //! its flow key, and the bucket's owner in the newest placement generation.
 //! It keeps no state per flow, so any balancer may see any packet of a flow.
 //!
-//! Guarantees: a packet is sent only to an agent that owns a bucket of the
-//! service whose address the packet carries, by the newest view of this
-//! balancer; what can't be routed is dropped with a [`DropReason`]. Tables are
-//! computed once for each generation and kept when other records change.
+//! Guarantees: a packet is sent only to the agent that owns the packet's bucket
+//! in this balancer's newest view; a packet that can't be routed is dropped
+//! with a [`DropReason`]. Tables are computed once for each generation and
+//! kept when other records change.
 //!
 //! ```
 //! use petrellatch_core::cluster::ClusterView;
--- a/crates/petrellatch-core/src/routing/placed_generation.rs
+++ b/crates/petrellatch-core/src/routing/placed_generation.rs
@@ -1,27 +1,27 @@
-//! One placement generation, ready for lookups.
+//! One placement generation with its computed bucket table.
 
 use petrellatch_proto::record::{GenerationRecord, ServiceRecord, ShareRecord};
 
 use crate::identity::{BackendId, BucketIndex, Incarnation, NodeId, ServiceId};
 use crate::placement::{BucketTable, Share};
 
-/// One life of an agent node.
+/// One incarnation of an agent node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AgentIncarnation {
     /// The node.
     pub node: NodeId,
-    /// The life.
+    /// The incarnation.
     pub incarnation: Incarnation,
 }
 
-/// Who admits the new flows of a bucket by one generation.
+/// The back end and agent that decide on the new flows of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BucketOwner {
     /// The back end.
     pub backend: BackendId,
-    /// The agent beside it.
+    /// The back end's agent.
     pub agent: AgentIncarnation,
-    /// The generation that says so.
+    /// The number of the generation that names this owner.
     pub generation: u64,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacedGeneration {
     number: u64,
-    /// In the order of back ends.
+    /// Sorted by back end.
     shares: Box<[ShareRecord]>,
     /// Whether any back end receives new flows.
     admits: bool,
@@ -37,7 +37,7 @@
 }
 
 impl PlacedGeneration {
-    /// Computes the table.
+    /// Computes the bucket table of a generation.
     pub fn compute(service: &ServiceRecord, generation: &GenerationRecord) -> Self {
         let admits = generation.admits();
         let owners = generation.owners();
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Returns whether this was computed from `generation`.
+    /// Returns whether this was computed from equal records, so that its table
+    /// can be kept.
     pub fn is_computed_from(&self, service: &ServiceRecord, generation: &GenerationRecord) -> bool {
         self.table.service() == ServiceId(service.id)
             && self.number == generation.number
@@ -66,8 +67,8 @@
         self.number
     }
 
-    /// Returns the shares of the generation in the order of back ends, those
-    /// without weight included.
+    /// Returns the shares of the generation sorted by back end, including those
+    /// of weight zero.
     pub fn shares(&self) -> &[ShareRecord] {
         &self.shares
     }
@@ -83,7 +84,7 @@
         self.admits
     }
 
-    /// Returns who decides about the new flows of `bucket`.
+    /// Returns the owner of `bucket`, which admits or refuses its new flows.
     pub fn owner(&self, bucket: BucketIndex) -> Option<BucketOwner> {
         let share = &self.shares[self.owner_position(bucket)?];
         Some(BucketOwner {
@@ -93,8 +94,8 @@
         })
     }
 
-    /// Returns the position among [`PlacedGeneration::shares`] of the back end
-    /// that gets the new flows of `bucket`.
+    /// Returns the index in [`PlacedGeneration::shares`] of the back end that
+    /// owns `bucket`.
     pub fn owner_position(&self, bucket: BucketIndex) -> Option<usize> {
         let backend = self.table.primary(bucket)?;
         let found = self
@@ -108,7 +109,8 @@
         self.table.buckets()
     }
 
-    /// Returns the lives of the agents that own buckets.
+    /// Returns the agents that own buckets; one is repeated for each of its
+    /// back ends.
     pub fn owning_agents(&self) -> impl Iterator<Item = AgentIncarnation> {
         self.shares
             .iter()
@@ -116,7 +118,8 @@
             .map(agent_of)
     }
 
-    /// Returns the lives of all agents with a share, also without weight.
+    /// Returns the agents of all shares, including those of weight zero; one is
+    /// repeated for each of its back ends.
     pub fn agents(&self) -> impl Iterator<Item = AgentIncarnation> {
         self.shares.iter().map(agent_of)
     }
@@ -131,7 +134,8 @@
     }
 }
 
-/// Owners that admit nothing have equal parts.
+/// Returns the input of the bucket table. If no back end receives new flows,
+/// the owners, which refuse them, have equal weights.
 fn share_of(share: &ShareRecord, admits: bool) -> Share {
     Share {
         backend: BackendId(share.backend),
--- a/crates/petrellatch-core/src/routing/router.rs
+++ b/crates/petrellatch-core/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The balancer's lookup from packet to agent.
+//! The balancer's lookup of the agent for a packet.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
@@ -16,23 +16,23 @@
 pub struct Router {
     sender: NodeId,
     routes: HashMap<SocketAddrV4, Box<ServiceRoute>>,
-    /// Where the route of each service is found.
+    /// The key of each service's route in `routes`.
     addresses: BTreeMap<ServiceId, SocketAddrV4>,
     /// The services in which a node has a share.
     services_of: BTreeSet<(NodeId, ServiceId)>,
 }
 
-/// What is needed to route the packets of one service.
+/// The data for routing the packets of one service.
 struct ServiceRoute {
     service: ServiceId,
     generation: PlacedGeneration,
-    /// Where the agent of each share receives packets; none if its life is not
-    /// a member.
+    /// For each share the address at which its agent receives packets, or none
+    /// if that incarnation of the agent is not a member.
     agents: Box<[Option<SocketAddrV4>]>,
 }
 
 impl Router {
-    /// Makes a router without routes; `sender` is the balancer's node.
+    /// Creates a router without routes; `sender` is the balancer's node.
     pub fn new(sender: NodeId) -> Self {
         Router {
             sender,
@@ -42,16 +42,18 @@
         }
     }
 
-    /// Takes over a whole view. The tables of unchanged generations are kept.
+    /// Updates the routes of all services from `view`. The tables of unchanged
+    /// generations are kept.
     pub fn refresh(&mut self, view: &ClusterView) {
-        let known = self.addresses.keys().copied();
+        let routed = self.addresses.keys().copied();
         let present = view.services().map(|service| ServiceId(service.id));
-        let all: BTreeSet<ServiceId> = known.chain(present).collect();
+        let all: BTreeSet<ServiceId> = routed.chain(present).collect();
         self.replace_routes(view, &all);
     }
 
-    /// Takes over the records of a newer view that changed. The cost depends
-    /// on these alone, not on the size of the cluster.
+    /// Updates the routes that depend on the changed records of a newer view.
+    /// The cost depends on the number of changes, not on the size of the
+    /// cluster.
     pub fn apply_changes(&mut self, view: &ClusterView, keys: &[RecordKey]) {
         let mut services = BTreeSet::new();
         for key in keys {
@@ -60,14 +62,15 @@
                     services.insert(ServiceId(*id));
                 }
                 RecordKey::Member(node) => services.extend(self.services_of(NodeId(*node))),
-                // Placements name the back ends; nothing else of them routes.
+                // Placements contain all that routing needs of a back end.
                 RecordKey::Backend(_) | RecordKey::Policy(_) => {}
             }
         }
         self.replace_routes(view, &services);
     }
 
-    /// Finds the agent for a packet and wraps the packet for it.
+    /// Returns the address of the agent for a packet, and the datagram that
+    /// forwards the packet to it.
     pub fn route(&self, packet: &[u8]) -> Result<(SocketAddrV4, DataDatagram), DropReason> {
         let view = PacketView::parse(packet).map_err(DropReason::Malformed)?;
         let route = self
@@ -95,19 +98,20 @@
         Ok((address, datagram))
     }
 
-    /// Makes the routes of some services anew. All old ones go first, since a
-    /// new service may have the address of a removed one.
+    /// Rebuilds the routes of some services. All old routes are removed first,
+    /// since a new service may have the address of a removed one.
     fn replace_routes(&mut self, view: &ClusterView, services: &BTreeSet<ServiceId>) {
-        let mut former = BTreeMap::new();
+        let mut previous = BTreeMap::new();
         for service in services {
             if let Some(route) = self.remove_route(*service) {
-                former.insert(*service, route.generation);
+                previous.insert(*service, route.generation);
             }
         }
         for service in services {
-            let kept = former.remove(service);
+            let previous_generation = previous.remove(service);
             let record = view.service(*service);
-            let route = record.and_then(|record| ServiceRoute::new(view, record, kept));
+            let route =
+                record.and_then(|record| ServiceRoute::new(view, record, previous_generation));
             if let (Some(record), Some(route)) = (record, route) {
                 self.insert_route(record.address.into(), route);
             }
@@ -138,16 +142,18 @@
 }
 
 impl ServiceRoute {
-    /// Returns none for a service that was never placed.
+    /// Builds the route of a service from its newest generation, or returns none
+    /// for a service that was never placed. `previous_generation` is reused if
+    /// it is still the newest one.
     fn new(
         view: &ClusterView,
         service: &ServiceRecord,
-        kept: Option<PlacedGeneration>,
+        previous_generation: Option<PlacedGeneration>,
     ) -> Option<Self> {
         let id = ServiceId(service.id);
         let newest = view.placement(id)?.generations.last()?;
-        let generation = kept
-            .filter(|kept| kept.is_computed_from(service, newest))
+        let generation = previous_generation
+            .filter(|previous| previous.is_computed_from(service, newest))
             .unwrap_or_else(|| PlacedGeneration::compute(service, newest));
         let shares = generation.shares().iter();
         let agents = shares.map(|share| agent_address(view, share)).collect();
@@ -159,6 +165,8 @@
     }
 }
 
+/// Returns the data address of a share's agent if the incarnation in the share
+/// is a member.
 fn agent_address(view: &ClusterView, share: &ShareRecord) -> Option<SocketAddrV4> {
     let member = view.member(NodeId(share.node))?;
     let is_same_incarnation = member.incarnation == share.incarnation;
--- a/crates/petrellatch-core/src/routing/tests.rs
+++ b/crates/petrellatch-core/src/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of routing.
+//! Tests of the router.
 
 use petrellatch_proto::dissemination::Delta;
 use petrellatch_proto::record::{
@@ -71,7 +71,7 @@
     );
 }
 
-/// A packet from a caller to this address; which one does not matter.
+/// Returns a packet from a caller to this address, from a fixed source.
 fn packet_to(address: &str) -> Vec<u8> {
     let mut bytes = vec![0; 40];
     bytes[0] = 0x45;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_has_no_owner_is_dropped_with_a_reason() {
+fn packets_without_a_reachable_owner_are_dropped_with_a_reason() {
     let mut view = view();
     let mut router = Router::new(NodeId(1));
     router.refresh(&view);
@@ -117,8 +117,8 @@
     );
     router.refresh(&view);
     assert_eq!(route(&router, "10.9.0.1"), DropReason::NoOwner);
-    // Without a back end that receives new flows, those without weight own the
-    // buckets and refuse.
+    // If no back end receives new flows, those of weight zero own the buckets
+    // and refuse new flows.
     place(&mut view, 1, 50, 0);
     router.refresh(&view);
     let (_, datagram) = router.route(&packet_to("10.9.0.1")).unwrap();
@@ -132,27 +132,28 @@
     assert!(router.route(&packet_to("10.9.0.1")).is_ok());
 }
 
-/// Two routers must send the packets of many callers alike.
-fn assert_same_routes(changed: &Router, fresh: &Router) {
+/// Asserts that two routers send the packets of many callers to the same
+/// agents, with equal datagrams.
+fn assert_same_routes(updated: &Router, fresh: &Router) {
     for address in ["10.9.0.1", "10.9.0.2"] {
         for port in 0..64 {
             let mut packet = packet_to(address);
             packet[20..22].copy_from_slice(&(2_000_u16 + port).to_be_bytes());
-            assert_eq!(changed.route(&packet), fresh.route(&packet));
+            assert_eq!(updated.route(&packet), fresh.route(&packet));
         }
     }
 }
 
 #[test]
-fn changes_lead_to_the_same_routes_as_the_whole_view() {
+fn applied_changes_give_the_same_routes_as_a_full_refresh() {
     let mut view = view();
-    let mut changed = Router::new(NodeId(1));
-    changed.refresh(&view);
+    let mut updated = Router::new(NodeId(1));
+    updated.refresh(&view);
     let mut check = |view: &ClusterView, key: RecordKey| {
-        changed.apply_changes(view, &[key]);
+        updated.apply_changes(view, &[key]);
         let mut fresh = Router::new(NodeId(1));
         fresh.refresh(view);
-        assert_same_routes(&changed, &fresh);
+        assert_same_routes(&updated, &fresh);
     };
     place(&mut view, 1, 50, 10);
     check(&view, RecordKey::Placement(DESK));
