--- a/crates/petrellatch-core/src/cluster/cluster_view.rs
+++ b/crates/petrellatch-core/src/cluster/cluster_view.rs
@@ -1,4 +1,4 @@
-//! The records of one version.
+//! All records of the cluster at one version.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -17,7 +17,7 @@
 /// Why a delta or snapshot was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ApplyError {
-    /// The delta does not follow the version in force.
+    /// The delta does not follow the current version.
     #[snafu(display("delta {version} does not follow version {current}"))]
     OutOfOrder {
         /// The version in force.
@@ -25,7 +25,7 @@
         /// The version of the delta.
         version: u64,
     },
-    /// The snapshot is not newer than the version in force.
+    /// The snapshot is not newer than the current version.
     #[snafu(display("snapshot {version} is not newer than version {current}"))]
     Older {
         /// The version in force.
@@ -39,7 +39,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterView {
     version: u64,
-    // Records are boxed, since half of the room in a tree's nodes is empty.
+    // Most records are boxed, since half of the space in the nodes of a B-tree
+    // is unused.
     services: BTreeMap<ServiceId, Box<ServiceRecord>>,
     backends: BTreeMap<BackendId, Box<BackendRecord>>,
     policies: BTreeMap<String, PolicyRecord>,
@@ -49,17 +50,17 @@
 }
 
 impl ClusterView {
-    /// Makes an empty view at version zero.
+    /// Creates an empty view at version zero.
     pub fn new() -> Self {
         ClusterView::default()
     }
 
-    /// Returns the version in force.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Applies the delta that follows the version in force.
+    /// Applies the delta that follows the current version.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), ApplyError> {
         ensure!(
             delta.version == self.version + 1,
@@ -73,19 +74,19 @@
         Ok(())
     }
 
-    /// Adds changes to the version in force, while it is still being made.
+    /// Adds changes to the current version, while it is still being built.
     pub(crate) fn amend(&mut self, changes: &[RecordChange]) {
         for change in changes {
             self.apply_change(change);
         }
     }
 
-    /// Begins the next version.
+    /// Starts the next version.
     pub(crate) fn begin_version(&mut self) {
         self.version += 1;
     }
 
-    /// Replaces the whole content by a snapshot of a newer version.
+    /// Replaces all records by a snapshot of a newer version.
     pub fn replace(&mut self, version: u64, records: &[RecordChange]) -> Result<(), ApplyError> {
         ensure!(
             version > self.version,
@@ -123,8 +124,8 @@
 
     /// Returns the number of records.
     pub fn record_count(&self) -> usize {
-        let placed = self.services.len() + self.backends.len() + self.placements.len();
-        placed + self.policies.len() + self.members.len()
+        let by_service = self.services.len() + self.backends.len() + self.placements.len();
+        by_service + self.policies.len() + self.members.len()
     }
 
     /// Returns the keys of all records.
@@ -159,17 +160,17 @@
         self.service(id)
     }
 
-    /// Returns all services by identifier.
+    /// Returns all services in the order of identifiers.
     pub fn services(&self) -> impl Iterator<Item = &ServiceRecord> {
         self.services.values().map(Box::as_ref)
     }
 
-    /// Returns how many services there are.
+    /// Returns the number of services.
     pub fn service_count(&self) -> usize {
         self.services.len()
     }
 
-    /// Returns the services that use a policy, by identifier.
+    /// Returns the services that use a policy, in the order of identifiers.
     pub fn services_of_policy(&self, policy: &str) -> impl Iterator<Item = &ServiceRecord> {
         let ids = self.index.services_of_policy(policy);
         ids.filter_map(|id| self.service(id))
@@ -187,23 +188,23 @@
         found.find(|backend| backend.name == name)
     }
 
-    /// Returns all back ends by identifier.
+    /// Returns all back ends in the order of identifiers.
     pub fn backends(&self) -> impl Iterator<Item = &BackendRecord> {
         self.backends.values().map(Box::as_ref)
     }
 
-    /// Returns how many back ends there are.
+    /// Returns the number of back ends.
     pub fn backend_count(&self) -> usize {
         self.backends.len()
     }
 
-    /// Returns the back ends beside one agent by identifier.
+    /// Returns the back ends of one agent in the order of identifiers.
     pub fn backends_of_agent(&self, agent: NodeId) -> impl Iterator<Item = &BackendRecord> {
         let ids = self.index.backends_of_agent(agent);
         ids.filter_map(|id| self.backend(id))
     }
 
-    /// Returns the back ends of one service by identifier.
+    /// Returns the back ends of one service in the order of identifiers.
     pub fn backends_of(&self, service: ServiceId) -> impl Iterator<Item = &BackendRecord> {
         let ids = self.index.backends_of(service);
         ids.filter_map(|id| self.backend(id))
@@ -214,12 +215,12 @@
         self.policies.get(name)
     }
 
-    /// Returns all policies by name.
+    /// Returns all policies in the order of names.
     pub fn policies(&self) -> impl Iterator<Item = &PolicyRecord> {
         self.policies.values()
     }
 
-    /// Returns how many policies there are.
+    /// Returns the number of policies.
     pub fn policy_count(&self) -> usize {
         self.policies.len()
     }
@@ -229,20 +230,20 @@
         self.members.get(&node).map(Box::as_ref)
     }
 
-    /// Returns whether this life of a node is a member. A life that is not one
-    /// (any more) has been fenced: it can admit nothing.
+    /// Returns whether this incarnation of a node is a member. One that is not a
+    /// member (any more) is fenced: it can't admit flows.
     pub fn is_member(&self, node: NodeId, incarnation: Incarnation) -> bool {
         self.members
             .get(&node)
             .is_some_and(|member| member.incarnation == incarnation.0)
     }
 
-    /// Returns all members by node.
+    /// Returns all members in the order of nodes.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(Box::as_ref)
     }
 
-    /// Returns how many members there are.
+    /// Returns the number of members.
     pub fn member_count(&self) -> usize {
         self.members.len()
     }
@@ -252,7 +253,7 @@
         self.placements.get(&service)
     }
 
-    /// Returns all placements by service.
+    /// Returns all placements in the order of services.
     pub fn placements(&self) -> impl Iterator<Item = &PlacementRecord> {
         self.placements.values()
     }
--- a/crates/petrellatch-core/src/cluster/mod.rs
+++ b/crates/petrellatch-core/src/cluster/mod.rs
@@ -1,8 +1,8 @@
-//! The versioned state that every process of the cluster holds.
+//! The versioned state of which every process of the cluster has a copy.
 //!
 //! The control group's replicated state and every daemon's copy of it are the
-//! same [`ClusterView`]: a set of records at one version. A view moves only
-//! forward, one version at a time by deltas or in one step by a snapshot.
+//! same [`ClusterView`]: a set of records at one version. The version only
+//! grows: by one with each delta, or to that of a newer snapshot.
 //!
 //! ```
 //! use petrellatch_core::cluster::ClusterView;
--- a/crates/petrellatch-core/src/cluster/record_index.rs
+++ b/crates/petrellatch-core/src/cluster/record_index.rs
@@ -1,4 +1,4 @@
-//! Finds records by what operators and callers know of them.
+//! Indexes for finding records by properties other than their identifiers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -10,11 +10,12 @@
 
 use crate::identity::{BackendId, NodeId, ServiceId};
 
-/// Identifiers of records by their other properties, so that no lookup walks
-/// over all records. Follows from the records alone.
+/// Maps other properties of records to their identifiers, so that no lookup
+/// scans all records. The content depends only on the records.
 ///
-/// Names are kept as hashes, which take a third of the room; who looks a name
-/// up compares it with the records found.
+/// Names are stored as hashes, which take a third of the memory. Different
+/// names may have the same hash, so the caller of a lookup compares the names
+/// of the records found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct RecordIndex {
     services_by_name: BTreeSet<(NameHash, ServiceId)>,
@@ -25,7 +26,7 @@
     backends_by_agent: BTreeSet<(NodeId, BackendId)>,
 }
 
-/// The hash of an operator's name for a record.
+/// The hash of the name that an operator gave a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct NameHash(u64);
 
@@ -66,7 +67,7 @@
         self.backends_by_service.range(all).map(|(_, id)| *id)
     }
 
-    /// Returns the back ends beside an agent in ascending order.
+    /// Returns the back ends of an agent in ascending order.
     pub(super) fn backends_of_agent(&self, agent: NodeId) -> impl Iterator<Item = BackendId> {
         let all = all_backends_with(agent);
         self.backends_by_agent.range(all).map(|(_, id)| *id)
@@ -81,7 +82,8 @@
         of_policy.or_default().insert(id);
     }
 
-    /// An address that another service has taken over in the meantime stays.
+    /// Removes a service. Its address stays if it belongs to another service by
+    /// now.
     pub(super) fn remove_service(&mut self, service: &ServiceRecord) {
         let id = ServiceId(service.id);
         let name = NameHash::of(&service.name);
@@ -120,7 +122,7 @@
     NodeId::from_name(&backend.agent)
 }
 
-/// Returns the range of all entries under one key.
+/// Returns the range of all entries with this key.
 fn all_backends_with<Key: Copy>(key: Key) -> RangeInclusive<(Key, BackendId)> {
     (key, BackendId(0))..=(key, BackendId(u64::MAX))
 }
--- a/crates/petrellatch-core/tests/cluster_index.rs
+++ b/crates/petrellatch-core/tests/cluster_index.rs
@@ -1,4 +1,4 @@
-//! Lookups in a cluster view follow every put and removal.
+//! Tests that lookups in a cluster view reflect every put and removal.
 
 use std::net::SocketAddrV4;
 
@@ -46,7 +46,7 @@
 fn apply(view: &mut ClusterView, changes: Vec<RecordChange>) {
     let version = view.version() + 1;
     view.apply(&Delta { version, changes })
-        .expect("the delta follows the version in force");
+        .expect("the delta follows the current version");
 }
 
 fn backends_of(view: &ClusterView, service: u32) -> Vec<u64> {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn lookups_find_what_was_put_last() {
+fn lookups_find_the_record_that_was_put_last() {
     let mut view = ClusterView::new();
     apply(
         &mut view,
@@ -63,14 +63,16 @@
     );
     apply(&mut view, vec![service(1, "desk", 90)]);
     assert!(view.service_by_address(address(80)).is_none());
-    let found = view.service_by_address(address(90)).expect("it moved");
+    let found = view
+        .service_by_address(address(90))
+        .expect("the service has a new address");
     assert_eq!(found.id, 1);
-    let found = view.service_by_name("map").expect("it was put");
+    let found = view.service_by_name("map").expect("the service was put");
     assert_eq!(found.id, 2);
 }
 
 #[test]
-fn back_ends_are_listed_in_order_and_leave_when_removed() {
+fn back_ends_are_listed_in_order_until_they_are_removed() {
     let mut view = ClusterView::new();
     let backends = vec![backend(9, "c", 1), backend(3, "a", 1), backend(5, "b", 2)];
     apply(&mut view, backends);
@@ -85,15 +87,15 @@
 }
 
 #[test]
-fn services_of_a_policy_and_back_ends_of_an_agent_follow_changes() {
-    let assigned = |id: u32, policy: &str| {
+fn services_of_a_policy_and_back_ends_of_an_agent_reflect_changes() {
+    let service_with_policy = |id: u32, policy: &str| {
         put(Record::Service(ServiceRecord {
             id,
             policy: policy.to_owned(),
             ..ServiceRecord::default()
         }))
     };
-    let beside = |id: u64, agent: &str| {
+    let backend_of_agent = |id: u64, agent: &str| {
         put(Record::Backend(BackendRecord {
             id,
             agent: agent.to_owned(),
@@ -101,8 +103,17 @@
         }))
     };
     let mut view = ClusterView::new();
-    apply(&mut view, vec![assigned(2, "even"), assigned(1, "even")]);
-    apply(&mut view, vec![beside(8, "a"), beside(4, "a")]);
+    apply(
+        &mut view,
+        vec![
+            service_with_policy(2, "even"),
+            service_with_policy(1, "even"),
+        ],
+    );
+    apply(
+        &mut view,
+        vec![backend_of_agent(8, "a"), backend_of_agent(4, "a")],
+    );
     let of_policy = |view: &ClusterView, policy: &str| -> Vec<u32> {
         view.services_of_policy(policy).map(|it| it.id).collect()
     };
@@ -112,7 +123,10 @@
     };
     assert_eq!(of_policy(&view, "even"), [1, 2]);
     assert_eq!(of_agent(&view, "a"), [4, 8]);
-    apply(&mut view, vec![assigned(1, "odd"), beside(8, "b")]);
+    apply(
+        &mut view,
+        vec![service_with_policy(1, "odd"), backend_of_agent(8, "b")],
+    );
     assert_eq!(of_policy(&view, "even"), [2]);
     assert_eq!(of_policy(&view, "odd"), [1]);
     assert_eq!(of_agent(&view, "a"), [4]);
@@ -125,16 +139,16 @@
 }
 
 #[test]
-fn a_name_or_address_that_was_taken_over_stays_with_its_new_record() {
+fn removing_a_record_keeps_the_name_and_address_of_its_successor() {
     let mut view = ClusterView::new();
     apply(&mut view, vec![service(1, "desk", 80), backend(1, "a", 1)]);
-    let takeover = vec![
+    let changes = vec![
         service(2, "desk", 80),
         backend(2, "a", 2),
         remove(RecordKey::Service(1)),
         remove(RecordKey::Backend(1)),
     ];
-    apply(&mut view, takeover);
+    apply(&mut view, changes);
     assert_eq!(view.service_by_name("desk").map(|it| it.id), Some(2));
     let at_address = view.service_by_address(address(80));
     assert_eq!(at_address.map(|it| it.id), Some(2));
