--- a/crates/petrellatch-core/src/error_kind.rs
+++ b/crates/petrellatch-core/src/error_kind.rs
@@ -1,29 +1,31 @@
-//! The closed list of error kinds and what each one means for a client.
+//! The error kinds and the response that a client gets for each of them.
 
 use std::time::Duration;
 
-/// Every kind of failure that a client of petrellatch can meet. The table in
-/// `docs/ERRORS.md` is checked against this list by a test.
+/// All kinds of errors that a client of petrellatch can get. A test compares
+/// this list with the table in `docs/ERRORS.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ErrorKind {
     /// The change was based on an older version than the current one.
     Conflict,
-    /// This replica is not the leader; the answer names the leader if known.
+    /// This replica is not the leader; the response names the leader if known.
     NotLeader,
     /// No leader with a quorum is reachable; whether a change that was sent is
-    /// accepted is unknown until it is resent with the same request id.
+    /// accepted is unknown until the client resends it with the same request
+    /// id.
     Unavailable,
-    /// The request was refused at once to protect the process; it did not run.
+    /// The request was refused without being executed, to protect the process
+    /// from overload.
     Overloaded,
     /// The document or request is larger than allowed.
     TooLarge,
-    /// The document or request is not well formed or names impossible values.
+    /// The document or request is malformed or has values out of range.
     Invalid,
     /// A policy does not compile, is too costly or yields an invalid weight.
     InvalidPolicy,
-    /// The named thing does not exist.
+    /// The named record does not exist.
     NotFound,
-    /// The deadline passed before the answer was known.
+    /// The deadline passed before the result was known.
     DeadlineExceeded,
     /// A settings file or flag is wrong.
     InvalidSettings,
@@ -31,29 +33,29 @@
     AddressUnavailable,
     /// Stored data fails its checksum.
     StorageDamaged,
-    /// Data could not be written and synced.
+    /// Data could not be written or synced.
     StorageFailed,
-    /// A fault of the program itself.
+    /// A bug in the program.
     Internal,
 }
 
-/// What a client gets for an error kind.
+/// The response that a client gets for an error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// The stable name in documents and logs.
+    /// The name of the error kind in JSON documents and logs. It never changes.
     pub name: &'static str,
     /// The HTTP status of the operator API.
     pub http_status: u16,
-    /// The exit code of the command line.
+    /// The exit code of the command-line program.
     pub exit_code: i32,
     /// Whether a client may send the same request again.
     pub retryable: bool,
-    /// How long a client waits before it does so.
+    /// How long a client waits before it sends the request again.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorKind {
-    /// All kinds, in the order of the documentation.
+    /// All error kinds, in the order of the documentation.
     pub const ALL: [ErrorKind; 14] = [
         ErrorKind::Conflict,
         ErrorKind::NotLeader,
@@ -71,7 +73,7 @@
         ErrorKind::Internal,
     ];
 
-    /// Returns what a client gets.
+    /// Returns the response that a client gets for this error kind.
     pub const fn response(self) -> ErrorResponse {
         const SOON: Option<Duration> = Some(Duration::from_millis(250));
         const LATER: Option<Duration> = Some(Duration::from_secs(1));
--- a/crates/petrellatch-core/src/identity.rs
+++ b/crates/petrellatch-core/src/identity.rs
@@ -17,31 +17,33 @@
 }
 
 identifier! {
-    /// A process of the system (control replica, balancer or agent). It is
-    /// derived from the node's configured name and stays the same across
-    /// restarts; see [`NodeId::from_name`].
+    /// Identifies a node (control replica, balancer or agent). It is derived from
+    /// the node's configured name and stays the same across restarts; see
+    /// [`NodeId::from_name`].
     NodeId(u64)
 }
 
 identifier! {
-    /// One life of a node. Drawn afresh at every start, so that a reused
-    /// address or name is never taken for its predecessor.
+    /// Identifies one run of a node's process. It is drawn at random at every
+    /// start, so that a process that reuses an address or a name is not mistaken
+    /// for its predecessor.
     Incarnation(u64)
 }
 
 identifier! {
-    /// A service. Assigned by the control group and never used twice.
+    /// Identifies a service. The control group assigns it and never reuses it.
     ServiceId(u32)
 }
 
 identifier! {
-    /// A back end. Assigned by the control group and never used twice: a back
-    /// end that is removed and created again has another identifier.
+    /// Identifies a back end. The control group assigns it and never reuses it: a
+    /// back end that is removed and created again has another identifier.
     BackendId(u64)
 }
 
 identifier! {
-    /// One part of a service's flow-key space.
+    /// The index of a bucket. The buckets partition a service's flows by the
+    /// hash of the flow key.
     BucketIndex(u32)
 }
 
--- a/crates/petrellatch-core/src/lib.rs
+++ b/crates/petrellatch-core/src/lib.rs
@@ -1,11 +1,12 @@
-//! Coordination for a layer-4 load balancer, without input or output.
+//! State machines of a layer-4 load balancer, without input or output.
 //!
-//! Every state machine in this crate follows the same shape: it is told what
-//! happened (`handle_*`, always with the current [`Timestamp`]), it is asked
-//! what it wants to do (`poll_*`), and it says when it wants to be called
-//! again (`poll_timeout`). It opens no socket, starts no thread, reads no
-//! clock and draws randomness only from a seed that it was given. The daemons
-//! and the simulator therefore run exactly the same code.
+//! All state machines in this crate have the same interface: the event loop
+//! passes inputs to `handle_*` methods, always with the current [`Timestamp`],
+//! takes outputs from `poll_*` methods, and calls the state machine again at
+//! the time that `poll_timeout` returns. A state machine opens no sockets,
+//! starts no threads, reads no clock, and draws random numbers only from the
+//! seed that it is given. The daemons and the simulator therefore run exactly
+//! the same code.
 
 pub mod admission;
 pub mod agent_node;
--- a/crates/petrellatch-core/src/node.rs
+++ b/crates/petrellatch-core/src/node.rs
@@ -1,4 +1,4 @@
-//! What a process knows about itself.
+//! The identity of a process.
 
 use std::net::SocketAddrV4;
 
@@ -7,27 +7,28 @@
 
 use crate::identity::{Incarnation, NodeId};
 
-/// The identity of one life of a process, from its settings and the start.
+/// The identity of one incarnation of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
     /// The configured name, unique in the cluster.
     pub name: String,
-    /// Derived from the name.
+    /// The node's identifier, derived from the name.
     pub node: NodeId,
-    /// Drawn at random when the process started.
+    /// Drawn at random at the start of the process.
     pub incarnation: Incarnation,
-    /// The zone where it runs.
+    /// The zone where the process runs.
     pub zone: String,
-    /// Its job.
+    /// The role of the process.
     pub role: NodeRole,
-    /// Where it receives control messages.
+    /// The address at which the process receives control messages.
     pub control: SocketAddrV4,
-    /// Where it receives caller packets; of no meaning for control replicas.
+    /// The address at which the process receives caller packets; unused by
+    /// control replicas.
     pub data: SocketAddrV4,
 }
 
 impl NodeIdentity {
-    /// Returns the record that registers this life as a member.
+    /// Returns the record that registers this incarnation as a member.
     pub fn member_record(&self) -> MemberRecord {
         MemberRecord {
             node: self.node.0,
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Puts `body` into an envelope from this node. `recipient` is the node
-    /// that is meant, or none if only its address is known.
+    /// Puts `body` into an envelope from this node to `recipient`, which is none
+    /// if only the recipient's address is known.
     pub fn envelope(&self, recipient: Option<NodeId>, body: Body) -> Envelope {
         Envelope {
             sender: self.node.0,
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Returns whether `envelope` is meant for this node.
+    /// Returns whether `envelope` is addressed to this node or names no
+    /// recipient.
     pub fn is_recipient(&self, envelope: &Envelope) -> bool {
         envelope.recipient == 0 || envelope.recipient == self.node.0
     }
--- a/crates/petrellatch-core/src/time.rs
+++ b/crates/petrellatch-core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as the state machines see it.
+//! Monotonic timestamps for the state machines.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -14,12 +14,12 @@
     /// The origin of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// Makes a timestamp from microseconds since the origin.
+    /// Creates a timestamp from microseconds since the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Timestamp(micros)
     }
 
-    /// Makes a timestamp from milliseconds since the origin.
+    /// Creates a timestamp from milliseconds since the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Timestamp(millis * 1_000)
     }
