--- a/crates/petrellatch-core/src/placement/assignment.rs
+++ b/crates/petrellatch-core/src/placement/assignment.rs
@@ -1,10 +1,11 @@
-//! Assignment of buckets to back ends with quotas.
+//! Assignment of buckets to back ends within quotas.
 //!
 //! This is the deferred acceptance algorithm (Gale and Shapley 1962). Each
 //! bucket proposes to the back end with the lowest cost that has not rejected
 //! it; a back end above its quota keeps the buckets of the lowest cost and
 //! rejects the rest. The result is stable: a change of one back end's quota
-//! moves only the buckets that gain by it, or are displaced by those.
+//! moves only the buckets that then get a lower cost, and those that these
+//! displace.
 
 use crate::identity::{BackendId, BucketIndex};
 
@@ -19,27 +20,27 @@
 }
 
 impl Candidate {
-    /// Returns the cost of giving `bucket` to this back end.
+    /// Returns the cost of assigning `bucket` to this back end.
     pub(super) fn cost(&self, bucket: u32) -> u64 {
         self.seed.cost(BucketIndex(bucket), self.weight)
     }
 }
 
-/// The place of a back end in a bucket's order of preference: by cost, then
-/// by position.
+/// A back end's rank in a bucket's order of preference: its cost, then its
+/// position in the list of candidates. The lowest is preferred.
 type Preference = (u64, u16);
 
-/// A bucket that a back end holds for now.
+/// A bucket that a back end has accepted; it may be rejected in a later round.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AcceptedBucket {
     cost: u64,
     bucket: u32,
 }
 
-/// A bucket that looks for a back end.
+/// A bucket that proposes to its next back end.
 struct Proposal {
     bucket: u32,
-    /// The back end that rejected the bucket last.
+    /// The back end that rejected the bucket most recently.
     rejected_by: Option<Preference>,
 }
 
@@ -66,12 +67,14 @@
     collect_positions(bucket_count, &accepted)
 }
 
-/// Adds the bucket to its most preferred back end after the last rejection.
+/// Adds the bucket to the back end that it prefers among those that haven't
+/// rejected it.
 fn propose(proposal: &Proposal, candidates: &[Candidate], accepted: &mut [Vec<AcceptedBucket>]) {
     let next = preferences(proposal.bucket, candidates)
         .filter(|&preference| Some(preference) > proposal.rejected_by)
         .min();
-    // The quotas cover all buckets, so some back end always has room.
+    // The quotas add up to the number of buckets, so at least one back end has
+    // not rejected the bucket.
     let Some((cost, position)) = next else {
         return;
     };
@@ -111,7 +114,8 @@
     }
 }
 
-/// Turns the lists of buckets into one position for each bucket.
+/// Converts the list of buckets of each back end into a list with the position
+/// of each bucket's back end.
 fn collect_positions(bucket_count: u32, accepted: &[Vec<AcceptedBucket>]) -> Box<[u16]> {
     let mut positions = vec![0; bucket_count as usize].into_boxed_slice();
     for (position, buckets) in accepted.iter().enumerate() {
--- a/crates/petrellatch-core/src/placement/bucket_table.rs
+++ b/crates/petrellatch-core/src/placement/bucket_table.rs
@@ -8,31 +8,32 @@
 use super::rendezvous::BackendSeed;
 use super::share::Share;
 
-/// The largest number of back ends in a table, because positions take 16
-/// bits. Of more back ends, those with the lowest identifiers are used.
+/// The maximum number of back ends in a table, since positions have 16 bits. If
+/// there are more, the table uses those with the lowest identifiers.
 pub const MAXIMUM_BACKENDS: usize = 1 << 16;
 
-/// The largest number of buckets in a table; a larger count is cut to this.
+/// The maximum number of buckets in a table; a larger count is reduced to it.
 pub const MAXIMUM_BUCKETS: u32 = 1 << 16;
 
-/// Names for each bucket of a service the back ends that receive new flows.
+/// Maps each bucket of a service to the back ends that receive its new flows.
 ///
-/// It takes 24 bytes a back end and, for each bucket, the bits of one position:
-/// two for up to four back ends, a byte for up to 256.
+/// It takes 24 bytes for each back end and, for each bucket, the bits of one
+/// position: two for up to four back ends, eight for up to 256.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BucketTable {
     service: ServiceId,
-    /// The back ends of positive weight, in the order of their identifiers.
+    /// The back ends of positive weight, sorted by identifier.
     candidates: Box<[Candidate]>,
-    /// For each bucket a position in `candidates`; empty without candidates.
+    /// For each bucket the position of its primary in `candidates`; empty if
+    /// there are no candidates.
     primaries: PackedPositions,
     bucket_count: u32,
 }
 
 impl BucketTable {
-    /// Computes the table. The result depends on nothing but the arguments,
-    /// and not on the order of `shares`. Of several shares of one back end
-    /// the largest counts.
+    /// Computes the table. The result depends only on the arguments, but not on
+    /// the order of `shares`. If a back end has several shares, the largest is
+    /// used.
     pub fn compute(service: ServiceId, bucket_count: u32, shares: &[Share]) -> BucketTable {
         let bucket_count = bucket_count.clamp(1, MAXIMUM_BUCKETS);
         let candidates = select_candidates(service, shares);
@@ -55,7 +56,7 @@
         self.bucket_count
     }
 
-    /// Returns whether no back end receives new flows.
+    /// Returns whether there is no back end that receives new flows.
     pub fn is_empty(&self) -> bool {
         self.candidates.is_empty()
     }
@@ -67,10 +68,10 @@
         Some(self.candidates[usize::from(position)].backend)
     }
 
-    /// Returns the back end to which the primary passes new flows of `bucket`
-    /// that it has no room for, or `None` when there is no second back end of
-    /// positive weight. It is computed at each call, which costs a few
-    /// nanoseconds a back end and saves half of the table.
+    /// Returns the back end to which the primary forwards new flows of `bucket`
+    /// for which it has no capacity, or `None` when there is no second back end
+    /// of positive weight. It is computed at each call, which takes a few
+    /// nanoseconds for each back end and halves the size of the table.
     pub fn secondary(&self, bucket: BucketIndex) -> Option<BackendId> {
         let primary = self.primary_position(bucket)?;
         let (_, position) = assignment::preferences(bucket.0, &self.candidates)
@@ -97,7 +98,7 @@
         (0..self.bucket_count).map(BucketIndex)
     }
 
-    /// Returns the bytes that this table takes, with its allocations.
+    /// Returns the size of this table in bytes, including its allocations.
     pub fn memory_bytes(&self) -> usize {
         size_of::<Self>() + size_of_val(&*self.candidates) + self.primaries.heap_bytes()
     }
@@ -108,7 +109,7 @@
     }
 }
 
-/// Returns the back ends of positive weight in the order of identifiers.
+/// Returns the back ends of positive weight, sorted by identifier.
 fn select_candidates(service: ServiceId, shares: &[Share]) -> Box<[Candidate]> {
     let mut positive: Vec<Share> = shares
         .iter()
@@ -128,7 +129,8 @@
         .collect()
 }
 
-/// Gives every bucket a back end, within the quotas.
+/// Assigns every bucket to a back end, in proportion to the weights. Returns
+/// their positions in `candidates`.
 fn assign_primaries(bucket_count: u32, candidates: &[Candidate]) -> Box<[u16]> {
     if candidates.is_empty() {
         return Box::default();
--- a/crates/petrellatch-core/src/placement/flow_key.rs
+++ b/crates/petrellatch-core/src/placement/flow_key.rs
@@ -8,12 +8,12 @@
 
 use crate::identity::BucketIndex;
 
-/// The hash key. It is fixed because all balancers must put a flow into the
-/// same bucket; it is no secret, so a caller can choose ports that meet one
-/// bucket, as with any stateless balancer.
+/// The hash key. It is constant, since all balancers must map a flow to the same
+/// bucket. It is not secret, so a caller can choose ports whose flows all fall
+/// into one bucket, as with any stateless balancer.
 const HASH_KEY: (u64, u64) = (0x7065_7472_656c_6c61, 0x7463_685f_666c_6f77);
 
-/// The two ends of a flow, as the caller's packets carry them.
+/// The addresses and ports of a flow, as in the caller's packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
     /// The caller's address and port.
@@ -24,10 +24,10 @@
 
 impl FlowKey {
     /// Returns the bucket of this flow in a service with `bucket_count`
-    /// buckets. A count of zero is taken as one.
+    /// buckets. A count of zero is treated as one.
     pub fn bucket(&self, bucket_count: u32) -> BucketIndex {
-        // Multiplying by the count and taking the upper half maps the hash
-        // onto 0..count evenly and without a division.
+        // The upper half of the product of hash and count is distributed evenly
+        // over 0..count; this avoids a division.
         let count = u128::from(bucket_count.max(1));
         let scaled = (u128::from(self.hash64()) * count) >> 64;
         BucketIndex(scaled as u32)
@@ -40,7 +40,7 @@
         hasher.finish()
     }
 
-    /// Writes the key in network byte order.
+    /// Encodes the key in network byte order.
     fn to_bytes(self) -> [u8; 12] {
         let mut bytes = [0; 12];
         bytes[0..4].copy_from_slice(&self.source.ip().octets());
--- a/crates/petrellatch-core/src/placement/mod.rs
+++ b/crates/petrellatch-core/src/placement/mod.rs
@@ -1,11 +1,11 @@
-//! Placement: which back end admits the new flows of a bucket.
+//! Placement of buckets: which back end admits the new flows of a bucket.
 //!
-//! The flow keys of a service are cut into buckets ([`FlowKey::bucket`]). A
-//! [`BucketTable`] names for each bucket a primary back end, which admits new
-//! flows, and a secondary one, to which the primary passes flows that it has
-//! no room for. A table is a pure function of the service, the number of
-//! buckets and the [`Share`]s; integer arithmetic alone is used, so every
-//! machine computes the same table from the same inputs.
+//! The flow keys of a service are divided into buckets ([`FlowKey::bucket`]). A
+//! [`BucketTable`] maps each bucket to a primary back end, which admits new
+//! flows, and a secondary one, to which the primary forwards new flows for
+//! which it has no capacity. A table is a pure function of the service, the
+//! number of buckets and the [`Share`]s. It is computed with integers only, so
+//! every machine computes the same table from the same inputs.
 
 mod assignment;
 mod bucket_table;
--- a/crates/petrellatch-core/src/placement/packed_positions.rs
+++ b/crates/petrellatch-core/src/placement/packed_positions.rs
@@ -1,10 +1,10 @@
-//! Small numbers in as few bits as the largest needs.
+//! A compact list of small numbers.
 
-/// Bits of one word.
+/// The number of bits of a word.
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// Positions in a list, packed. The bits of each are a power of two, so that
-/// none reaches over two words.
+/// A list of positions that are stored with equally many bits. The number of
+/// bits is a power of two, so that no position spans two words.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PackedPositions {
     count: usize,
@@ -13,7 +13,8 @@
 }
 
 impl PackedPositions {
-    /// Packs the positions.
+    /// Packs the positions with as few bits as the largest one needs, rounded up
+    /// to a power of two.
     pub(super) fn new(positions: &[u16]) -> Self {
         let largest = positions.iter().copied().max().unwrap_or(0);
         let needed = u16::BITS - largest.leading_zeros();
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Returns the position at `index`.
+    /// Returns the position at `index`, or `None` beyond the end of the list.
     pub(super) fn get(&self, index: usize) -> Option<u16> {
         if index >= self.count {
             return None;
@@ -41,7 +42,7 @@
         u16::try_from(position).ok()
     }
 
-    /// Returns the bytes on the heap.
+    /// Returns the size of the heap allocation in bytes.
     pub(super) fn heap_bytes(&self) -> usize {
         size_of_val(&*self.words)
     }
--- a/crates/petrellatch-core/src/placement/quota.rs
+++ b/crates/petrellatch-core/src/placement/quota.rs
@@ -1,19 +1,21 @@
-//! Apportionment of a service's buckets to its back ends.
+//! The number of a service's buckets that each back end gets.
 
-/// The part of a quota that rounding cut off.
+/// The fraction of a bucket by which a quota was rounded down.
 struct Remainder {
     /// The position of the back end in the list of weights.
     position: usize,
-    /// The remainder of the division by the total weight.
+    /// The remainder of the division by the total weight, which is the
+    /// denominator of the fraction.
     remainder: u64,
-    /// Decides between equal remainders.
+    /// The order among equal remainders; the lowest is first.
     tie_breaker: u64,
 }
 
-/// Apportions `bucket_count` buckets in proportion to `weights` by the method
-/// of the largest remainder. Every quota is within one bucket of its exact
-/// share, and the quotas add up to `bucket_count`; all are zero when no weight
-/// is positive. `tie_breaker` orders equal remainders (the lowest first).
+/// Apportions `bucket_count` buckets in proportion to `weights` by the largest
+/// remainder method. Every quota is within one bucket of its exact share, and
+/// the quotas add up to `bucket_count`; all are zero when no weight is
+/// positive. `tie_breaker` orders equal remainders by the position of the
+/// weight (the lowest value first).
 pub fn apportion(
     bucket_count: u32,
     weights: &[u32],
--- a/crates/petrellatch-core/src/placement/rendezvous.rs
+++ b/crates/petrellatch-core/src/placement/rendezvous.rs
@@ -13,23 +13,26 @@
 
 use crate::identity::{BackendId, BucketIndex, ServiceId};
 
-/// The hash key, the same on all machines.
+/// The hash key. It is the same on all machines, since all must compute the
+/// same costs.
 const HASH_KEY: (u64, u64) = (0x7065_7472_656c_6c61, 0x7463_685f_7461_626c);
 
-/// The fractional bits of logarithms.
+/// The number of fractional bits of logarithms.
 const LOG_FRACTION_BITS: u32 = 32;
 
-/// The bits of the mantissa that select an entry of [`LOG2_TABLE`].
+/// The number of bits of the mantissa that select an entry of [`LOG2_TABLE`].
 const TABLE_BITS: u32 = 8;
 
-/// The number of steps into which [`LOG2_TABLE`] cuts the interval from 1 to 2.
+/// The number of steps into which [`LOG2_TABLE`] divides the interval from 1
+/// to 2.
 const TABLE_STEPS: usize = 1 << TABLE_BITS;
 
-/// The left shift of a logarithm before it is divided by the weight: the
-/// largest logarithm is 64 and takes 39 bits, which leaves 24 bits.
+/// The left shift of a logarithm before it is divided by the weight. The
+/// largest logarithm is 64 and takes 39 bits, so a shift by 24 bits fits into
+/// 64 bits.
 const COST_SHIFT: u32 = 24;
 
-/// The base-2 logarithms of 1, 1 + 1/256, ... 2.
+/// The base-2 logarithms of 1, 1 + 1/256, ..., 2.
 static LOG2_TABLE: [u64; TABLE_STEPS + 1] = build_log2_table();
 
 /// A pseudo-random number for a pair of service and back end, from which the
@@ -46,13 +49,14 @@
         BackendSeed(hasher.finish())
     }
 
-    /// Returns the seed as a number, which orders back ends without favour.
+    /// Returns the seed as a number. Sorting by it orders back ends
+    /// independently of their identifiers.
     pub fn value(self) -> u64 {
         self.0
     }
 
-    /// Returns the cost of giving `bucket` to this back end; the lowest cost
-    /// wins. A weight of zero costs the most.
+    /// Returns the cost of assigning `bucket` to this back end; the lowest cost
+    /// wins. A weight of zero has the highest cost.
     pub fn cost(self, bucket: BucketIndex, weight: u32) -> u64 {
         if weight == 0 {
             return u64::MAX;
@@ -62,8 +66,9 @@
     }
 }
 
-/// Mixes a seed and a bucket into 64 even bits (the finalizer of SplitMix64,
-/// Steele et al. 2014, which costs far less than a keyed hash for each pair).
+/// Mixes a seed and a bucket into 64 uniformly distributed bits. This is the
+/// finalizer of SplitMix64 (Steele et al. 2014), which is far cheaper than a
+/// keyed hash of each pair.
 fn mix(seed: u64, bucket: BucketIndex) -> u64 {
     const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
     let step = (u64::from(bucket.0) + 1).wrapping_mul(GOLDEN_RATIO);
@@ -78,18 +83,18 @@
 fn negative_log2(random: u64) -> u64 {
     let random = random.max(1);
     let leading_zeros = random.leading_zeros();
-    // Shift out the leading one: what is left is the mantissa less 1.
+    // Shifting out the leading one leaves the mantissa minus 1.
     let mantissa = (random << leading_zeros) << 1;
     let entry = (mantissa >> (64 - TABLE_BITS)) as usize;
-    let between = (mantissa << TABLE_BITS) >> 32;
+    let interpolation = (mantissa << TABLE_BITS) >> 32;
     let low = LOG2_TABLE[entry];
     let high = LOG2_TABLE[entry + 1];
-    let fraction = low + (((high - low) * between) >> 32);
-    let whole = u64::from(leading_zeros + 1) << LOG_FRACTION_BITS;
-    whole - fraction
+    let fraction = low + (((high - low) * interpolation) >> 32);
+    let integer_part = u64::from(leading_zeros + 1) << LOG_FRACTION_BITS;
+    integer_part - fraction
 }
 
-/// Computes [`LOG2_TABLE`] when the crate is compiled.
+/// Computes [`LOG2_TABLE`] at compile time.
 const fn build_log2_table() -> [u64; TABLE_STEPS + 1] {
     let mut table = [0; TABLE_STEPS + 1];
     let mut entry = 0;
@@ -101,8 +106,8 @@
     table
 }
 
-/// Returns `log2(1 + entry / TABLE_STEPS)` bit by bit: squaring a number
-/// doubles its logarithm, and a result of 2 or more yields a one bit.
+/// Computes `log2(1 + entry / TABLE_STEPS)` bit by bit: squaring a number
+/// doubles its logarithm, and the next bit is one if the square is at least 2.
 const fn log2_of_mantissa(entry: u128) -> u64 {
     const ONE_BIT: u32 = 62;
     let mut number = (TABLE_STEPS as u128 + entry) << (ONE_BIT - TABLE_BITS);
--- a/crates/petrellatch-core/src/placement/tests.rs
+++ b/crates/petrellatch-core/src/placement/tests.rs
@@ -13,11 +13,12 @@
 const SERVICE: ServiceId = ServiceId(7);
 const BUCKETS: u32 = 256;
 
-/// The buckets of `key(1)`, `key(2)` and `key(3)`, recorded once: another
-/// result on any machine or after any change would break open flows.
+/// The buckets of `key(1)`, `key(2)` and `key(3)`. They must never change: a
+/// different result on another machine or in another version would break open
+/// flows.
 const EXPECTED_FLOW_BUCKETS: [u32; 3] = [244, 722, 84];
 
-/// The primaries of a small table, recorded once for the same reason.
+/// The primaries of a small table, which must not change for the same reason.
 const EXPECTED_PRIMARIES: [u64; 16] = [2, 9, 9, 1, 2, 1, 9, 9, 9, 1, 1, 1, 9, 9, 2, 9];
 
 fn share(backend: u64, weight: u32) -> Share {
@@ -57,7 +58,7 @@
     for port in 0..=u16::MAX {
         counts[key(port).bucket(16).0 as usize] += 1;
     }
-    // 4,096 are expected in each bucket; five standard deviations are 310.
+    // The expected count is 4,096; five standard deviations are 310.
     for count in counts {
         assert!(count.abs_diff(4_096) < 310, "uneven buckets: {counts:?}");
     }
@@ -100,12 +101,12 @@
 }
 
 #[test]
-fn of_two_shares_of_one_backend_the_largest_counts() {
-    let twice = [share(1, 0), share(1, 300), share(2, 100), share(1, 200)];
-    let once = [share(1, 300), share(2, 100)];
+fn the_largest_of_several_shares_of_a_backend_is_used() {
+    let repeated = [share(1, 0), share(1, 300), share(2, 100), share(1, 200)];
+    let unique = [share(1, 300), share(2, 100)];
     assert_eq!(
-        BucketTable::compute(SERVICE, BUCKETS, &twice),
-        BucketTable::compute(SERVICE, BUCKETS, &once)
+        BucketTable::compute(SERVICE, BUCKETS, &repeated),
+        BucketTable::compute(SERVICE, BUCKETS, &unique)
     );
 }
 
@@ -120,21 +121,24 @@
 }
 
 #[test]
-fn services_differ_in_their_tables() {
+fn tables_of_different_services_differ() {
     let one = BucketTable::compute(ServiceId(1), BUCKETS, &equal_shares(7));
     let other = BucketTable::compute(ServiceId(2), BUCKETS, &equal_shares(7));
     assert!(one.changed_buckets(&other).count() > BUCKETS as usize / 2);
 }
 
 #[test]
-fn a_join_moves_at_most_twice_the_minimum() {
+fn a_new_backend_moves_at_most_twice_the_minimum_of_buckets() {
     for service in 0..50 {
         let service = ServiceId(service);
         let before = BucketTable::compute(service, 1_024, &equal_shares(7));
         let after = BucketTable::compute(service, 1_024, &equal_shares(8));
         let minimum = count_of(&after, 8) as usize;
         let moved = before.changed_buckets(&after).count();
-        assert!(moved <= 2 * minimum, "{moved} of {minimum} in {service}");
+        assert!(
+            moved <= 2 * minimum,
+            "{moved} buckets moved in service {service}, the minimum is {minimum}"
+        );
     }
 }
 
@@ -186,7 +190,7 @@
 }
 
 #[test]
-fn packed_positions_are_read_back() {
+fn packed_positions_keep_their_values() {
     for largest in [0_u16, 1, 2, 3, 4, 15, 16, 255, 256, 4_095, u16::MAX] {
         let positions: Vec<u16> = (0..1_000_u32)
             .map(|index| (index * 7_919 % (u32::from(largest) + 1)) as u16)
