--- a/crates/petrellatch-core/src/policy/checker.rs
+++ b/crates/petrellatch-core/src/policy/checker.rs
@@ -1,8 +1,8 @@
-//! Checks the syntax tree of an expression before it is ever evaluated.
+//! Static checks of an expression's syntax tree, before any evaluation.
 //!
-//! The checker bounds the size, the nesting and the cost of the tree, refuses
-//! unknown names and everything that loops, and infers types as far as they
-//! are known.
+//! The checker limits the size, the nesting and the cost of the tree, refuses
+//! unknown names and all loops, and infers types as far as they can be known
+//! without an evaluation.
 
 use cel::common::ast::{CallExpr, EntryExpr, Expr, LiteralValue, SelectExpr, SourceInfo};
 use cel::parser::Expression;
@@ -14,21 +14,23 @@
 use super::policy_source::PolicyPart;
 use super::position::SourcePosition;
 
-/// The largest number of nodes of a syntax tree.
+/// The maximum number of nodes of a syntax tree.
 pub const MAXIMUM_NODES: u32 = 256;
 
-/// The deepest nesting of a syntax tree.
+/// The maximum nesting depth of a syntax tree.
 pub const MAXIMUM_DEPTH: u32 = 32;
 
-/// The highest cost of an evaluation, in steps: each node takes one, a
-/// function call [`CALL_COST`] more. There are no loops, so this is a bound.
+/// The maximum cost of an evaluation in steps: one for each node, and
+/// [`CALL_COST`] more for a function call. The cost of the tree bounds that of
+/// an evaluation, since there are no loops.
 pub const MAXIMUM_COST: u32 = 512;
 
-/// The largest number of different labels that an expression names. It bounds
+/// The maximum number of different labels that an expression names. It limits
 /// the number of edge cases for which a policy is checked.
 pub const MAXIMUM_LABELS: usize = 4;
 
-/// The steps that a function call takes beside those of its arguments.
+/// The cost of a function call in steps, in addition to those of its node and
+/// its arguments.
 const CALL_COST: u32 = 16;
 
 /// The fields of `backend` and their types.
@@ -50,13 +52,13 @@
     ("zone", ExpressionType::String),
 ];
 
-/// What the checker found out about an expression.
+/// The properties of an expression that has passed the checker.
 pub(super) struct CheckedExpression {
     /// The type of the result.
     pub(super) result: ExpressionType,
-    /// The label keys that the expression names, sorted.
+    /// The label keys that the expression names, sorted and without duplicates.
     pub(super) label_keys: Vec<String>,
-    /// The fields of `backend` that it reads.
+    /// The fields of `backend` that the expression reads.
     pub(super) backend_fields: Vec<&'static str>,
 }
 
@@ -101,7 +103,7 @@
 }
 
 impl Checker<'_> {
-    /// Checks a node and all below it, and returns its type.
+    /// Checks a node and its descendants, and returns the node's type.
     fn visit(&mut self, node: &Expression) -> Result<ExpressionType, PolicyError> {
         self.count_node(node)?;
         self.depth += 1;
@@ -295,7 +297,8 @@
         }
     }
 
-    /// Turns the outcome of a look-up of a function into the type of a node.
+    /// Returns the type of a call from the lookup of its operator or function,
+    /// which is `None` if policies don't have it.
     fn resolve(
         &self,
         node: &Expression,
@@ -332,13 +335,14 @@
     }
 }
 
-/// Returns whether the call is an operator of the language.
+/// Returns whether the call is an operator. The parser's names of operators
+/// don't start with a letter.
 fn is_operator(call: &CallExpr) -> bool {
     let starts_with_letter = call.func_name.starts_with(|it: char| it.is_alphabetic());
     !starts_with_letter
 }
 
-/// Returns whether the node is the namespace of the mathematical functions.
+/// Returns whether the node is the namespace of mathematical functions.
 fn is_math(node: &Expression) -> bool {
     matches!(&node.expr, Expr::Ident(name) if name == functions::MATH)
 }
--- a/crates/petrellatch-core/src/policy/context.rs
+++ b/crates/petrellatch-core/src/policy/context.rs
@@ -1,4 +1,4 @@
-//! The variables of an evaluation.
+//! The variables and functions of an evaluation.
 
 use std::collections::HashMap;
 use std::sync::{Arc, LazyLock};
@@ -12,14 +12,14 @@
 use super::expression_type::ExpressionType;
 use super::view::{BackendView, HEALTH_SCALE, ServiceView};
 
-/// The name of the variable that holds the back end.
+/// The name of the variable for the back end.
 pub(super) const BACKEND: &str = "backend";
 
-/// The name of the variable that holds the service.
+/// The name of the variable for the service.
 pub(super) const SERVICE: &str = "service";
 
 /// The standard functions of CEL and its mathematical extension. The checker
-/// lets only some of them through.
+/// accepts only some of them.
 static ENVIRONMENT: LazyLock<Arc<Env>> = LazyLock::new(|| {
     let mut environment = Env::stdlib().with_optional_support(false);
     environment
@@ -33,7 +33,7 @@
     Arc::clone(&ENVIRONMENT)
 }
 
-/// Gives an evaluation the fields that it asks for, without copying them.
+/// Resolves the fields that an evaluation reads, without copying them.
 ///
 /// Numbers are doubles, so that arithmetic on them needs no conversion and
 /// never truncates.
@@ -43,19 +43,19 @@
 }
 
 impl<'view> Variables<'view> {
-    /// Takes what the evaluation is about.
+    /// Creates the variables for an evaluation of this back end and service.
     pub(super) fn new(service: &'view ServiceView, backend: &'view BackendView) -> Self {
         Variables { service, backend }
     }
 
-    /// Returns a context in which expressions read these variables.
+    /// Returns an evaluation context with these variables.
     pub(super) fn context(&self) -> Context<'_, '_> {
         let mut context = Context::with_env(environment());
         context.set_variable_resolver(self);
         context
     }
 
-    /// Returns a field of `backend`.
+    /// Returns the value of a field of `backend`.
     fn backend_field(&self, field: &str) -> Option<CowVal<'_, '_>> {
         let backend = self.backend;
         Some(match field {
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Returns a field of `service`.
+    /// Returns the value of a field of `service`.
     fn service_field(&self, field: &str) -> Option<CowVal<'_, '_>> {
         match field {
             "name" => Some(string(&self.service.name)),
@@ -83,9 +83,9 @@
 }
 
 impl VariableResolver for Variables<'_> {
-    /// Finds a variable by its qualified name. The interpreter asks for
-    /// `backend.zone` first; it asks for `backend` as a whole only in `has`
-    /// and when the field is missing.
+    /// Returns a variable by its qualified name. The interpreter looks up
+    /// `backend.zone` first; it looks up all of `backend` only for `has` and if
+    /// the field is missing.
     fn resolve<'b>(&'b self, variable: &str) -> Option<CowVal<'b, 'b>> {
         match variable.split_once('.') {
             Some((BACKEND, field)) => self.backend_field(field),
@@ -120,7 +120,7 @@
     map(entries.map(|(key, value)| (key.as_str(), string(value))))
 }
 
-/// Makes a map of all fields that are present.
+/// Returns a map of all fields that are present.
 fn map_of_fields<'value>(
     fields: impl Iterator<Item = &'value (&'static str, ExpressionType)>,
     value_of: impl Fn(&str) -> Option<CowVal<'value, 'value>>,
--- a/crates/petrellatch-core/src/policy/edge_cases.rs
+++ b/crates/petrellatch-core/src/policy/edge_cases.rs
@@ -1,32 +1,32 @@
-//! Back ends that don't exist yet, for checking policies.
+//! Generated back ends and services for checking policies against edge cases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::view::{BackendView, HEALTH_SCALE, ServiceView};
 
-/// The name of generated back ends, for error messages.
+/// The name of generated back ends in error messages.
 const GENERATED_NAME: &str = "(edge case)";
 
-/// The zone of generated back ends that no real back end has.
+/// The zone of some generated back ends. No real back end is in it.
 const UNKNOWN_ZONE: &str = "(unknown zone)";
 
-/// The largest number of real zones that are combined with the other cases.
+/// The maximum number of real zones that are combined with all loads.
 const MAXIMUM_ZONES: usize = 3;
 
-/// Slots and free slots: none, one that is busy, all free, and the largest.
+/// Slots and free slots: none, one busy, one free, several free, the maximum.
 const SLOTS: [(u32, u32); 5] = [(0, 0), (1, 0), (1, 1), (7, 7), (u32::MAX, u32::MAX)];
 
-/// Open flows: none, the usual limit, the largest.
+/// Open flows: none, the usual limit, the maximum.
 const CONNECTIONS: [u32; 3] = [0, 2_000, u32::MAX];
 
-/// Health: down, half, well.
+/// Health: down, half, fully healthy.
 const HEALTH: [u32; 3] = [0, HEALTH_SCALE / 2, HEALTH_SCALE];
 
-/// Ages in seconds: just started, one minute, a hundred years.
+/// Ages in seconds: just started, one minute, one hundred years.
 const AGES: [u64; 3] = [0, 60, 3_153_600_000];
 
-/// Labels of a back end.
+/// The labels of a back end.
 type Labels = BTreeMap<String, String>;
 
 /// Returns the service with and without a zone.
@@ -43,9 +43,9 @@
     [without_zone, with_zone]
 }
 
-/// Returns all combinations of load without labels for several zones, and for
-/// one zone with each of `label_keys` as the only label. Leaving out the
-/// combinations of zones and labels bounds the time of a check.
+/// Returns back ends with all combinations of load: without labels in several
+/// zones, and in one zone with each of `label_keys` as the only label. Not all
+/// combinations of zones and labels are included, to limit the time of a check.
 pub(super) fn backends(current: &[BackendView], label_keys: &[String]) -> Vec<BackendView> {
     let loads = loads();
     let mut backends = Vec::new();
@@ -61,7 +61,7 @@
     backends
 }
 
-/// Returns the back ends with this zone and these labels.
+/// Returns the back ends `loads` in this zone and with these labels.
 fn with_zone_and_labels(
     loads: &[BackendView],
     zone: &str,
@@ -74,7 +74,8 @@
     })
 }
 
-/// Returns back ends without zone and labels, with all combinations of load.
+/// Returns back ends without zone and labels, with all combinations of slots,
+/// open flows, health, age and draining.
 fn loads() -> Vec<BackendView> {
     let mut loads = vec![BackendView {
         name: GENERATED_NAME.to_owned(),
@@ -96,7 +97,7 @@
     })
 }
 
-/// Returns each back end once with each of `values` set.
+/// Returns all combinations of `backends` and `values`.
 fn vary<Value: Copy>(
     backends: &[BackendView],
     values: &[Value],
@@ -113,7 +114,7 @@
     varied
 }
 
-/// Returns no zone, an unknown one, and some of the real ones.
+/// Returns the empty zone, an unknown one, and some of the real ones.
 fn zones(current: &[BackendView]) -> Vec<String> {
     let real: BTreeSet<&str> = current
         .iter()
@@ -124,8 +125,9 @@
     zones
 }
 
-/// Returns for each key a set with that key alone. The value is one that a real
-/// back end has, since a label's values are the operator's.
+/// Returns a set for each key, with that key as the only label. Its value is
+/// taken from a real back end, since operators define the values of a label; it
+/// is empty if no back end has the label.
 fn label_sets(current: &[BackendView], label_keys: &[String]) -> Vec<Labels> {
     let value_of = |key: &String| {
         let real = current.iter().find_map(|backend| backend.labels.get(key));
--- a/crates/petrellatch-core/src/policy/error.rs
+++ b/crates/petrellatch-core/src/policy/error.rs
@@ -1,30 +1,30 @@
-//! Why a policy is refused or fails.
+//! Errors of policies.
 
 use snafu::Snafu;
 
 use super::policy_source::PolicyPart;
 use super::position::SourcePosition;
 
-/// A policy that is refused, or an evaluation that failed.
+/// The error of a refused policy or a failed evaluation.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(display("{part}, {position}{}: {reason}", describe_backend(backend)))]
 pub struct PolicyError {
-    /// The expression at fault.
+    /// The expression that has the error.
     pub part: PolicyPart,
-    /// The place in the expression.
+    /// The position of the error in the expression.
     pub position: SourcePosition,
-    /// The back end for which the evaluation failed, unless the expression is
-    /// wrong for all.
+    /// The back end for which the evaluation failed, or none if the error
+    /// doesn't depend on the back end.
     pub backend: Option<String>,
-    /// What is wrong.
+    /// The kind of error.
     pub reason: PolicyErrorReason,
 }
 
-/// What is wrong with a policy.
+/// The kind of a policy's error.
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum PolicyErrorReason {
-    /// The expression has no text.
+    /// The expression has no text but whitespace.
     #[snafu(display("the expression is empty"))]
     Empty,
     /// The text is too long.
@@ -35,10 +35,10 @@
         /// The limit in bytes.
         maximum: usize,
     },
-    /// The text is not well formed.
+    /// The text has a syntax error.
     #[snafu(display("{message}"))]
     Syntax {
-        /// What the parser says.
+        /// The message of the parser.
         message: String,
     },
     /// The syntax tree has too many nodes.
@@ -53,7 +53,7 @@
         /// The limit.
         maximum: u32,
     },
-    /// The evaluation could take too many steps.
+    /// An evaluation could take too many steps.
     #[snafu(display("an evaluation costs more than {maximum} steps"))]
     TooCostly {
         /// The limit.
@@ -65,23 +65,23 @@
         /// The limit.
         maximum: usize,
     },
-    /// There is no such variable.
+    /// The variable doesn't exist.
     #[snafu(display("there is no variable '{name}', only 'backend' and 'service'"))]
     UnknownVariable {
         /// The name used.
         name: String,
     },
-    /// A variable has no such field.
+    /// The variable doesn't have the field.
     #[snafu(display("'{variable}' has no field '{field}'; its fields are {known}"))]
     UnknownField {
         /// The variable.
         variable: String,
         /// The field used.
         field: String,
-        /// The fields that exist.
+        /// The names of the variable's fields.
         known: String,
     },
-    /// A variable is used without a field.
+    /// The variable is used without a field.
     #[snafu(display("'{name}' can't be used as a whole; name one of its fields"))]
     WholeVariable {
         /// The variable.
@@ -93,52 +93,52 @@
         /// The name used.
         name: String,
     },
-    /// A part of the language that policies don't have.
+    /// The language construct is not allowed in policies.
     #[snafu(display("{construct} aren't available in policies"))]
     UnsupportedSyntax {
-        /// The construct, in the plural.
+        /// The name of the construct, in the plural.
         construct: &'static str,
     },
-    /// The types of operands or arguments don't fit.
+    /// An operand or argument has the wrong type.
     #[snafu(display("{message}"))]
     TypeMismatch {
-        /// What does not fit.
+        /// The description of the mismatch.
         message: String,
     },
     /// The evaluation failed.
     #[snafu(display("the evaluation failed: {message}"))]
     EvaluationFailed {
-        /// Why.
+        /// The message of the interpreter.
         message: String,
     },
-    /// `eligible` yields something else than a boolean.
+    /// The result of `eligible` is not a boolean.
     #[snafu(display("the result must be a boolean, but is {found}"))]
     NotBoolean {
         /// The type of the result.
         found: String,
     },
-    /// `weight` yields something else than a number.
+    /// The result of `weight` is not a number.
     #[snafu(display("the result must be a number, but is {found}"))]
     NotNumber {
         /// The type of the result.
         found: String,
     },
-    /// `weight` yields a negative number.
+    /// The result of `weight` is negative.
     #[snafu(display("the weight {weight} is negative"))]
     Negative {
         /// The result.
         weight: f64,
     },
-    /// `weight` yields "not a number", as `0.0 / 0.0` does.
+    /// The result of `weight` is NaN, as that of `0.0 / 0.0`.
     #[snafu(display("the weight is not a number (NaN); guard the division against zero"))]
     NaN,
-    /// `weight` yields an infinite number.
+    /// The result of `weight` is infinite.
     #[snafu(display("the weight is infinite; guard the division against zero"))]
     Infinite,
 }
 
 impl PolicyError {
-    /// Makes an error that concerns no back end in particular.
+    /// Creates an error that doesn't depend on a back end.
     pub(super) fn new(
         part: PolicyPart,
         position: SourcePosition,
@@ -152,14 +152,14 @@
         }
     }
 
-    /// Names the back end for which the evaluation failed.
+    /// Sets the back end for which the evaluation failed.
     pub(super) fn for_backend(mut self, name: &str) -> Self {
         self.backend = Some(name.to_owned());
         self
     }
 }
 
-/// Writes the back end after the position.
+/// Returns the text about the back end that follows the position.
 fn describe_backend(backend: &Option<String>) -> String {
     match backend {
         Some(name) => format!(", back end '{name}'"),
--- a/crates/petrellatch-core/src/policy/explanation.rs
+++ b/crates/petrellatch-core/src/policy/explanation.rs
@@ -1,4 +1,4 @@
-//! What a back end gets from a policy, and why.
+//! The result of a policy for a back end, with the reason.
 
 use std::fmt;
 
@@ -6,37 +6,38 @@
 
 use super::error::PolicyError;
 
-/// What one back end gets.
+/// The result of a policy for one back end, with the back end's name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendExplanation {
     /// The back end.
     pub backend: BackendId,
     /// The operator's name for it.
     pub name: String,
-    /// What it gets, and why.
+    /// The result and its reason.
     pub explanation: Explanation,
 }
 
-/// The outcome of a policy for one back end.
+/// The result of a policy for one back end, with the reason.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Explanation {
-    /// It receives nothing, because a condition of `eligible` is false.
+    /// The back end receives no new flows, because a condition of `eligible` is
+    /// false.
     NotEligible {
         /// The text of the condition.
         condition: String,
     },
-    /// It is eligible.
+    /// The back end is eligible.
     Weighted {
         /// The result of `weight`; 1 is nominal.
         weight: f64,
         /// The weight in the placement table; 1,000 is nominal.
         share: u32,
-        /// The part of the service's new flows, in thousandths.
+        /// The fraction of the service's new flows, in thousandths.
         per_mille: u32,
     },
-    /// It receives nothing, because the evaluation failed.
+    /// The back end receives no new flows, because the evaluation failed.
     Failed {
-        /// Why it failed.
+        /// The error of the evaluation.
         error: PolicyError,
     },
 }
--- a/crates/petrellatch-core/src/policy/expression.rs
+++ b/crates/petrellatch-core/src/policy/expression.rs
@@ -1,4 +1,4 @@
-//! One compiled expression of a policy.
+//! A compiled expression of a policy.
 
 use cel::common::ast::{Expr, SourceInfo, operators};
 use cel::parser::Expression;
@@ -11,7 +11,7 @@
 use super::policy_source::PolicyPart;
 use super::position::SourcePosition;
 
-/// The longest text of an expression, in bytes.
+/// The maximum length of an expression's text in bytes.
 pub const MAXIMUM_SOURCE_BYTES: usize = 2_048;
 
 /// An expression that has passed the checker.
@@ -50,12 +50,13 @@
         &self.label_keys
     }
 
-    /// Whether the expression reads one of these fields of `backend`.
+    /// Returns whether the expression reads any of these fields of `backend`.
     pub(super) fn reads_any(&self, fields: &[&str]) -> bool {
         self.backend_fields.iter().any(|it| fields.contains(it))
     }
 
-    /// Evaluates the expression.
+    /// Evaluates the expression. An error has the position of the innermost node
+    /// that fails.
     pub(super) fn evaluate(&self, variables: &Context<'_, '_>) -> Result<Value, PolicyError> {
         self.program.execute(variables).map_err(|error| {
             let failed = find_failed_node(self.program.expression(), variables, &error);
@@ -69,13 +70,13 @@
         })
     }
 
-    /// Makes an error about the result of the expression.
+    /// Returns an error about the result of the expression.
     pub(super) fn refuse_result(&self, reason: PolicyErrorReason) -> PolicyError {
         PolicyError::new(self.part, SourcePosition::START, reason)
     }
 
-    /// Returns the text of the first operand of the outermost `&&` chain that
-    /// is false, or the whole text when there is no such chain.
+    /// Returns the text of the first false operand of the outermost chain of
+    /// `&&` operators, or the text of the expression if there is no such operand.
     pub(super) fn first_false_condition(&self, variables: &Context<'_, '_>) -> String {
         let info = self.program.source_info();
         let mut conditions = Vec::new();
@@ -98,7 +99,7 @@
     }
 }
 
-/// Refuses texts that are empty or too long to parse.
+/// Refuses texts that are empty or too long.
 fn check_length(part: PolicyPart, source: &str) -> Result<(), PolicyError> {
     let reason = if source.trim().is_empty() {
         PolicyErrorReason::Empty
@@ -113,7 +114,7 @@
     Err(PolicyError::new(part, SourcePosition::START, reason))
 }
 
-/// Refuses an expression whose result is known to be of the wrong type.
+/// Refuses an expression whose result is known to have the wrong type.
 fn check_result(part: PolicyPart, result: ExpressionType) -> Result<(), PolicyError> {
     let found = result.to_string();
     let reason = match part {
@@ -126,7 +127,7 @@
     Err(PolicyError::new(part, SourcePosition::START, reason))
 }
 
-/// Turns the first error of the parser into ours.
+/// Converts the first error of the parser to a [`PolicyError`].
 fn syntax_error(part: PolicyPart, errors: &ParseErrors) -> PolicyError {
     let first = errors.errors.iter().min_by_key(|error| error.pos);
     let (position, message) = match first {
@@ -142,7 +143,7 @@
     PolicyError::new(part, position, PolicyErrorReason::Syntax { message })
 }
 
-/// Returns the innermost node that fails by itself with the same error.
+/// Returns the innermost node whose own evaluation fails with `error`.
 fn find_failed_node<'tree>(
     node: &'tree Expression,
     variables: &Context<'_, '_>,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Says in the operator's words what went wrong.
+/// Returns the message for the operator about a failed evaluation.
 fn describe(error: &ExecutionError) -> String {
     match error {
         ExecutionError::NoSuchKey(key) => {
@@ -184,7 +185,7 @@
 }
 
 /// Collects the operands of nested `&&` operators from left to right, and the
-/// indices of the bytes where the operators start.
+/// byte offsets of the operators in the text.
 fn collect_conditions<'tree>(
     node: &'tree Expression,
     info: &SourceInfo,
@@ -203,7 +204,7 @@
     }
 }
 
-/// Cuts the text at the operators that start at `separators`.
+/// Splits the text at the `&&` operators, whose byte offsets are `separators`.
 fn split_at(source: &str, separators: &[usize]) -> Vec<String> {
     let mut separators = separators.to_vec();
     separators.sort_unstable();
@@ -217,7 +218,8 @@
     texts.into_iter().map(trim_unbalanced).collect()
 }
 
-/// Removes the blanks and the parentheses that the cut tore apart.
+/// Removes surrounding whitespace, and parentheses whose counterpart is in
+/// another piece of the split text.
 fn trim_unbalanced(text: &str) -> String {
     let mut text = text.trim();
     loop {
--- a/crates/petrellatch-core/src/policy/expression_type.rs
+++ b/crates/petrellatch-core/src/policy/expression_type.rs
@@ -1,21 +1,21 @@
-//! The types of expressions, as far as they are known before evaluation.
+//! Static types of expressions.
 
 use std::fmt;
 
-/// The type of an expression.
+/// The type of an expression, as far as it is known before an evaluation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExpressionType {
     Boolean,
     Double,
     Integer,
     String,
-    /// A list of values whose types aren't tracked.
+    /// A list; the types of its values aren't tracked.
     List,
-    /// A map from strings to strings, as the labels are.
+    /// The labels of a back end: a map from strings to strings.
     Labels,
-    /// A map whose types aren't tracked.
+    /// A map; the types of its keys and values aren't tracked.
     Map,
-    /// Known only when it is evaluated.
+    /// A type that only an evaluation shows.
     Unknown,
 }
 
@@ -41,14 +41,14 @@
         )
     }
 
-    /// Returns whether the two values may be equal or put in order: two
-    /// numbers, or two values of one type.
+    /// Returns whether values of the two types may be compared: both may be
+    /// numbers, or both may have the same type.
     pub(super) fn is_comparable_to(self, other: ExpressionType) -> bool {
         let numbers = self.may_be_number() && other.may_be_number();
         numbers || self.may_be(other) || other == ExpressionType::Unknown
     }
 
-    /// Returns the type of a value that is either of the two.
+    /// Returns the type of a value that has one of the two types.
     pub(super) fn join(self, other: ExpressionType) -> ExpressionType {
         if self == other {
             self
--- a/crates/petrellatch-core/src/policy/functions.rs
+++ b/crates/petrellatch-core/src/policy/functions.rs
@@ -1,17 +1,17 @@
-//! The types of operators and of the functions that policies may call.
+//! The result types of the operators and functions that policies may use.
 //!
-//! All of them take a time that is bounded by the size of their arguments.
+//! The time that each of them takes is bounded by the size of its arguments.
 
 use cel::common::ast::operators;
 
 use super::error::PolicyErrorReason;
 use super::expression_type::ExpressionType;
 
-/// The namespace of the mathematical functions.
+/// The namespace of mathematical functions.
 pub(super) const MATH: &str = "math";
 
-/// Returns the type of an operator's result, or `None` when `name` is no
-/// operator that policies have.
+/// Returns the type of an operator's result, or `None` when `name` is not an
+/// operator that policies may use.
 pub(super) fn operator_type(
     name: &str,
     operands: &[ExpressionType],
@@ -23,8 +23,8 @@
         (operators::NEGATE, [operand]) => negate_type(*operand),
         (operators::LOGICAL_AND, [left, right]) => logic_type("&&", *left, *right),
         (operators::LOGICAL_OR, [left, right]) => logic_type("||", *left, *right),
-        (operators::CONDITIONAL, [condition, yes, no]) => {
-            require_boolean("?", *condition).map(|()| yes.join(*no))
+        (operators::CONDITIONAL, [condition, if_true, if_false]) => {
+            require_boolean("?", *condition).map(|()| if_true.join(*if_false))
         }
         (operators::EQUALS, [left, right]) => equality_type("==", *left, *right),
         (operators::NOT_EQUALS, [left, right]) => equality_type("!=", *left, *right),
@@ -44,8 +44,8 @@
     Some(result)
 }
 
-/// Returns the type of the result of a function, or `None` when policies
-/// don't have it. `receiver` is what stands before the dot.
+/// Returns the type of a function's result, or `None` when policies may not use
+/// it. `receiver` is the type of the operand before the dot of a method call.
 pub(super) fn function_type(
     name: &str,
     receiver: Option<ExpressionType>,
@@ -66,8 +66,8 @@
 }
 
 /// Returns the type of the result of a function of [`MATH`], or `None` when
-/// policies don't have it. `math.least` and `math.greatest` arrive under the
-/// internal names that the parser gives them.
+/// policies may not use it. The parser replaces `math.least` and
+/// `math.greatest` by the names `math.@min` and `math.@max`.
 pub(super) fn math_type(
     name: &str,
     arguments: &[ExpressionType],
@@ -114,12 +114,12 @@
         return Ok(());
     }
     let wrong = if left.may_be_number() { right } else { left };
-    let shown = match name {
+    let display_name = match name {
         "math.@min" => "math.least",
         "math.@max" => "math.greatest",
         other => other,
     };
-    mismatch(format!("'{shown}' takes numbers, not {wrong}"))
+    mismatch(format!("'{display_name}' takes numbers, not {wrong}"))
 }
 
 fn require_strings(
--- a/crates/petrellatch-core/src/policy/mod.rs
+++ b/crates/petrellatch-core/src/policy/mod.rs
@@ -1,13 +1,13 @@
-//! Placement policies: short programs that say which back ends of a service
-//! receive new flows, and how many.
+//! Placement policies: short programs that decide which back ends of a service
+//! receive new flows, and in what proportion.
 //!
 //! A policy has two expressions in the Common Expression Language (CEL):
 //! `eligible` (a boolean) and `weight` (a number of at least zero; 1 is
-//! nominal). [`Policy::compile`] refuses what is malformed, too large, too
-//! costly or of the wrong type; [`Policy::check`] evaluates it for the current
-//! back ends and for generated edge cases; [`shares`] turns it into the input
-//! of a placement table. An evaluation reads nothing but its arguments, has no
-//! loops, and gives the same result on every machine.
+//! nominal). [`Policy::compile`] refuses expressions that are malformed, too
+//! large, too costly or of the wrong type; [`Policy::check`] evaluates it for
+//! the current back ends and for generated edge cases; [`shares`] evaluates it
+//! to the input of a placement table. An evaluation reads only its arguments,
+//! has no loops, and gives the same result on every machine.
 
 mod checker;
 mod context;
--- a/crates/petrellatch-core/src/policy/policy_source.rs
+++ b/crates/petrellatch-core/src/policy/policy_source.rs
@@ -2,16 +2,17 @@
 
 use std::fmt;
 
-/// The two expressions of a policy as the operator wrote them.
+/// The text of a policy's two expressions, as the operator wrote them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PolicySource {
-    /// Says whether a back end may receive new flows: a boolean.
+    /// Whether a back end may receive new flows: a boolean.
     pub eligible: String,
-    /// Says how many new flows it receives: a number of at least zero.
+    /// The weight of a back end's share of new flows: a number of at least zero;
+    /// 1 is nominal.
     pub weight: String,
 }
 
-/// Names one of the two expressions.
+/// One of a policy's two expressions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PolicyPart {
     /// [`PolicySource::eligible`].
--- a/crates/petrellatch-core/src/policy/position.rs
+++ b/crates/petrellatch-core/src/policy/position.rs
@@ -1,23 +1,23 @@
-//! Places in the source text of an expression.
+//! Positions in the source text of an expression.
 
 use std::fmt;
 
 use cel::common::ast::SourceInfo;
 
-/// A place in the source text.
+/// A position in the source text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SourcePosition {
-    /// The line, from 1.
+    /// The line, starting at 1.
     pub line: u32,
-    /// The character within the line, from 1.
+    /// The character within the line, starting at 1.
     pub column: u32,
 }
 
 impl SourcePosition {
-    /// The first character.
+    /// The position of the first character.
     pub const START: SourcePosition = SourcePosition { line: 1, column: 1 };
 
-    /// Returns the place of the character that starts at this byte.
+    /// Returns the position of the character that starts at this byte.
     pub(super) fn of_byte(source: &str, byte: usize) -> SourcePosition {
         let mut position = SourcePosition::START;
         for (start, character) in source.char_indices() {
@@ -34,7 +34,7 @@
         position
     }
 
-    /// Returns the place of a node of the syntax tree.
+    /// Returns the position of a node of the syntax tree.
     pub(super) fn of_node(info: &SourceInfo, node: u64) -> SourcePosition {
         let (start, _) = info.offset_for(node).unwrap_or((0, 0));
         SourcePosition::of_byte(&info.source, start as usize)
--- a/crates/petrellatch-core/src/policy/program.rs
+++ b/crates/petrellatch-core/src/policy/program.rs
@@ -11,20 +11,22 @@
 
 /// The fields that change with each request of a back end.
 const LOAD_FIELDS: [&str; 2] = ["free_slots", "connections"];
-/// The field that changes with time alone.
+
+/// The fields that change only with time.
 const AGE_FIELDS: [&str; 1] = ["age_seconds"];
 
-/// What a policy says about one back end.
+/// The result of a policy for one back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evaluation {
     /// Whether the back end may receive new flows.
     pub eligible: bool,
-    /// How many, relative to the other back ends: 1 is nominal. It is finite
-    /// and not negative, and zero for a back end that isn't eligible.
+    /// The weight of the back end's share of new flows, relative to those of
+    /// other back ends; 1 is nominal. It is finite and not negative, and zero for
+    /// a back end that isn't eligible.
     pub weight: f64,
 }
 
-/// A policy that has passed the checks of its text.
+/// A compiled policy, whose expressions have passed the static checks.
 #[derive(Debug)]
 pub struct Policy {
     source: PolicySource,
@@ -33,7 +35,7 @@
 }
 
 impl Policy {
-    /// Compiles a policy, or says what is wrong with it and where.
+    /// Compiles a policy. An error has the position and the reason.
     pub fn compile(source: &PolicySource) -> Result<Policy, PolicyError> {
         Ok(Policy {
             source: source.clone(),
@@ -42,17 +44,18 @@
         })
     }
 
-    /// Returns the text of the policy.
+    /// Returns the source text of the policy.
     pub fn source(&self) -> &PolicySource {
         &self.source
     }
 
-    /// Whether its results change with each request of a back end.
+    /// Returns whether the result depends on fields that change with each request
+    /// of a back end.
     pub fn reads_load(&self) -> bool {
         self.reads_any(&LOAD_FIELDS)
     }
 
-    /// Whether its results change as a back end grows older.
+    /// Returns whether the result depends on the age of a back end.
     pub fn reads_age(&self) -> bool {
         self.reads_any(&AGE_FIELDS)
     }
@@ -62,7 +65,8 @@
     }
 
     /// Evaluates the policy for one back end. The weight of a back end that
-    /// isn't eligible is not evaluated, so eligibility can guard it.
+    /// isn't eligible is not evaluated, so `eligible` can guard `weight` against
+    /// errors.
     pub fn evaluate(
         &self,
         service: &ServiceView,
@@ -93,7 +97,8 @@
         Ok(())
     }
 
-    /// Returns the condition of `eligible` that rules a back end out.
+    /// Returns the text of the condition of `eligible` that is false for a back
+    /// end.
     pub(super) fn first_false_condition(
         &self,
         service: &ServiceView,
@@ -159,6 +164,6 @@
     if weight < 0.0 {
         return Err(PolicyErrorReason::Negative { weight });
     }
-    // Adding zero turns the negative zero into the positive one.
+    // Adding zero converts -0.0 to 0.0.
     Ok(weight + 0.0)
 }
--- a/crates/petrellatch-core/src/policy/shares.rs
+++ b/crates/petrellatch-core/src/policy/shares.rs
@@ -6,15 +6,15 @@
 use super::program::Policy;
 use super::view::{BackendView, ServiceView};
 
-/// The input of a placement table, with the reasons.
+/// The input of a placement table, with the reasons of each share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shares {
-    /// A share for each back end, in the order of the argument. A back end
-    /// that isn't eligible has the weight 0.
+    /// The share of each back end, in the order of the `backends` argument. A
+    /// back end that isn't eligible has weight 0.
     pub shares: Vec<Share>,
-    /// What each back end gets and why, in the same order.
+    /// The reason for each back end's share, in the same order.
     pub explanations: Vec<BackendExplanation>,
-    /// Whether there is no eligible back end: new flows have to be refused.
+    /// Whether no back end is eligible, so that new flows have to be refused.
     pub none_eligible: bool,
 }
 
@@ -71,18 +71,18 @@
     }
 }
 
-/// Scales a weight, of which 1 is nominal, to that of a placement table. A
-/// positive weight never becomes zero, and a large one saturates.
+/// Converts the weight of a policy, where 1 is nominal, to that of a placement
+/// table. A positive weight never becomes zero, and a large one saturates.
 fn scale(weight: f64) -> u32 {
     if weight <= 0.0 {
         return 0;
     }
-    // A cast from a float saturates.
+    // Casts from floats to integers saturate.
     let scaled = (weight * f64::from(NOMINAL_WEIGHT)).round() as u32;
     scaled.max(1)
 }
 
-/// Writes into each explanation its part of the sum of all shares.
+/// Sets in each explanation the fraction of the sum of all shares.
 fn fill_per_mille(shares: &mut Shares) {
     let total: u64 = shares.shares.iter().map(|it| u64::from(it.weight)).sum();
     for explanation in &mut shares.explanations {
@@ -90,8 +90,8 @@
             share, per_mille, ..
         } = &mut explanation.explanation
         {
-            let part = (u64::from(*share) * 1_000).checked_div(total);
-            *per_mille = part.unwrap_or(0) as u32;
+            let fraction = (u64::from(*share) * 1_000).checked_div(total);
+            *per_mille = fraction.unwrap_or(0) as u32;
         }
     }
 }
--- a/crates/petrellatch-core/src/policy/tests.rs
+++ b/crates/petrellatch-core/src/policy/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of policies.
+//! Tests of compiling, checking and evaluating policies.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     policy.evaluate(&service(), &backend(1)).unwrap().eligible
 }
 
-/// Returns the reason why the check of a policy fails.
+/// Returns the error of checking a policy.
 fn refuse_check(eligible: &str, weight: &str) -> PolicyError {
     let policy = compile(eligible, weight);
     policy.check(&service(), &[backend(1)]).unwrap_err()
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn failed_evaluations_carry_the_place_and_the_backend() {
+fn errors_of_evaluations_have_the_position_and_the_backend() {
     let error = refuse_check("true", "1.0 +\n double(backend.labels.other)");
     assert_matches!(error.reason, PolicyErrorReason::EvaluationFailed { .. });
     assert_eq!(error.position.line, 2);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_check_finds_faults_that_no_current_backend_has() {
+fn a_check_finds_errors_that_no_current_backend_causes() {
     for (eligible, weight) in [
         ("true", "backend.free_slots / backend.slots"),
         ("backend.labels.pool == 'maps'", "1.0"),
@@ -145,8 +145,9 @@
 
 #[test]
 fn edge_cases_cover_all_combinations() {
-    // 270 loads without labels for no, an unknown and one real zone; with the
-    // label for the real zone.
+    // There are 270 combinations of load. They are generated without labels for
+    // the empty, an unknown and the real zone, and with the label for the real
+    // zone.
     let keys = ["pool".to_owned()];
     let backends = edge_cases::backends(&[backend(1)], &keys);
     assert_eq!(backends.len(), (3 + 1) * 270);
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn the_false_condition_is_named_whatever_the_nesting_and_the_alphabet() {
+fn the_false_condition_is_found_in_nested_conditions_with_non_ascii_text() {
     let policy = compile(
         "('é' != 'è' && (backend.zone != 'ü' && backend.slots > 9.0)) && 'ö' == 'ä'",
         "1.0",
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn no_eligible_backend_is_told_from_zero_weights() {
+fn no_eligible_backend_is_distinguished_from_zero_weights() {
     let none = shares(&compile("false", "1.0"), &service(), &[backend(1)]);
     assert!(none.none_eligible && none.all_weights_are_zero());
     let zero = shares(&compile("true", "0"), &service(), &[backend(1)]);
--- a/crates/petrellatch-core/src/policy/tests/refusals.rs
+++ b/crates/petrellatch-core/src/policy/tests/refusals.rs
@@ -1,16 +1,17 @@
-//! Tests of each way in which a policy is refused when it is compiled.
+//! Tests of each reason for which compiling a policy fails.
 
 use assert_matches::assert_matches;
 
 use super::*;
 
-/// Returns the error of a weight expression.
+/// Returns the error of compiling a weight expression.
 fn refuse_weight(weight: &str) -> PolicyError {
     let error = Policy::compile(&source("true", weight)).unwrap_err();
     assert_eq!(error.part, PolicyPart::Weight);
     error
 }
 
+/// Returns the error of compiling an eligibility expression.
 fn refuse_eligible(eligible: &str) -> PolicyError {
     let error = Policy::compile(&source(eligible, "1.0")).unwrap_err();
     assert_eq!(error.part, PolicyPart::Eligible);
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn syntax_errors_carry_line_and_column() {
+fn syntax_errors_have_line_and_column() {
     let error = refuse_weight("1.0 +\n  backend.slots *");
     assert_matches!(error.reason, PolicyErrorReason::Syntax { .. });
     assert_eq!(error.position, position(2, 18));
@@ -67,14 +68,14 @@
 }
 
 #[test]
-fn hostile_nesting_is_refused_without_exhausting_the_stack() {
+fn deep_nesting_of_any_construct_is_refused_without_a_stack_overflow() {
     for repeated in ["(", "[", "{1:", "a.", "true?1:", "1+", "true||"] {
         let count = MAXIMUM_SOURCE_BYTES / repeated.len();
         Policy::compile(&source("true", &repeated.repeat(count))).unwrap_err();
         let closed = repeated.repeat(count - 1) + "1";
         Policy::compile(&source("true", &closed)).unwrap_err();
     }
-    // The parser takes repeated signs together, so these are not nested.
+    // The parser combines repeated signs, so these are not nested.
     let signs = "-".repeat(MAXIMUM_SOURCE_BYTES - 2);
     assert_eq!(weight_of(&format!("{signs}1")), 1.0);
 }
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn other_parts_of_the_language_are_refused() {
+fn unsupported_literals_and_messages_are_refused() {
     for weight in ["size(b'x')", "1u", "null", "Message{}"] {
         let error = refuse_weight(weight);
         assert_matches!(error.reason, PolicyErrorReason::UnsupportedSyntax { .. });
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn unknown_names_are_refused_with_their_place() {
+fn unknown_names_are_refused_with_their_position() {
     let error = refuse_weight("1.0 + slots");
     assert_eq!(error.position, position(1, 7));
     assert_matches!(error.reason, PolicyErrorReason::UnknownVariable { name } if name == "slots");
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn functions_outside_the_list_are_refused() {
+fn unsupported_functions_are_refused() {
     for weight in [
         "duration('1s')",
         "size(type(1))",
--- a/crates/petrellatch-core/src/policy/view.rs
+++ b/crates/petrellatch-core/src/policy/view.rs
@@ -1,48 +1,48 @@
-//! What a policy reads.
+//! The inputs of a policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::identity::{BackendId, ServiceId};
 
-/// The health of a back end that is well, in the unit of
-/// [`BackendView::health`].
+/// The value of [`BackendView::health`] for a fully healthy back end.
 pub const HEALTH_SCALE: u32 = 1_000;
 
-/// A back end as a policy sees it: the variable `backend`.
+/// The variable `backend` of a policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BackendView {
-    /// Identifies the back end; policies don't read it.
+    /// The identifier of the back end, which policies can't read.
     pub id: BackendId,
     /// The operator's name for the back end: `backend.name`.
     pub name: String,
-    /// The zone where it runs: `backend.zone`.
+    /// The zone where the back end runs: `backend.zone`.
     pub zone: String,
-    /// Free-form labels: `backend.labels`.
+    /// The free-form labels of the back end: `backend.labels`.
     pub labels: BTreeMap<String, String>,
-    /// Requests that it can work on at once: `backend.slots`.
+    /// The number of requests that the back end can process at once:
+    /// `backend.slots`.
     pub slots: u32,
-    /// Slots without a request now: `backend.free_slots`.
+    /// The number of slots without a request: `backend.free_slots`.
     pub free_slots: u32,
-    /// Open flows now: `backend.connections`.
+    /// The number of open flows: `backend.connections`.
     pub connections: u32,
-    /// Health from 0 (down) to [`HEALTH_SCALE`] (well). `backend.health` is
-    /// this value divided by the scale, from 0.0 to 1.0.
+    /// The health from 0 (down) to [`HEALTH_SCALE`] (fully healthy).
+    /// `backend.health` is this value divided by the scale, from 0.0 to 1.0.
     pub health: u32,
-    /// Whether it takes no new work: `backend.draining`.
+    /// Whether the back end accepts no new flows: `backend.draining`.
     pub draining: bool,
-    /// The time since it started: `backend.age_seconds`.
+    /// The time since the start of the back end: `backend.age_seconds`.
     pub age: Duration,
 }
 
-/// A service as a policy sees it: the variable `service`.
+/// The variable `service` of a policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceView {
-    /// Identifies the service; policies don't read it.
+    /// The identifier of the service, which policies can't read.
     pub id: ServiceId,
     /// The operator's name for the service: `service.name`.
     pub name: String,
-    /// The zone that the service prefers: `service.zone`. Without one the
-    /// field is missing, which `has(service.zone)` tells.
+    /// The zone that the service prefers: `service.zone`. If there is none, the
+    /// field is missing and `has(service.zone)` is false.
     pub zone: Option<String>,
 }
--- a/crates/petrellatch-core/tests/policy_cookbook.rs
+++ b/crates/petrellatch-core/tests/policy_cookbook.rs
@@ -1,4 +1,4 @@
-//! Checks every policy and every refusal that `docs/POLICIES.md` shows.
+//! Tests every policy and every error message in `docs/POLICIES.md`.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const PAGE: &str = include_str!("../../../docs/POLICIES.md");
 
-/// The zones of the deployments that the page speaks of.
+/// The zones of the deployments in the page.
 const ZONES: [&str; 4] = ["baguio-hall", "tarlac-hall", "midrand-a", "samrand"];
 
 fn service() -> ServiceView {
@@ -37,7 +37,7 @@
 }
 
 /// Compiles and checks a policy.
-fn accept(source: &PolicySource) -> Result<(), PolicyError> {
+fn compile_and_check(source: &PolicySource) -> Result<(), PolicyError> {
     Policy::compile(source)?.check(&service(), &backends())
 }
 
@@ -68,13 +68,13 @@
     let all: Vec<PolicySource> = toml_blocks().into_iter().flat_map(policies).collect();
     assert!(all.len() >= 10, "{} policies found", all.len());
     for source in all {
-        let accepted = accept(&source);
-        assert!(accepted.is_ok(), "{source:?}: {accepted:?}");
+        let checked = compile_and_check(&source);
+        assert!(checked.is_ok(), "{source:?}: {checked:?}");
     }
 }
 
 #[test]
-fn every_refusal_of_the_page_is_as_shown() {
+fn every_error_message_of_the_page_is_the_actual_one() {
     let rows: Vec<(&str, &str)> = PAGE
         .lines()
         .skip_while(|line| !line.starts_with("## What is refused"))
@@ -82,13 +82,13 @@
         .filter_map(|line| line.strip_prefix("| `")?.strip_suffix(" |"))
         .filter_map(|row| row.split_once("` | "))
         .collect();
-    assert!(rows.len() >= 8, "{} refusals found", rows.len());
-    for (weight, shown) in rows {
+    assert!(rows.len() >= 8, "{} error messages found", rows.len());
+    for (weight, expected_message) in rows {
         let source = PolicySource {
             eligible: "true".to_owned(),
             weight: weight.to_owned(),
         };
-        let error = accept(&source).expect_err(weight);
-        assert_eq!(error.to_string(), shown);
+        let error = compile_and_check(&source).expect_err(weight);
+        assert_eq!(error.to_string(), expected_message);
     }
 }
