--- a/crates/petrellatch-core/src/cluster/cluster_view.rs
+++ b/crates/petrellatch-core/src/cluster/cluster_view.rs
@@ -20,7 +20,7 @@
     /// The delta does not follow the current version.
     #[snafu(display("delta {version} does not follow version {current}"))]
     OutOfOrder {
-        /// The version in force.
+        /// The current version.
         current: u64,
         /// The version of the delta.
         version: u64,
@@ -28,7 +28,7 @@
     /// The snapshot is not newer than the current version.
     #[snafu(display("snapshot {version} is not newer than version {current}"))]
     Older {
-        /// The version in force.
+        /// The current version.
         current: u64,
         /// The version of the snapshot.
         version: u64,
--- a/crates/petrellatch-core/src/placement/assignment.rs
+++ b/crates/petrellatch-core/src/placement/assignment.rs
@@ -11,7 +11,7 @@
 
 use super::rendezvous::BackendSeed;
 
-/// A back end that takes part in a table, with its weight.
+/// A back end to which a table can assign buckets, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) backend: BackendId,
--- a/crates/petrellatch-core/src/placement/quota.rs
+++ b/crates/petrellatch-core/src/placement/quota.rs
@@ -45,8 +45,8 @@
             .then(left.tie_breaker.cmp(&right.tie_breaker))
             .then(left.position.cmp(&right.position))
     });
-    let missing = (bucket_count - assigned) as usize;
-    for remainder in remainders.iter().take(missing) {
+    let unassigned = (bucket_count - assigned) as usize;
+    for remainder in remainders.iter().take(unassigned) {
         quotas[remainder.position] += 1;
     }
     quotas
--- a/crates/petrellatch-core/src/policy/checker.rs
+++ b/crates/petrellatch-core/src/policy/checker.rs
@@ -62,7 +62,7 @@
     pub(super) backend_fields: Vec<&'static str>,
 }
 
-/// Checks a whole expression.
+/// Checks the syntax tree of an expression.
 pub(super) fn check(
     part: PolicyPart,
     info: &SourceInfo,
@@ -91,7 +91,7 @@
     })
 }
 
-/// The state of a walk over a syntax tree.
+/// The state of a traversal of a syntax tree.
 struct Checker<'tree> {
     part: PolicyPart,
     info: &'tree SourceInfo,
--- a/crates/petrellatch-core/src/policy/expression.rs
+++ b/crates/petrellatch-core/src/policy/expression.rs
@@ -99,7 +99,7 @@
     }
 }
 
-/// Refuses texts that are empty or too long.
+/// Refuses texts that are empty or too long, before they are parsed.
 fn check_length(part: PolicyPart, source: &str) -> Result<(), PolicyError> {
     let reason = if source.trim().is_empty() {
         PolicyErrorReason::Empty
--- a/crates/petrellatch-core/src/policy/shares.rs
+++ b/crates/petrellatch-core/src/policy/shares.rs
@@ -27,7 +27,7 @@
 }
 
 /// Evaluates a policy for all back ends of a service. A back end for which the
-/// evaluation fails is not eligible; the explanation says why.
+/// evaluation fails is not eligible; the explanation has the error.
 pub fn shares(policy: &Policy, service: &ServiceView, backends: &[BackendView]) -> Shares {
     let mut result = Shares {
         none_eligible: true,
