--- a/crates/petrellatch-core/src/placement/assignment.rs
+++ b/crates/petrellatch-core/src/placement/assignment.rs
@@ -1,16 +1,17 @@
-//! Assignment of buckets to back ends with quotas.
+//! Assignment of buckets to back ends within quotas.
 //!
 //! This is the deferred acceptance algorithm (Gale and Shapley 1962). Each
 //! bucket proposes to the back end with the lowest cost that has not rejected
 //! it; a back end above its quota keeps the buckets of the lowest cost and
 //! rejects the rest. The result is stable: a change of one back end's quota
-//! moves only the buckets that gain by it, or are displaced by those.
+//! moves only the buckets that then get a lower cost, and those that these
+//! displace.
 
 use crate::identity::{BackendId, BucketIndex};
 
 use super::rendezvous::BackendSeed;
 
-/// A back end that takes part in a table, with its weight.
+/// A back end to which a table can assign buckets, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
     pub(super) backend: BackendId,
@@ -19,35 +20,35 @@
 }
 
 impl Candidate {
-    /// Returns the cost of giving `bucket` to this back end.
+    /// Returns the cost of assigning `bucket` to this back end.
     pub(super) fn cost(&self, bucket: u32) -> u64 {
         self.seed.cost(BucketIndex(bucket), self.weight)
     }
 }
 
-/// The place of a back end in a bucket's order of preference: by cost, then
-/// by position.
+/// A back end's rank in a bucket's order of preference: its cost, then its
+/// position in the list of candidates. The lowest is preferred.
 type Preference = (u64, u16);
 
-/// A bucket that a back end holds for now.
+/// A bucket that a back end has accepted; it may be rejected in a later round.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct HeldBucket {
+struct AcceptedBucket {
     cost: u64,
     bucket: u32,
 }
 
-/// A bucket that looks for a back end.
+/// A bucket that proposes to its next back end.
 struct Proposal {
     bucket: u32,
-    /// The back end that rejected the bucket last.
+    /// The back end that rejected the bucket most recently.
     rejected_by: Option<Preference>,
 }
 
 /// Returns for each bucket the position of its back end in `candidates`. The
 /// quotas must add up to `bucket_count`.
 pub(super) fn assign(bucket_count: u32, candidates: &[Candidate], quotas: &[u32]) -> Box<[u16]> {
-    let mut held: Vec<Vec<HeldBucket>> = Vec::with_capacity(candidates.len());
-    held.resize_with(candidates.len(), Vec::new);
+    let mut accepted: Vec<Vec<AcceptedBucket>> = Vec::with_capacity(candidates.len());
+    accepted.resize_with(candidates.len(), Vec::new);
     let mut proposals: Vec<Proposal> = (0..bucket_count)
         .map(|bucket| Proposal {
             bucket,
@@ -56,26 +57,28 @@
         .collect();
     while !proposals.is_empty() {
         for proposal in proposals.drain(..) {
-            propose(&proposal, candidates, &mut held);
+            propose(&proposal, candidates, &mut accepted);
         }
-        for (position, buckets) in held.iter_mut().enumerate() {
+        for (position, buckets) in accepted.iter_mut().enumerate() {
             let quota = quotas[position] as usize;
             reject_above_quota(position, quota, buckets, &mut proposals);
         }
     }
-    collect_positions(bucket_count, &held)
+    collect_positions(bucket_count, &accepted)
 }
 
-/// Adds the bucket to its most preferred back end after the last rejection.
-fn propose(proposal: &Proposal, candidates: &[Candidate], held: &mut [Vec<HeldBucket>]) {
+/// Adds the bucket to the back end that it prefers among those that haven't
+/// rejected it.
+fn propose(proposal: &Proposal, candidates: &[Candidate], accepted: &mut [Vec<AcceptedBucket>]) {
     let next = preferences(proposal.bucket, candidates)
         .filter(|&preference| Some(preference) > proposal.rejected_by)
         .min();
-    // The quotas cover all buckets, so some back end always has room.
+    // The quotas add up to the number of buckets, so at least one back end has
+    // not rejected the bucket.
     let Some((cost, position)) = next else {
         return;
     };
-    held[usize::from(position)].push(HeldBucket {
+    accepted[usize::from(position)].push(AcceptedBucket {
         cost,
         bucket: proposal.bucket,
     });
@@ -96,7 +99,7 @@
 fn reject_above_quota(
     position: usize,
     quota: usize,
-    buckets: &mut Vec<HeldBucket>,
+    buckets: &mut Vec<AcceptedBucket>,
     proposals: &mut Vec<Proposal>,
 ) {
     if buckets.len() <= quota {
@@ -111,12 +114,13 @@
     }
 }
 
-/// Turns the lists of buckets into one position for each bucket.
-fn collect_positions(bucket_count: u32, held: &[Vec<HeldBucket>]) -> Box<[u16]> {
+/// Converts the list of buckets of each back end into a list with the position
+/// of each bucket's back end.
+fn collect_positions(bucket_count: u32, accepted: &[Vec<AcceptedBucket>]) -> Box<[u16]> {
     let mut positions = vec![0; bucket_count as usize].into_boxed_slice();
-    for (position, buckets) in held.iter().enumerate() {
-        for held_bucket in buckets {
-            positions[held_bucket.bucket as usize] = position as u16;
+    for (position, buckets) in accepted.iter().enumerate() {
+        for accepted_bucket in buckets {
+            positions[accepted_bucket.bucket as usize] = position as u16;
         }
     }
     positions
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -105,7 +105,7 @@
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            if !failure.kind.answer().retryable {
+            if !failure.kind.response().retryable {
                 return Err(failure);
             }
             if failure.got_no_response {
--- a/crates/petrellatch/src/usage.rs
+++ b/crates/petrellatch/src/usage.rs
@@ -92,6 +92,6 @@
 /// Reports an invalid command line.
 pub fn report_usage_error(message: &str) -> ExitCode {
     eprintln!("petrellatch: {message}; see petrellatch --help");
-    let code = ErrorKind::InvalidSettings.answer().exit_code;
+    let code = ErrorKind::InvalidSettings.response().exit_code;
     ExitCode::from(u8::try_from(code).unwrap_or(1))
 }
