--- a/crates/petrellatch/src/check.rs
+++ b/crates/petrellatch/src/check.rs
@@ -31,7 +31,7 @@
             found.extend(read_cluster_key(key_file).err().map(|problem| *problem));
         }
         if found.is_empty() {
-            println!("{name}: valid");
+            println!("{name}: nothing is wrong");
         }
         problems.extend(found);
     }
--- a/crates/petrellatch/src/ctl/policy.rs
+++ b/crates/petrellatch/src/ctl/policy.rs
@@ -50,7 +50,7 @@
         };
         let checked: PolicyCheck = client.post(Endpoint::CheckPolicy.path(), &request)?;
         print_document(output, &checked, || {
-            format!("policy {}: valid\n", policy.name)
+            format!("policy {}: nothing is wrong\n", policy.name)
         });
     }
     Ok(())
--- a/crates/petrellatch/src/ctl/status.rs
+++ b/crates/petrellatch/src/ctl/status.rs
@@ -76,7 +76,7 @@
         return format!("version {version} does not exist yet; the newest is {newest}");
     }
     let names = lagging.join(", ");
-    format!("version {version} is not active at {lagging_count} members: {names}")
+    format!("version {version} is not in force at {lagging_count} members: {names}")
 }
 
 /// Returns the list of control replicas as text.
@@ -84,13 +84,13 @@
     let mut text = String::from("control replicas:\n");
     for replica in &status.replicas {
         let leader = if replica.name == status.leader {
-            "  leader"
+            "  leads"
         } else {
             ""
         };
         let silence = match replica.silent_ms {
-            Some(silence) => format!("last seen {silence} ms ago"),
-            None => "not seen in this term".to_string(),
+            Some(silence) => format!("heard {silence} ms ago"),
+            None => "not heard of".to_string(),
         };
         let _ = writeln!(
             text,
@@ -101,7 +101,7 @@
     for replica in &status.announced {
         let _ = writeln!(
             text,
-            "  {:<24} announced, not a member; incarnation {}",
+            "  {:<24} asks to be added; incarnation {}",
             replica.name, replica.incarnation
         );
     }
