--- a/crates/petrellatch/src/api/placement_policy.rs
+++ b/crates/petrellatch/src/api/placement_policy.rs
@@ -46,7 +46,7 @@
     pub based_on: Option<u64>,
 }
 
-/// The response to a policy change that is durable.
+/// The response to a policy change, sent once the change is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct PolicyChangeAccepted {
     /// Index of the policies.
--- a/crates/petrellatch/src/ctl/apply.rs
+++ b/crates/petrellatch/src/ctl/apply.rs
@@ -41,7 +41,8 @@
             return Ok(());
         }
         let request = ChangeRequest {
-            // Each further change needs an id of its own.
+            // A given id is used for the first change only; each further change
+            // needs an id of its own.
             request_id: request_id.take().unwrap_or_else(random_request_id),
             based_on: options.based_on.unwrap_or(current.version),
             edits,
--- a/crates/petrellatch/src/ctl/client.rs
+++ b/crates/petrellatch/src/ctl/client.rs
@@ -31,7 +31,7 @@
 pub struct Failure {
     /// The kind.
     pub kind: ErrorKind,
-    /// The error that the server reported.
+    /// The error that the server reported or this client detected.
     pub body: ErrorBody,
     /// Whether the server did not respond.
     pub got_no_response: bool,
@@ -181,18 +181,18 @@
     fn attempt<T: DeserializeOwned>(&self, path: &str, body: Option<&[u8]>) -> Result<T, Failure> {
         let server = &self.servers[self.current];
         let url = format!("http://{server}{path}");
-        let limit = Some(self.time_left().min(self.attempt_timeout));
+        let timeout = Some(self.time_left().min(self.attempt_timeout));
         let sent = match body {
             Some(body) => self
                 .agent
                 .post(&url)
                 .config()
-                .timeout_global(limit)
+                .timeout_global(timeout)
                 .build()
                 .header("Content-Type", "application/json")
                 .send(body),
             None => {
-                let request = self.agent.get(&url).config().timeout_global(limit);
+                let request = self.agent.get(&url).config().timeout_global(timeout);
                 request.build().call()
             }
         };
--- a/crates/petrellatch/src/error.rs
+++ b/crates/petrellatch/src/error.rs
@@ -13,13 +13,13 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ProgramError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[snafu(display("{message}"))]
     Usage {
         /// The problem.
         message: String,
     },
-    /// The settings are wrong; every problem is listed.
+    /// The settings are invalid; every problem is listed.
     #[snafu(display("{}", join_lines(problems)))]
     Settings {
         /// All problems.
--- a/crates/petrellatch/src/http/event_server.rs
+++ b/crates/petrellatch/src/http/event_server.rs
@@ -20,11 +20,11 @@
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 /// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 4 * 1024;
-/// A connection without activity is closed after this.
+/// A connection without a complete request or a response is closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A connection that was idle for this long may be closed for a new one when the
-/// connection limit is reached. A client that is sending a request is not silent
-/// for a second.
+/// connection limit is reached. A client sends a request within less than a
+/// second, so this does not interrupt a request.
 const RECLAIM_IDLE_TIME: Duration = Duration::from_secs(1);
 /// A request that is not complete after this is refused.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
@@ -61,6 +61,7 @@
     /// A request was returned to the event loop and has no response yet.
     awaits_response: bool,
     close_after_response: bool,
+    /// Time of the last complete request or response, at first of the accept.
     active_at: Timestamp,
 }
 
--- a/crates/petrellatch/src/http/message.rs
+++ b/crates/petrellatch/src/http/message.rs
@@ -90,7 +90,7 @@
     }
 
     /// Creates an error response with this body.
-    pub fn refusal(document: &ErrorDocument) -> Self {
+    pub fn error_document(document: &ErrorDocument) -> Self {
         let kind = kind_by_name(&document.error.kind).unwrap_or(ErrorKind::Internal);
         HttpResponse::failure(kind, document)
     }
--- a/crates/petrellatch/src/http/server.rs
+++ b/crates/petrellatch/src/http/server.rs
@@ -92,10 +92,10 @@
             spawn("http-worker", move || state.run_worker())?;
         }
         let server = Arc::new(server);
-        let accepted = Arc::clone(&server);
+        let accepting_server = Arc::clone(&server);
         let refusals = start_refusal_threads()?;
         let accept_thread = spawn("http-server", move || {
-            state.accept(&accepted, &sender, &refusals);
+            state.accept(&accepting_server, &sender, &refusals);
         })?;
         Ok(HttpServer {
             address,
--- a/crates/petrellatch/src/logging.rs
+++ b/crates/petrellatch/src/logging.rs
@@ -28,12 +28,12 @@
 pub enum LogLevel {
     /// Everything.
     Debug,
-    /// Normal operation and worse.
+    /// Normal operation, and everything more severe.
     #[default]
     Info,
-    /// What an operator may want to look at and worse.
+    /// Conditions that an operator may want to look into, and errors.
     Warning,
-    /// Only what an operator has to look at.
+    /// Only conditions that an operator has to look into.
     Error,
 }
 
--- a/crates/petrellatch/src/runtime/agent/backend_connection.rs
+++ b/crates/petrellatch/src/runtime/agent/backend_connection.rs
@@ -29,7 +29,7 @@
 enum Phase {
     Connecting,
     Open,
-    /// It failed, and the flow was notified.
+    /// The connection failed, and the flow was notified.
     Failed,
 }
 
--- a/crates/petrellatch/src/runtime/agent/mod.rs
+++ b/crates/petrellatch/src/runtime/agent/mod.rs
@@ -40,7 +40,7 @@
 
 /// Maximum number of selector events per iteration.
 const EVENTS: usize = 1_024;
-/// Interval between updates of the metrics; also the longest sleep.
+/// Interval between updates of the metrics; also the longest wait for events.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs an agent until it has stopped.
--- a/crates/petrellatch/src/runtime/balancer.rs
+++ b/crates/petrellatch/src/runtime/balancer.rs
@@ -32,7 +32,7 @@
 
 /// Maximum number of selector events per iteration.
 const EVENTS: usize = 16;
-/// Interval between updates of the metrics; also the longest sleep.
+/// Interval between updates of the metrics; also the longest wait for events.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs a balancer until it has stopped.
--- a/crates/petrellatch/src/runtime/control/mod.rs
+++ b/crates/petrellatch/src/runtime/control/mod.rs
@@ -51,7 +51,7 @@
 
 /// Maximum number of selector events per iteration.
 const EVENTS: usize = 16;
-/// Interval between updates of the metrics; also the longest sleep.
+/// Interval between updates of the metrics; also the longest wait for events.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of heartbeats that a leader sends per minimum election timeout.
 const HEARTBEATS_PER_ELECTION: u32 = 5;
@@ -271,8 +271,8 @@
         let replica = self.node.replica();
         let announced = replica.waiting_replicas();
         let found = announced.into_iter().find(|it| it.node == node);
-        let leads = replica.role() == Role::Leader;
-        if found.is_none() && leads {
+        let is_leader = replica.role() == Role::Leader;
+        if found.is_none() && is_leader {
             let message = "no replica of this name that is not a member has announced itself";
             let error = ErrorDocument::new(ErrorKind::NotFound, message);
             let _ = response_sender.send(LoopResponse::Failure(error));
--- a/crates/petrellatch/src/runtime/control/operator_api.rs
+++ b/crates/petrellatch/src/runtime/control/operator_api.rs
@@ -89,7 +89,7 @@
     fn wait(&self, responses: &Receiver<LoopResponse>) -> HttpResponse {
         match responses.recv_timeout(self.response_timeout) {
             Ok(LoopResponse::Success(document)) => document.into_response(),
-            Ok(LoopResponse::Failure(document)) => HttpResponse::refusal(&document),
+            Ok(LoopResponse::Failure(document)) => HttpResponse::error_document(&document),
             Err(_) => stopped(),
         }
     }
--- a/crates/petrellatch/src/runtime/datagram_socket.rs
+++ b/crates/petrellatch/src/runtime/datagram_socket.rs
@@ -106,7 +106,8 @@
             Ok((length, SocketAddr::V4(sender))) => handle(sender, &buffer[..length]),
             Ok((_, SocketAddr::V6(_))) => {}
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Batch::Complete,
-            // An earlier datagram was sent to a closed port; the socket stays usable.
+            // Reports, for example, that an earlier datagram reached a closed port
+            // (ICMP); the socket stays usable.
             Err(_) => {}
         }
     }
--- a/crates/petrellatch/src/runtime/pass_through/policy_api.rs
+++ b/crates/petrellatch/src/runtime/pass_through/policy_api.rs
@@ -90,7 +90,7 @@
             let operator_address = SocketAddrV4::new(*leader.ip(), operator_port);
             let mut document = ErrorDocument::new(ErrorKind::NotLeader, "another replica leads");
             document.error.leader = Some(operator_address.to_string());
-            HttpResponse::refusal(&document)
+            HttpResponse::error_document(&document)
         }
         _ => HttpResponse::error(
             ErrorKind::Unavailable,
@@ -110,7 +110,7 @@
     if let PolicyRefusal::Conflict { current, .. } = refusal {
         document.error.current_version = Some(*current);
     }
-    HttpResponse::refusal(&document)
+    HttpResponse::error_document(&document)
 }
 
 fn policy_list(set: &PolicySet) -> PlacementPolicyList {
--- a/crates/petrellatch/src/runtime/process.rs
+++ b/crates/petrellatch/src/runtime/process.rs
@@ -22,11 +22,11 @@
 use crate::logging::{log, log_event};
 use crate::settings::Settings;
 
-/// A balancer changes its parent after the parent was silent for this many
-/// heartbeat intervals.
+/// A balancer or agent changes its parent after the parent was silent for this
+/// many heartbeat intervals.
 const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// One daemon, which a test may run in its own process.
+/// One daemon. Tests run several of them as threads of one process.
 pub struct Process {
     /// The active settings.
     pub settings: Settings,
--- a/crates/petrellatch/src/runtime/ready_line.rs
+++ b/crates/petrellatch/src/runtime/ready_line.rs
@@ -1,4 +1,4 @@
-//! The ready line: printed to standard output once all addresses are open.
+//! The ready line: printed to standard output once all sockets are bound.
 
 use std::io::{self, Write};
 use std::net::SocketAddrV4;
--- a/crates/petrellatch/tests/refused_starts.rs
+++ b/crates/petrellatch/tests/refused_starts.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn bootstrapping_a_group_on_a_folder_in_use_is_refused() {
+fn bootstrapping_a_group_on_a_formatted_folder_is_refused() {
     let cluster = Cluster::start(1);
     let mut settings = cluster.settings(Role::Control, "control-1", true);
     settings.data_folder = cluster.data_folder("formatted");
--- a/crates/petrellatch/tests/silent_replica.rs
+++ b/crates/petrellatch/tests/silent_replica.rs
@@ -7,8 +7,9 @@
 
 use support::{Cluster, ReplicaAddress, policy};
 
-/// Attempt timeout of clients that did not skip silent servers. A command makes
-/// several requests, and all of them together must take less than this.
+/// Earlier versions of the client waited this long for a silent server, at each
+/// request. A command makes several requests; it must end before a single such
+/// wait would.
 const MAX_COMMAND_TIME: Duration = Duration::from_secs(5);
 
 #[test]
--- a/crates/petrellatch/tests/support/mod.rs
+++ b/crates/petrellatch/tests/support/mod.rs
@@ -193,7 +193,7 @@
         );
     }
 
-    /// Removes a daemon from the cluster, to stop or kill it.
+    /// Takes a daemon out of `running`, to stop or kill it.
     pub fn take(&mut self, name: &str) -> Running {
         self.running.remove(name).expect("the daemon is running")
     }
