--- a/crates/petrellatch/src/runtime/control/replica_folder.rs
+++ b/crates/petrellatch/src/runtime/control/replica_folder.rs
@@ -64,7 +64,8 @@
     })
 }
 
-/// Returns the incarnation of one of the first replicas of the group.
+/// Returns the incarnation of one of the first replicas of the group. The hashed
+/// text must not change, since its digest is stored in data folders.
 fn first_incarnation(name: &str) -> Incarnation {
     Incarnation(NodeId::from_name(&format!("first life of {name}")).0)
 }
--- a/crates/petrellatch/src/runtime/process.rs
+++ b/crates/petrellatch/src/runtime/process.rs
@@ -85,7 +85,7 @@
     }
 
     /// Reads the stored copy of the view. A damaged copy is logged and
-    /// ignored, since the daemon receives the whole view from its parent.
+    /// ignored, since the daemon receives the complete view from its parent.
     pub fn read_view(&self, folder: &DataFolder) -> Result<Option<StoredView>, ProgramError> {
         let Some(bytes) = folder.read_view()? else {
             return Ok(None);
