--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -78,13 +78,13 @@
     #[snafu(display("an earlier membership change or the term start is not committed yet"))]
     ChangeInProgress,
     /// The node isn't a member.
-    #[snafu(display("node {node} is not a member"))]
+    #[snafu(display("node {node} is no member"))]
     UnknownMember {
         /// The node of the request.
         node: NodeId,
     },
     /// The node is already a member.
-    #[snafu(display("node {node} is already a member"))]
+    #[snafu(display("node {node} is a member already"))]
     AlreadyMember {
         /// The node of the request.
         node: NodeId,
@@ -99,7 +99,7 @@
     #[snafu(display("the last voter cannot be removed"))]
     LastVoter,
     /// The group already has [`MAX_MEMBERS`] members.
-    #[snafu(display("the group already has {MAX_MEMBERS} members"))]
+    #[snafu(display("the group is full"))]
     GroupFull,
 }
 
--- a/crates/petrellatch-core/src/consensus/output.rs
+++ b/crates/petrellatch-core/src/consensus/output.rs
@@ -151,7 +151,7 @@
         limit: usize,
     },
     /// Too many bytes are uncommitted; the caller may retry later.
-    #[snafu(display("{bytes} bytes are not committed yet"))]
+    #[snafu(display("{bytes} bytes wait to be committed already"))]
     Overloaded {
         /// Size of the uncommitted entries.
         bytes: usize,
