--- a/crates/petrellatch-core/src/consensus/apply.rs
+++ b/crates/petrellatch-core/src/consensus/apply.rs
@@ -35,7 +35,8 @@
         });
         self.writes.note_snapshot(Arc::clone(&snapshot));
         self.snapshot = Some(snapshot);
-        // Followers that lag a little are sent entries instead of a snapshot.
+        // Keeps some entries that the snapshot covers, so that followers that lag
+        // only a little are sent entries instead of the snapshot.
         let kept = self.settings.compaction_threshold / 2;
         let dropped = index.saturating_sub(kept).max(self.log.base_index());
         self.log.compact_to(dropped);
--- a/crates/petrellatch-core/src/consensus/election.rs
+++ b/crates/petrellatch-core/src/consensus/election.rs
@@ -68,7 +68,7 @@
     fn request_from_started_voter(&mut self, voter: ReplicaId, term: Term) {
         match self.role_state {
             RoleState::PreCandidate { .. } => self.request_pre_vote(voter),
-            // A voter in a higher term would only end this candidacy.
+            // The response of a voter in a higher term would end this candidacy.
             RoleState::Candidate { .. } if term <= self.hard_state.term => {
                 self.request_vote(voter, false);
             }
@@ -119,7 +119,7 @@
             return;
         }
         if self.defers_to_candidate() {
-            // The response belongs to a request from before the latest vote.
+            // The response is to a request sent before this replica's last vote.
             return;
         }
         self.observe_term_and_retry_pre_vote(term);
--- a/crates/petrellatch-core/src/consensus/leader.rs
+++ b/crates/petrellatch-core/src/consensus/leader.rs
@@ -158,16 +158,16 @@
             None if member.replica == self.id => own_index,
             None => 0,
         };
-        let learners_count = self.settings.mutations.learner_counts_as_voter;
+        let counts_learners = self.settings.mutations.learner_counts_as_voter;
         let membership = self.memberships.current();
         let members = membership.members().iter();
-        let counting = members.filter(|member| learners_count || member.role == MemberRole::Voter);
+        let counting = members.filter(|member| counts_learners || member.role == MemberRole::Voter);
         let mut matches: Vec<LogIndex> = counting.map(match_of).collect();
         matches.sort_unstable_by(|left, right| right.cmp(left));
         let index = matches.get(membership.quorum_size() - 1);
         let index = index.copied().unwrap_or(0);
-        let own_term = self.log.term_at(index) == Some(self.hard_state.term);
-        if own_term && index > self.commit_index {
+        let is_own_term = self.log.term_at(index) == Some(self.hard_state.term);
+        if is_own_term && index > self.commit_index {
             self.commit_index = index;
             self.step_down_if_removed();
         }
@@ -183,6 +183,7 @@
         }
     }
 
+    /// Progress of the member with exactly this incarnation.
     pub(super) fn progress_of(&mut self, replica: ReplicaId) -> Option<&mut Progress> {
         let RoleState::Leader(leadership) = &mut self.role_state else {
             return None;
@@ -304,6 +305,7 @@
         self.send(replica, ConsensusBody::AppendRequest(request));
     }
 
+    /// Progress of the member on `node`, whatever its incarnation.
     pub(super) fn progress_on(&mut self, node: NodeId) -> Option<&mut Progress> {
         match &mut self.role_state {
             RoleState::Leader(leadership) => leadership.peers.get_mut(&node),
--- a/crates/petrellatch-core/src/consensus/leadership.rs
+++ b/crates/petrellatch-core/src/consensus/leadership.rs
@@ -10,8 +10,8 @@
 use super::output::PeerProgress;
 use super::progress::{Progress, ReplicationState};
 
-/// Maximum number of announced replicas of unknown nodes that a leader keeps.
-const MAX_WAITING_REPLICAS: usize = 16;
+/// Maximum number of announced replicas that a leader keeps.
+const MAX_ANNOUNCED_REPLICAS: usize = 16;
 
 /// State of a leader in its term.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     pub(super) peers: BTreeMap<NodeId, Progress>,
     /// When this leader was elected.
     pub(super) since: Timestamp,
-    /// The entry that marks the term's start.
+    /// Index of the no-operation entry with which the term starts.
     pub(super) first_index: LogIndex,
     pub(super) next_heartbeat: Timestamp,
     /// Number of the current leadership confirmation round.
@@ -28,11 +28,11 @@
     /// Whether pending reads need a new round.
     pub(super) round_requested: bool,
     pub(super) reads: VecDeque<PendingRead>,
-    /// When a leadership transfer is given up if no voter is ready for it.
+    /// When a leadership transfer is abandoned if no voter is ready for it.
     /// `None` if no transfer is in progress.
     pub(super) transfer_deadline: Option<Timestamp>,
     /// Announced replicas of nodes that aren't members.
-    waiting: BTreeMap<NodeId, Incarnation>,
+    announced: BTreeMap<NodeId, Incarnation>,
 }
 
 /// A read that waits for the confirmation of leadership.
@@ -56,7 +56,7 @@
             round_requested: false,
             reads: VecDeque::new(),
             transfer_deadline: None,
-            waiting: BTreeMap::new(),
+            announced: BTreeMap::new(),
         }
     }
 
@@ -78,7 +78,7 @@
             }
             let peer = self.peers.entry(replica.node);
             peer.or_insert_with(|| Progress::new(replica, last_index, now));
-            self.waiting.remove(&replica.node);
+            self.announced.remove(&replica.node);
         }
     }
 
@@ -88,19 +88,19 @@
         (progress.replica == replica).then_some(progress)
     }
 
-    pub(super) fn note_waiting_replica(&mut self, replica: ReplicaId) {
-        let is_listed = self.waiting.contains_key(&replica.node);
-        if is_listed || self.waiting.len() < MAX_WAITING_REPLICAS {
-            self.waiting.insert(replica.node, replica.incarnation);
+    pub(super) fn note_announced_replica(&mut self, replica: ReplicaId) {
+        let is_listed = self.announced.contains_key(&replica.node);
+        if is_listed || self.announced.len() < MAX_ANNOUNCED_REPLICAS {
+            self.announced.insert(replica.node, replica.incarnation);
         }
     }
 
-    pub(super) fn waiting_replicas(&self) -> Vec<ReplicaId> {
+    pub(super) fn announced_replicas(&self) -> Vec<ReplicaId> {
         let replica = |(node, incarnation): (&NodeId, &Incarnation)| ReplicaId {
             node: *node,
             incarnation: *incarnation,
         };
-        self.waiting.iter().map(replica).collect()
+        self.announced.iter().map(replica).collect()
     }
 
     pub(super) fn peer_progress(&self) -> Vec<PeerProgress> {
--- a/crates/petrellatch-core/src/consensus/log.rs
+++ b/crates/petrellatch-core/src/consensus/log.rs
@@ -14,7 +14,8 @@
 #[derive(Debug)]
 struct SizedEntry {
     entry: LogEntry,
-    /// Total size of all entries appended up to this one, in bytes.
+    /// Running total of the entry sizes up to this one, in bytes. It may include
+    /// entries that were compacted since.
     end_bytes: usize,
 }
 
@@ -120,8 +121,8 @@
         self.end_bytes() + sized.entry.size_bytes() - sized.end_bytes
     }
 
-    /// The last index up to `limit` whose term is at most `term`: the last place
-    /// where the logs can match if the other log has `term` at `limit`.
+    /// The last index up to `limit` whose term is at most `term`: the last one
+    /// at which the logs can match if the other log has `term` at `limit`.
     pub(super) fn last_possible_match(&self, limit: LogIndex, term: Term) -> LogIndex {
         let mut index = limit.min(self.last_index());
         while index > self.base.index && self.term_at(index).is_some_and(|own| own > term) {
--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -141,10 +141,10 @@
 
     /// The members that count towards quorums.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        let voters = |member: &&Member| member.role == MemberRole::Voter;
+        let is_voter = |member: &&Member| member.role == MemberRole::Voter;
         self.members
             .iter()
-            .filter(voters)
+            .filter(is_voter)
             .map(|member| member.replica)
     }
 
--- a/crates/petrellatch-core/src/consensus/membership_change.rs
+++ b/crates/petrellatch-core/src/consensus/membership_change.rs
@@ -36,14 +36,14 @@
 
     /// Replaces the nodes that this replica announces itself to, in addition
     /// to the members of its own membership.
-    pub fn set_contacts(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
+    pub fn set_join_targets(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         let own = self.id.node;
-        self.configured_peers = nodes.into_iter().filter(|node| *node != own).collect();
+        self.join_targets = nodes.into_iter().filter(|node| *node != own).collect();
     }
 
     pub(super) fn join_is_due(&self) -> bool {
         let leads = matches!(self.role_state, RoleState::Leader(_));
-        // A voter may have been removed without having received that entry.
+        // A voter may not have received the entry that removed it.
         let may_be_removed = self.settings.readmit_retired && self.leader.is_none();
         let may_announce = !self.may_campaign() || may_be_removed;
         !leads && may_announce && self.now >= self.join_deadline
@@ -58,7 +58,7 @@
     pub(super) fn announce_join(&mut self) {
         const ANY: Incarnation = Incarnation(0);
         self.reset_join_timer();
-        let mut nodes = self.configured_peers.clone();
+        let mut nodes = self.join_targets.clone();
         let members = self.membership().members();
         nodes.extend(members.iter().map(|member| member.replica.node));
         nodes.remove(&self.id.node);
@@ -87,7 +87,7 @@
             return;
         }
         let Some(previous) = previous else {
-            leadership.note_waiting_replica(sender);
+            leadership.note_announced_replica(sender);
             return;
         };
         if self.change_in_progress() || self.responded_recently(previous.replica) {
--- a/crates/petrellatch-core/src/consensus/output.rs
+++ b/crates/petrellatch-core/src/consensus/output.rs
@@ -125,7 +125,8 @@
     MembershipChanged(Membership),
 }
 
-/// Error of a replica that isn't the leader.
+/// Error of a replica that isn't the leader, or steps down because its quorum
+/// was silent for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("this replica is not the leader"))]
 pub struct NotLeader {
--- a/crates/petrellatch-core/src/consensus/progress.rs
+++ b/crates/petrellatch-core/src/consensus/progress.rs
@@ -76,7 +76,7 @@
     /// Whether the member has durably caught up: it has all committed entries,
     /// or, since entries may arrive continuously, it took at most `limit` to
     /// reach the commit index at the start of the current round. Starts the
-    /// next round if a round took longer.
+    /// next round when the current one is complete.
     pub(super) fn has_caught_up(
         &mut self,
         now: Timestamp,
--- a/crates/petrellatch-core/src/consensus/reads.rs
+++ b/crates/petrellatch-core/src/consensus/reads.rs
@@ -20,7 +20,7 @@
         let RoleState::Leader(leadership) = &mut self.role_state else {
             return Err(refusal);
         };
-        // The commit index of earlier terms is certain only once the first
+        // Which entries earlier leaders committed is known only once the first
         // entry of this term is committed.
         let index = self.commit_index.max(leadership.first_index);
         leadership.round_requested = true;
--- a/crates/petrellatch-core/src/consensus/replica.rs
+++ b/crates/petrellatch-core/src/consensus/replica.rs
@@ -53,8 +53,9 @@
     pub(super) last_leader_contact: Option<Timestamp>,
     pub(super) election_deadline: Timestamp,
     pub(super) join_deadline: Timestamp,
-    /// Other nodes of the group that are named in the settings.
-    pub(super) configured_peers: BTreeSet<NodeId>,
+    /// Nodes that this replica announces itself to, in addition to the members
+    /// of its own membership.
+    pub(super) join_targets: BTreeSet<NodeId>,
     pub(super) assembly: Option<SnapshotAssembly>,
     /// The write that makes an installed snapshot durable. The application gets
     /// the snapshot once it completes.
@@ -64,7 +65,8 @@
     /// Applied index at which a snapshot was last requested from the application.
     pub(super) snapshot_requested_at: LogIndex,
     pub(super) outputs: VecDeque<ReplicaOutput>,
-    announced_role: (Role, Term),
+    /// The role and term that were emitted last.
+    emitted_role: (Role, Term),
 }
 
 /// How long a replica waits for a leader before it starts a pre-vote, in
@@ -101,7 +103,7 @@
             incarnation: start.incarnation,
         };
         let first_start = start.persisted.is_empty();
-        let configured_peers = configured_peers(id, start.bootstrap.as_ref());
+        let join_targets = bootstrap_peers(id, start.bootstrap.as_ref());
         let bootstrap = start.bootstrap.filter(|membership| membership.contains(id));
         let bootstrap_snapshot = bootstrap.filter(|_| first_start).map(initial_snapshot);
         let persisted = start.persisted;
@@ -130,7 +132,7 @@
             id,
             random: ChaCha8Rng::seed_from_u64(start.seed),
             now,
-            announced_role: (Role::Follower, hard_state.term),
+            emitted_role: (Role::Follower, hard_state.term),
             hard_state,
             log,
             snapshot,
@@ -146,7 +148,7 @@
             lost_election: None,
             vote_retry_at: now,
             join_deadline: now,
-            configured_peers,
+            join_targets,
             assembly: None,
             pending_restore: None,
             writes,
@@ -237,7 +239,7 @@
     /// Returns the next output. Messages with entries and disk writes are
     /// created here, so that inputs handled together are batched into one.
     pub fn poll_output(&mut self) -> Option<ReplicaOutput> {
-        self.announce_role();
+        self.emit_role_change();
         if self.outputs.is_empty() {
             self.replicate();
             self.request_write();
@@ -362,12 +364,12 @@
         self.emit(ReplicaOutput::Persist(request));
     }
 
-    fn announce_role(&mut self) {
+    fn emit_role_change(&mut self) {
         let current = (self.role(), self.hard_state.term);
-        if current == self.announced_role {
+        if current == self.emitted_role {
             return;
         }
-        self.announced_role = current;
+        self.emitted_role = current;
         let (role, term) = current;
         self.emit(ReplicaOutput::RoleChanged { role, term });
     }
@@ -381,7 +383,7 @@
     }
 }
 
-fn configured_peers(id: ReplicaId, bootstrap: Option<&Membership>) -> BTreeSet<NodeId> {
+fn bootstrap_peers(id: ReplicaId, bootstrap: Option<&Membership>) -> BTreeSet<NodeId> {
     let members = bootstrap.map(Membership::members).unwrap_or_default();
     let nodes = members.iter().map(|member| member.replica.node);
     nodes.filter(|node| *node != id.node).collect()
--- a/crates/petrellatch-core/src/consensus/startup_election.rs
+++ b/crates/petrellatch-core/src/consensus/startup_election.rs
@@ -126,8 +126,8 @@
     }
 
     /// Whether this pre-candidate must adopt the term of a voter whose log is
-    /// less up to date: it can't vote for that voter, which in turn denies
-    /// requests for lower terms.
+    /// less up to date. Such a voter can't get this replica's vote, and denies
+    /// requests for terms lower than its own.
     pub(super) fn must_adopt_term_of(&self, competitor: ReplicaId, position: LogPosition) -> bool {
         let is_pre_candidate = matches!(self.role_state, RoleState::PreCandidate { .. });
         let lacks_quorum =
@@ -194,11 +194,14 @@
         let mut possible_voters = granted.clone();
         possible_voters.insert(self.id.node);
         self.startup_election.denied.insert(voter);
-        let start = &self.startup_election;
-        let competitors = start.competitors.iter();
-        let other = competitors.filter(|(_, competitor)| self.is_alive(competitor));
-        possible_voters.extend(other.map(|(node, _)| *node));
-        let remaining = possible_voters.difference(&start.denied).copied().collect();
+        let election = &self.startup_election;
+        let competitors = election.competitors.iter();
+        let running = competitors.filter(|(_, competitor)| self.is_alive(competitor));
+        possible_voters.extend(running.map(|(node, _)| *node));
+        let remaining = possible_voters
+            .difference(&election.denied)
+            .copied()
+            .collect();
         if self.in_startup_election() && !self.is_quorum(&remaining) {
             self.end_candidacy(ElectionLoss::Denied);
             self.start_pre_vote();
--- a/crates/petrellatch-core/src/consensus/status.rs
+++ b/crates/petrellatch-core/src/consensus/status.rs
@@ -73,9 +73,9 @@
 
     /// Replicas that announced themselves to this leader and whose nodes aren't
     /// members. An operator may add them.
-    pub fn waiting_replicas(&self) -> Vec<ReplicaId> {
+    pub fn announced_replicas(&self) -> Vec<ReplicaId> {
         match &self.role_state {
-            RoleState::Leader(leadership) => leadership.waiting_replicas(),
+            RoleState::Leader(leadership) => leadership.announced_replicas(),
             RoleState::Follower | RoleState::PreCandidate { .. } | RoleState::Candidate { .. } => {
                 Vec::new()
             }
--- a/crates/petrellatch-core/src/consensus/transfer.rs
+++ b/crates/petrellatch-core/src/consensus/transfer.rs
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Steps down without a successor, for example because the disk of this
+    /// Steps down without a transfer, for example because the disk of this
     /// replica doesn't respond. The other voters elect a leader once their
     /// election timeouts expire.
     pub fn resign(&mut self, now: Timestamp) {
@@ -60,8 +60,8 @@
         if !self.is_transferring() {
             return;
         }
-        if let Some(successor) = self.transfer_target() {
-            self.transfer_to(successor);
+        if let Some(target) = self.transfer_target() {
+            self.transfer_to(target);
         } else if let RoleState::Leader(leadership) = &mut self.role_state {
             let has_expired = leadership
                 .transfer_deadline
@@ -89,15 +89,15 @@
             .map(|peer| peer.replica)
     }
 
-    fn transfer_to(&mut self, successor: ReplicaId) {
+    fn transfer_to(&mut self, target: ReplicaId) {
         if !self.settings.mutations.lead_on_after_transfer {
             self.become_follower();
         } else if let RoleState::Leader(leadership) = &mut self.role_state {
             leadership.transfer_deadline = None;
         }
-        self.leader = Some(successor.node);
+        self.leader = Some(target.node);
         let request = TransferRequest {};
-        self.send(successor, ConsensusBody::TransferRequest(request));
+        self.send(target, ConsensusBody::TransferRequest(request));
     }
 
     /// Starts an election on request of the leader. A request of an earlier
--- a/crates/petrellatch-core/src/consensus/wire.rs
+++ b/crates/petrellatch-core/src/consensus/wire.rs
@@ -16,10 +16,10 @@
 /// Error of a message or record in which a field is missing or has an unknown
 /// value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{part} is missing or unknown"))]
+#[snafu(display("{field} is missing or unknown"))]
 pub struct MalformedMessage {
     /// The field that is missing or unknown.
-    pub part: &'static str,
+    pub field: &'static str,
 }
 
 impl From<ReplicaId> for ReplicaIdMessage {
@@ -59,12 +59,12 @@
 
     fn try_from(message: &MemberMessage) -> Result<Self, MalformedMessage> {
         let replica = message.replica.as_ref();
-        let replica = replica.ok_or(MalformedMessage { part: "replica" })?;
+        let replica = replica.ok_or(MalformedMessage { field: "replica" })?;
         let role = match message.role() {
             MemberRoleMessage::Voter => MemberRole::Voter,
             MemberRoleMessage::Learner => MemberRole::Learner,
             MemberRoleMessage::JoiningVoter => MemberRole::JoiningVoter,
-            MemberRoleMessage::Unspecified => return Err(MalformedMessage { part: "role" }),
+            MemberRoleMessage::Unspecified => return Err(MalformedMessage { field: "role" }),
         };
         Ok(Member {
             replica: replica.into(),
@@ -119,7 +119,11 @@
             Some(EntryBody::Membership(membership)) => {
                 EntryPayload::Membership(Membership::try_from(&membership)?)
             }
-            None => return Err(MalformedMessage { part: "entry body" }),
+            None => {
+                return Err(MalformedMessage {
+                    field: "entry body",
+                });
+            }
         };
         let position = LogPosition {
             term: message.term,
@@ -163,7 +167,9 @@
 
     fn try_from(record: SnapshotRecord) -> Result<Self, MalformedMessage> {
         let membership = record.membership.as_ref();
-        let membership = membership.ok_or(MalformedMessage { part: "membership" })?;
+        let membership = membership.ok_or(MalformedMessage {
+            field: "membership",
+        })?;
         Ok(Snapshot {
             position: LogPosition {
                 term: record.term,
--- a/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
+++ b/crates/petrellatch-core/src/pass_through/configuration_node/mod.rs
@@ -252,7 +252,7 @@
     /// Replaces the seed replicas of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
         self.replica
-            .set_contacts(seeds.iter().copied().map(node_id_of_address));
+            .set_join_targets(seeds.iter().copied().map(node_id_of_address));
     }
 
     /// Whether a planned stop is complete.
@@ -440,7 +440,7 @@
             .all()
             .into_iter()
             .map(node_id_of_address);
-        self.replica.set_contacts(nodes);
+        self.replica.set_join_targets(nodes);
     }
 
     fn is_disk_stalled(&self, now: Timestamp) -> bool {
--- a/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
+++ b/crates/petrellatch-core/src/pass_through/group/membership_manager.rs
@@ -120,7 +120,7 @@
             Some(zone) => self.voters_in_zone(&voters, zone),
             None => usize::MAX,
         };
-        let waiting = replica.waiting_replicas().into_iter();
+        let waiting = replica.announced_replicas().into_iter();
         waiting.min_by_key(voters_in_same_zone)
     }
 
--- a/crates/petrellatch-core/tests/consensus/checker.rs
+++ b/crates/petrellatch-core/tests/consensus/checker.rs
@@ -25,13 +25,15 @@
     StaleRead(u64),
 }
 
+/// Records the actions of all replicas and collects the violations.
 #[derive(Debug, Default)]
 pub struct Checker {
     leaders: BTreeMap<Term, ReplicaId>,
     votes: BTreeMap<(ReplicaId, Term), NodeId>,
     committed: BTreeMap<LogIndex, u64>,
+    /// Last index that was committed when the read was requested, by token.
     min_read_indices: BTreeMap<u64, LogIndex>,
-    pub reads_answered: u64,
+    pub reads_completed: u64,
     pub snapshots_restored: u64,
     pub violations: Vec<Violation>,
 }
@@ -93,8 +95,8 @@
         self.min_read_indices.insert(token, min_index);
     }
 
-    pub fn read_answered(&mut self, token: u64, state: &[Applied]) {
-        self.reads_answered += 1;
+    pub fn read_completed(&mut self, token: u64, state: &[Applied]) {
+        self.reads_completed += 1;
         let seen = state.last().map_or(0, |applied| applied.0);
         if seen < self.min_read_indices[&token] {
             self.violations.push(Violation::StaleRead(token));
--- a/crates/petrellatch-core/tests/consensus/cluster.rs
+++ b/crates/petrellatch-core/tests/consensus/cluster.rs
@@ -156,7 +156,8 @@
         replica.expect("the process runs")
     }
 
-    /// Running nodes in the leader role, ordered by term.
+    /// Nodes in the leader role, ordered by term. Crashed and paused nodes are
+    /// left out.
     pub fn leaders(&self) -> Vec<NodeId> {
         let term_if_leader = |(node, state): (&NodeId, &Node)| {
             let replica = state.replica.as_ref().filter(|_| !state.paused)?;
@@ -367,7 +368,7 @@
                 });
             }
             ReplicaOutput::ReadReady { token, .. } => {
-                self.checker.read_answered(token, &self.nodes[&node].state);
+                self.checker.read_completed(token, &self.nodes[&node].state);
             }
             ReplicaOutput::RoleChanged {
                 role: Role::Leader,
--- a/crates/petrellatch-core/tests/consensus/mutations.rs
+++ b/crates/petrellatch-core/tests/consensus/mutations.rs
@@ -58,13 +58,15 @@
     cluster.run_for(Duration::from_secs(1));
 }
 
+/// Isolates the leader together with a learner. If the learner counted, they
+/// would commit an entry that the other two voters don't have.
 fn isolate_leader_with_a_learner(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 1, settings);
     let change = MembershipChange::AddLearner(replica_id(4));
     let added = cluster.call(leader, |replica, now| {
         replica.propose_membership(now, change)
     });
-    added.expect("accepted");
+    added.expect("the leader accepts the change");
     cluster.run_for(Duration::from_secs(1));
     cluster.isolate(&[leader, NodeId(4)]);
     cluster.propose(leader);
@@ -82,6 +84,8 @@
     );
 }
 
+/// Crashes all replicas after they received a proposal, before any disk has
+/// synced it.
 fn crash_all_before_sync(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 0, settings);
     cluster.run_for(Duration::from_secs(1));
@@ -102,6 +106,8 @@
     assert_breaks(crash_all_before_sync, mutations, is_committed_entry_lost);
 }
 
+/// Requests a read from an isolated leader after its successor has committed
+/// an entry.
 fn read_at_isolated_leader(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, old) = ready_cluster(3, 0, settings);
     cluster.isolate(&[old]);
@@ -122,6 +128,8 @@
     assert_breaks(read_at_isolated_leader, mutations, two_quorum_leaders);
 }
 
+/// Sends a voter the requests of two candidates for its vote in the same term,
+/// and restarts it after each.
 fn restart_voter_between_two_vote_requests(settings: &ReplicaSettings) -> Vec<Violation> {
     const TERM: u64 = 5;
     let mut cluster = Cluster::start(3, 3, 0, settings);
@@ -158,6 +166,9 @@
     );
 }
 
+/// Commits an entry at the leader and one follower only. That follower then
+/// loses its disk while the leader is isolated, and must not help to elect the
+/// other follower, which lacks the entry.
 fn lose_disk_of_voter_beside_lagging_replica(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, leader) = ready_cluster(3, 0, settings);
     let nodes = others(&cluster, leader);
@@ -181,11 +192,13 @@
     );
 }
 
+/// Isolates the leader right after it has sent the transfer request. It must
+/// have stepped down when the other voters elect the target.
 fn transfer_leadership_from_isolated_leader(settings: &ReplicaSettings) -> Vec<Violation> {
     let (mut cluster, old) = ready_cluster(3, 0, settings);
     cluster.run_for(Duration::from_secs(1));
     let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
-    started.expect("it leads");
+    started.expect("the old leader accepts the transfer");
     // The transfer request is already in flight.
     cluster.isolate(&[old]);
     cluster.run_for(Duration::from_secs(1));
--- a/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
+++ b/crates/petrellatch-core/tests/consensus/power_loss_restart.rs
@@ -136,7 +136,8 @@
     let limit = cluster.now + settings().election_timeout * 20;
     elected_at = elected_at.or(run_until_leader(&mut cluster, limit));
     let (elected_at, term) = elected_at.expect("a leader");
-    // Replicas that start late or lost the election must not depose the leader.
+    // Runs on, so that the checker also sees replicas that start late or lost
+    // the election.
     cluster.run_for(settings().election_timeout * 3);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
     RestartOutcome {
@@ -230,7 +231,7 @@
             let sync_micros = sync.as_micros() as u64;
             let times =
                 (0..200).map(|seed| election_time_with_slow_disks(seed, voters, sync_micros));
-            let longest = times.max().expect("runs");
+            let longest = times.max().expect("at least one run");
             println!("{voters} voters, sync {sync:?}: maximum {longest:?}");
             assert!(longest <= timeout * 8, "{voters} voters: {longest:?}");
         }
--- a/crates/petrellatch-core/tests/consensus/random_faults.rs
+++ b/crates/petrellatch-core/tests/consensus/random_faults.rs
@@ -115,7 +115,7 @@
     assert_recovers(&mut cluster);
     assert_eq!(cluster.checker.violations, [], "seed {seed}");
     stats.committed += cluster.checker.committed_count();
-    stats.reads += cluster.checker.reads_answered;
+    stats.reads += cluster.checker.reads_completed;
     stats.snapshots_restored += cluster.checker.snapshots_restored;
 }
 
--- a/crates/petrellatch-core/tests/consensus/recovery_time.rs
+++ b/crates/petrellatch-core/tests/consensus/recovery_time.rs
@@ -54,7 +54,9 @@
         let leader = cluster.leader().expect("a leader");
         let node = others(cluster, leader)[0];
         cluster.lose_disk(node);
-        cluster.run_until("repair", |cluster| is_voter(cluster, node));
+        cluster.run_until("the lost disk to be repaired", |cluster| {
+            is_voter(cluster, node)
+        });
     });
     assert!(maximum < ReplicaSettings::default().election_timeout * 5);
 }
--- a/crates/petrellatch-core/tests/consensus/scenarios.rs
+++ b/crates/petrellatch-core/tests/consensus/scenarios.rs
@@ -29,9 +29,9 @@
     value
 }
 
-pub fn others(cluster: &Cluster, than: NodeId) -> Vec<NodeId> {
+pub fn others(cluster: &Cluster, excluded: NodeId) -> Vec<NodeId> {
     let nodes = cluster.nodes.keys().copied();
-    nodes.filter(|node| *node != than).collect()
+    nodes.filter(|node| *node != excluded).collect()
 }
 
 pub fn is_voter(cluster: &Cluster, node: NodeId) -> bool {
@@ -40,7 +40,7 @@
     membership.is_some_and(|membership| membership.is_voter(id))
 }
 
-fn assert_clean(cluster: &Cluster) {
+fn assert_no_violations(cluster: &Cluster) {
     assert_eq!(cluster.checker.violations, []);
 }
 
@@ -55,15 +55,15 @@
     cluster.run_until("another leader", new_leader);
     assert_eq!(cluster.replica(old).role(), Role::Follower);
     assert_eq!(cluster.propose(old), None);
-    let reads = cluster.checker.reads_answered;
+    let reads = cluster.checker.reads_completed;
     cluster.request_read(old);
     let new = cluster.leader().expect("a leader");
     commit(&mut cluster, new);
     cluster.heal();
     cluster.run_for(Duration::from_secs(1));
-    assert_eq!(cluster.checker.reads_answered, reads);
+    assert_eq!(cluster.checker.reads_completed, reads);
     assert!(!cluster.checker.is_committed(uncommitted));
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -80,11 +80,11 @@
     cluster.resume(old);
     cluster.run_for(Duration::from_secs(1));
     assert_eq!(cluster.leader(), Some(new));
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
-fn returning_replica_does_not_disturb_the_leader() {
+fn replica_returning_from_a_partition_does_not_depose_the_leader() {
     let (mut cluster, leader) = ready_cluster(3, 0, &test_settings());
     let term = cluster.replica(leader).term();
     let isolated = others(&cluster, leader)[0];
@@ -107,8 +107,8 @@
         let mut nodes = cluster.nodes.values();
         nodes.all(|node| node.state.iter().any(|applied| applied.1 == value))
     };
-    cluster.run_until("value applied again", applied_again);
-    assert_clean(&cluster);
+    cluster.run_until("the value to be applied again", applied_again);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -117,17 +117,23 @@
     let nodes = others(&cluster, leader);
     let value = commit(&mut cluster, leader);
     cluster.lose_disk(nodes[0]);
-    cluster.run_until("first repair", |cluster| is_voter(cluster, nodes[0]));
+    cluster.run_until("the first lost disk to be repaired", |cluster| {
+        is_voter(cluster, nodes[0])
+    });
     cluster.lose_disk(leader);
-    cluster.run_until("second repair", |cluster| is_voter(cluster, leader));
+    cluster.run_until("the second lost disk to be repaired", |cluster| {
+        is_voter(cluster, leader)
+    });
     cluster.lose_disk(nodes[1]);
-    cluster.run_until("third repair", |cluster| is_voter(cluster, nodes[1]));
+    cluster.run_until("the third lost disk to be repaired", |cluster| {
+        is_voter(cluster, nodes[1])
+    });
     let new = cluster.leader().expect("a leader");
     commit(&mut cluster, new);
     let states = cluster.nodes.values().map(|node| &node.state);
     let complete = states.filter(|state| state.iter().any(|applied| applied.1 == value));
     assert_eq!(complete.count(), 3);
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -140,7 +146,7 @@
     cluster.heal();
     cluster.run_for(ONE_MINUTE);
     assert_eq!(cluster.leader(), None);
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -158,7 +164,7 @@
     assert!(snapshot.is_some_and(|it| it.position.index > 100));
     let kept = cluster.nodes[&leader].disk.entries.len();
     assert!(kept < 250, "{kept}");
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -168,7 +174,9 @@
     let old_disk = cluster.nodes[&node].disk.clone();
     let old_id = cluster.nodes[&node].id;
     cluster.lose_disk(node);
-    cluster.run_until("repair", |cluster| is_voter(cluster, node));
+    cluster.run_until("the lost disk to be repaired", |cluster| {
+        is_voter(cluster, node)
+    });
     cluster.crash(node);
     cluster.node(node).disk = old_disk;
     cluster.node(node).id = old_id;
@@ -176,7 +184,7 @@
     cluster.run_for(ONE_MINUTE);
     let leader = cluster.leader().expect("the other two have a leader");
     assert!(!cluster.replica(leader).membership().contains(old_id));
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -184,7 +192,7 @@
     let (mut cluster, leader) = ready_cluster(3, 1, &test_settings());
     let added = NodeId(4);
     let is_announced =
-        |cluster: &Cluster| cluster.replica(leader).waiting_replicas() == [replica_id(4)];
+        |cluster: &Cluster| cluster.replica(leader).announced_replicas() == [replica_id(4)];
     cluster.run_until("announcement", is_announced);
     let add = MembershipChange::AddVoter(replica_id(4));
     let remove = MembershipChange::Remove(leader);
@@ -205,7 +213,7 @@
     let new = cluster.leader().expect("a leader");
     commit(&mut cluster, new);
     assert_eq!(cluster.replica(new).membership().voters().count(), 3);
-    assert_clean(&cluster);
+    assert_no_violations(&cluster);
 }
 
 #[test]
@@ -225,11 +233,11 @@
 #[test]
 fn proposals_are_refused_when_too_much_is_uncommitted() {
     let (mut cluster, leader) = ready_cluster(3, 0, &ReplicaSettings::default());
-    let shed = cluster.call(leader, |replica, now| {
+    let refused = cluster.call(leader, |replica, now| {
         let command = vec![0; MAX_COMMAND_BYTES];
         (0..1_000).find_map(|_| replica.propose(now, command.clone()).err())
     });
-    assert_matches!(shed, Some(ProposeError::Overloaded { .. }));
+    assert_matches!(refused, Some(ProposeError::Overloaded { .. }));
 }
 
 #[test]
--- a/crates/petrellatch-core/tests/consensus/transfer.rs
+++ b/crates/petrellatch-core/tests/consensus/transfer.rs
@@ -14,7 +14,7 @@
 fn time_to_next_commit(extra_delay_millis: u64) -> Duration {
     let (mut cluster, old) = ready_cluster(3, 0, &test_settings());
     cluster.run_for(Duration::from_millis(500 + extra_delay_millis));
-    let value = cluster.propose(old).expect("it leads");
+    let value = cluster.propose(old).expect("the leader accepts proposals");
     let started = cluster.call(old, |replica, now| replica.transfer_leadership(now));
     assert_matches!(started, Ok(()));
     let start = cluster.now;
@@ -30,7 +30,7 @@
 #[test]
 fn leadership_transfer_takes_a_few_round_trips() {
     let times = (0..40).map(|run| time_to_next_commit(run * 7));
-    let longest = times.max().expect("runs");
+    let longest = times.max().expect("at least one run");
     println!("longest time from a planned stop to the next leader's commit: {longest:?}");
     assert!(
         longest < test_settings().election_timeout / 4,
@@ -45,7 +45,9 @@
     cluster.run_for(Duration::from_secs(1));
     // Both followers respond, but their disks are too slow to be ready.
     cluster.sync_micros = 2_000_000;
-    cluster.propose(leader).expect("it leads");
+    cluster
+        .propose(leader)
+        .expect("the leader accepts proposals");
     let started = cluster.call(leader, |replica, now| replica.transfer_leadership(now));
     assert_matches!(started, Ok(()));
     let refused = cluster.call(leader, |replica, now| replica.propose(now, vec![0; 8]));
--- a/crates/petrellatch/src/runtime/control/documents.rs
+++ b/crates/petrellatch/src/runtime/control/documents.rs
@@ -141,7 +141,7 @@
 
     fn status_document(&self, status: ClusterStatus, node: &ControlNode) -> api::StatusDocument {
         let view = node.state().view();
-        let announced = node.replica().waiting_replicas();
+        let announced = node.replica().announced_replicas();
         let unsettled: BTreeSet<&str> = status.unsettled.iter().map(String::as_str).collect();
         let services = view.services().map(|service| {
             let settled = !unsettled.contains(service.name.as_str());
--- a/crates/petrellatch/src/runtime/control/mod.rs
+++ b/crates/petrellatch/src/runtime/control/mod.rs
@@ -253,7 +253,7 @@
     /// say who leads.
     fn add_announced(&mut self, node: NodeId, answer: AnswerSender) {
         let replica = self.node.replica();
-        let announced = replica.waiting_replicas();
+        let announced = replica.announced_replicas();
         let found = announced.into_iter().find(|it| it.node == node);
         let leads = replica.role() == Role::Leader;
         if found.is_none() && leads {
