--- a/crates/petrellatch-core/src/consensus/entry.rs
+++ b/crates/petrellatch-core/src/consensus/entry.rs
@@ -40,7 +40,7 @@
 }
 
 impl LogEntry {
-    /// Upper estimate of the encoded size in bytes, without a fixed envelope.
+    /// Upper bound of the encoded size in bytes, apart from a fixed envelope.
     pub(super) fn size_bytes(&self) -> usize {
         const ENTRY_OVERHEAD_BYTES: usize = 32;
         const MEMBER_BYTES: usize = 32;
--- a/crates/petrellatch-core/src/consensus/output.rs
+++ b/crates/petrellatch-core/src/consensus/output.rs
@@ -134,7 +134,8 @@
     pub hint: Option<NodeId>,
 }
 
-/// Why a proposal was refused. The command is not appended to the log.
+/// Why a proposal was refused. The command is not appended to the log and will
+/// never be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
     /// This replica isn't the leader, or is transferring leadership.
--- a/crates/petrellatch-core/src/consensus/startup_election.rs
+++ b/crates/petrellatch-core/src/consensus/startup_election.rs
@@ -45,7 +45,8 @@
     competitors: BTreeMap<NodeId, CompetingPreCandidate>,
     /// When a quorum of pre-votes was reached.
     pre_vote_quorum_since: Option<Timestamp>,
-    /// Time of the last vote, until its candidate is known to have given up.
+    /// Time of the last vote, until its candidate is known to have ended
+    /// its candidacy.
     last_vote_at: Option<Timestamp>,
     /// Voters that denied this candidate their votes.
     denied: BTreeSet<NodeId>,
@@ -81,7 +82,7 @@
             return false;
         }
         if self.hard_state.voted_for == Some(competitor) && term >= self.hard_state.term {
-            // The candidate that got this vote has given up its candidacy.
+            // The candidate that got this vote has ended its candidacy.
             self.startup_election.last_vote_at = None;
         }
         let last_seen = self.now;
@@ -94,7 +95,7 @@
             .startup_election
             .competitors
             .insert(competitor.node, current);
-        previous.is_none_or(|previous| previous.term != term || !self.is_alive(&previous))
+        previous.is_none_or(|previous| previous.term != term || !self.is_running(&previous))
     }
 
     /// Whether this replica voted so recently that it must not support or
@@ -120,7 +121,7 @@
     }
 
     /// Lets this replica grant pre-votes again, because the candidate of its
-    /// last vote has given up.
+    /// last vote has ended its candidacy.
     pub(super) fn stop_deferring_to_candidate(&mut self) {
         self.startup_election.last_vote_at = None;
     }
@@ -180,13 +181,14 @@
             (competitor.position, competitor.term, Reverse(*node))
         };
         let competitors = self.startup_election.competitors.iter();
-        let live = competitors.filter(|(_, competitor)| self.is_alive(competitor));
-        live.filter(|(node, competitor)| key(node, competitor) > own)
+        let running = competitors.filter(|(_, competitor)| self.is_running(competitor));
+        running
+            .filter(|(node, competitor)| key(node, competitor) > own)
             .count()
     }
 
-    /// Notes that a voter denied its vote. The candidate gives up at once if
-    /// the running voters can no longer elect it.
+    /// Notes that a voter denied its vote. The candidate ends its candidacy
+    /// at once if the running voters can no longer elect it.
     pub(super) fn note_denial(&mut self, voter: NodeId) {
         let RoleState::Candidate { granted } = &self.role_state else {
             return;
@@ -196,7 +198,7 @@
         self.startup_election.denied.insert(voter);
         let election = &self.startup_election;
         let competitors = election.competitors.iter();
-        let running = competitors.filter(|(_, competitor)| self.is_alive(competitor));
+        let running = competitors.filter(|(_, competitor)| self.is_running(competitor));
         possible_voters.extend(running.map(|(node, _)| *node));
         let remaining = possible_voters
             .difference(&election.denied)
@@ -208,7 +210,7 @@
         }
     }
 
-    fn is_alive(&self, competitor: &CompetingPreCandidate) -> bool {
+    fn is_running(&self, competitor: &CompetingPreCandidate) -> bool {
         let limit = self
             .settings
             .election_timeout
--- a/crates/petrellatch-core/tests/consensus/candidate.rs
+++ b/crates/petrellatch-core/tests/consensus/candidate.rs
@@ -167,7 +167,8 @@
 }
 
 /// One of three replicas, which became a candidate at its start by the pre-vote
-/// of the second one, and gave up when the second one denied its vote.
+/// of the second one, and ended its candidacy when the second one denied its
+/// vote.
 fn denied_candidate() -> (Replica, Timestamp) {
     let (mut replica, now) = started_replica();
     for (term, body, role) in [
@@ -230,14 +231,14 @@
 }
 
 #[test]
-fn voter_grants_pre_votes_again_only_after_its_candidate_gave_up() {
+fn voter_grants_pre_votes_again_only_after_its_candidate_ended_its_candidacy() {
     assert!(grants_pre_vote_after(1, pre_vote_request(2)));
     let sent_before_its_candidacy = pre_vote_request(1);
     assert!(!grants_pre_vote_after(0, sent_before_its_candidacy));
 }
 
 #[test]
-fn pre_candidate_waiting_for_its_rank_gives_up_once_it_has_voted() {
+fn pre_candidate_waiting_for_its_rank_delay_starts_no_election_once_it_has_voted() {
     let (mut replica, now) = started_replica();
     // A response with a higher term makes the replica repeat its pre-vote.
     deliver(&mut replica, now, 3, 1, vote(false));
