--- a/crates/petrellatch-core/src/consensus/membership.rs
+++ b/crates/petrellatch-core/src/consensus/membership.rs
@@ -78,13 +78,13 @@
     #[snafu(display("an earlier membership change or the term start is not committed yet"))]
     ChangeInProgress,
     /// The node isn't a member.
-    #[snafu(display("node {node} is not a member"))]
+    #[snafu(display("node {node} is no member"))]
     UnknownMember {
         /// The node of the request.
         node: NodeId,
     },
     /// The node is already a member.
-    #[snafu(display("node {node} is already a member"))]
+    #[snafu(display("node {node} is a member already"))]
     AlreadyMember {
         /// The node of the request.
         node: NodeId,
@@ -99,7 +99,7 @@
     #[snafu(display("the last voter cannot be removed"))]
     LastVoter,
     /// The group already has [`MAX_MEMBERS`] members.
-    #[snafu(display("the group already has {MAX_MEMBERS} members"))]
+    #[snafu(display("the group is full"))]
     GroupFull,
 }
 
@@ -141,10 +141,10 @@
 
     /// The members that count towards quorums.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
-        let voters = |member: &&Member| member.role == MemberRole::Voter;
+        let is_voter = |member: &&Member| member.role == MemberRole::Voter;
         self.members
             .iter()
-            .filter(voters)
+            .filter(is_voter)
             .map(|member| member.replica)
     }
 
--- a/crates/petrellatch-core/src/consensus/output.rs
+++ b/crates/petrellatch-core/src/consensus/output.rs
@@ -125,7 +125,8 @@
     MembershipChanged(Membership),
 }
 
-/// Error of a replica that isn't the leader.
+/// Error of a replica that isn't the leader, or steps down because its quorum
+/// was silent for too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("this replica is not the leader"))]
 pub struct NotLeader {
@@ -133,7 +134,8 @@
     pub hint: Option<NodeId>,
 }
 
-/// Why a proposal was refused. The command is not appended to the log.
+/// Why a proposal was refused. The command is not appended to the log and will
+/// never be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
     /// This replica isn't the leader, or is transferring leadership.
@@ -151,7 +153,7 @@
         limit: usize,
     },
     /// Too many bytes are uncommitted; the caller may retry later.
-    #[snafu(display("{bytes} bytes are not committed yet"))]
+    #[snafu(display("{bytes} bytes wait to be committed already"))]
     Overloaded {
         /// Size of the uncommitted entries.
         bytes: usize,
--- a/crates/petrellatch/src/runtime/control/mod.rs
+++ b/crates/petrellatch/src/runtime/control/mod.rs
@@ -269,7 +269,7 @@
     /// announcements; the other replicas respond with the leader's address.
     fn add_announced(&mut self, node: NodeId, response_sender: ResponseSender) {
         let replica = self.node.replica();
-        let announced = replica.waiting_replicas();
+        let announced = replica.announced_replicas();
         let found = announced.into_iter().find(|it| it.node == node);
         let is_leader = replica.role() == Role::Leader;
         if found.is_none() && is_leader {
