--- a/crates/petrellatch-core/src/cluster/cluster_view.rs
+++ b/crates/petrellatch-core/src/cluster/cluster_view.rs
@@ -27,7 +27,7 @@
     },
     /// The snapshot is not newer than the current version.
     #[snafu(display("snapshot {version} is not newer than version {current}"))]
-    Older {
+    NotNewer {
         /// The current version.
         current: u64,
         /// The version of the snapshot.
@@ -40,7 +40,7 @@
 pub struct ClusterView {
     version: u64,
     // Most records are boxed, since half of the space in the nodes of a B-tree
-    // is unused.
+    // is unused: an unused entry then takes the space of a pointer only.
     services: BTreeMap<ServiceId, Box<ServiceRecord>>,
     backends: BTreeMap<BackendId, Box<BackendRecord>>,
     policies: BTreeMap<String, PolicyRecord>,
@@ -74,15 +74,17 @@
         Ok(())
     }
 
-    /// Adds changes to the current version, while it is still being built.
+    /// Applies changes of a version that is still being built, and leaves the
+    /// version number as it is.
     pub(crate) fn amend(&mut self, changes: &[RecordChange]) {
         for change in changes {
             self.apply_change(change);
         }
     }
 
-    /// Starts the next version.
-    pub(crate) fn begin_version(&mut self) {
+    /// Increments the version number, after [`ClusterView::amend`] has applied the
+    /// changes of the new version.
+    pub(crate) fn increment_version(&mut self) {
         self.version += 1;
     }
 
@@ -90,7 +92,7 @@
     pub fn replace(&mut self, version: u64, records: &[RecordChange]) -> Result<(), ApplyError> {
         ensure!(
             version > self.version,
-            OlderSnafu {
+            NotNewerSnafu {
                 current: self.version,
                 version
             }
@@ -124,8 +126,8 @@
 
     /// Returns the number of records.
     pub fn record_count(&self) -> usize {
-        let by_service = self.services.len() + self.backends.len() + self.placements.len();
-        by_service + self.policies.len() + self.members.len()
+        let of_services = self.services.len() + self.backends.len() + self.placements.len();
+        of_services + self.policies.len() + self.members.len()
     }
 
     /// Returns the keys of all records.
--- a/crates/petrellatch-core/src/cluster/mod.rs
+++ b/crates/petrellatch-core/src/cluster/mod.rs
@@ -1,6 +1,6 @@
 //! The versioned state of which every process of the cluster has a copy.
 //!
-//! The control group's replicated state and every daemon's copy of it are the
+//! The replica group's replicated state and every daemon's copy of it are the
 //! same [`ClusterView`]: a set of records at one version. The version only
 //! grows: by one with each delta, or to that of a newer snapshot.
 //!
--- a/crates/petrellatch-core/src/control/leader_commands.rs
+++ b/crates/petrellatch-core/src/control/leader_commands.rs
@@ -52,7 +52,7 @@
         if changes.is_empty() {
             return ignored();
         }
-        self.view.begin_version();
+        self.view.increment_version();
         Applied {
             outcome: CommandOutcome::Done,
             delta: Some(Delta { version, changes }),
--- a/crates/petrellatch-core/src/identity.rs
+++ b/crates/petrellatch-core/src/identity.rs
@@ -31,12 +31,12 @@
 }
 
 identifier! {
-    /// Identifies a service. The control group assigns it and never reuses it.
+    /// Identifies a service. The replica group assigns it and never reuses it.
     ServiceId(u32)
 }
 
 identifier! {
-    /// Identifies a back end. The control group assigns it and never reuses it: a
+    /// Identifies a back end. The replica group assigns it and never reuses it: a
     /// back end that is removed and created again has another identifier.
     BackendId(u64)
 }
--- a/crates/petrellatch-core/src/placement/assignment.rs
+++ b/crates/petrellatch-core/src/placement/assignment.rs
@@ -3,9 +3,9 @@
 //! This is the deferred acceptance algorithm (Gale and Shapley 1962). Each
 //! bucket proposes to the back end with the lowest cost that has not rejected
 //! it; a back end above its quota keeps the buckets of the lowest cost and
-//! rejects the rest. The result is stable: a change of one back end's quota
-//! moves only the buckets that then get a lower cost, and those that these
-//! displace.
+//! rejects the rest. The result is stable: if one back end's quota changes, only
+//! those buckets move that can then be assigned at a lower cost, and those that
+//! they displace.
 
 use crate::identity::{BackendId, BucketIndex};
 
@@ -73,8 +73,8 @@
     let next = preferences(proposal.bucket, candidates)
         .filter(|&preference| Some(preference) > proposal.rejected_by)
         .min();
-    // The quotas add up to the number of buckets, so at least one back end has
-    // not rejected the bucket.
+    // This is never none: the quotas add up to the number of buckets, so at
+    // least one back end has not rejected the bucket.
     let Some((cost, position)) = next else {
         return;
     };
--- a/crates/petrellatch-core/src/placement/bucket_table.rs
+++ b/crates/petrellatch-core/src/placement/bucket_table.rs
@@ -31,7 +31,7 @@
 }
 
 impl BucketTable {
-    /// Computes the table. The result depends only on the arguments, but not on
+    /// Computes the table. The result depends only on the arguments, and not on
     /// the order of `shares`. If a back end has several shares, the largest is
     /// used.
     pub fn compute(service: ServiceId, bucket_count: u32, shares: &[Share]) -> BucketTable {
--- a/crates/petrellatch-core/src/placement/packed_positions.rs
+++ b/crates/petrellatch-core/src/placement/packed_positions.rs
@@ -3,11 +3,13 @@
 /// The number of bits of a word.
 const WORD_BITS: usize = u64::BITS as usize;
 
-/// A list of positions that are stored with equally many bits. The number of
-/// bits is a power of two, so that no position spans two words.
+/// A list of positions, all stored with the same number of bits. That number is
+/// a power of two, so that no position spans two words.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct PackedPositions {
+    /// The number of positions.
     count: usize,
+    /// The number of bits of each position.
     bits: usize,
     words: Box<[u64]>,
 }
--- a/crates/petrellatch-core/src/placement/quota.rs
+++ b/crates/petrellatch-core/src/placement/quota.rs
@@ -1,4 +1,4 @@
-//! The number of a service's buckets that each back end gets.
+//! Apportionment of a service's buckets to its back ends.
 
 /// The fraction of a bucket by which a quota was rounded down.
 struct Remainder {
@@ -14,8 +14,8 @@
 /// Apportions `bucket_count` buckets in proportion to `weights` by the largest
 /// remainder method. Every quota is within one bucket of its exact share, and
 /// the quotas add up to `bucket_count`; all are zero when no weight is
-/// positive. `tie_breaker` orders equal remainders by the position of the
-/// weight (the lowest value first).
+/// positive. Equal remainders are ordered by the value that `tie_breaker`
+/// returns for the position of the weight (the lowest value first).
 pub fn apportion(
     bucket_count: u32,
     weights: &[u32],
--- a/crates/petrellatch-core/src/policy/checker.rs
+++ b/crates/petrellatch-core/src/policy/checker.rs
@@ -107,7 +107,7 @@
     fn visit(&mut self, node: &Expression) -> Result<ExpressionType, PolicyError> {
         self.count_node(node)?;
         self.depth += 1;
-        let result = self.visit_kind(node)?;
+        let result = self.visit_expression(node)?;
         self.depth -= 1;
         Ok(result)
     }
@@ -137,7 +137,8 @@
         Err(self.refuse(node, reason))
     }
 
-    fn visit_kind(&mut self, node: &Expression) -> Result<ExpressionType, PolicyError> {
+    /// Checks the expression of a node, which is already counted.
+    fn visit_expression(&mut self, node: &Expression) -> Result<ExpressionType, PolicyError> {
         match &node.expr {
             Expr::Literal(literal) => self.visit_literal(node, literal),
             Expr::Ident(name) => Err(self.refuse_variable(node, name)),
@@ -278,6 +279,8 @@
         let arguments = self.visit_all(&call.args)?;
         self.note_label_keys(call, &arguments);
         let name = &call.func_name;
+        // Only the two functions that the parser renames to `math.@min` and
+        // `math.@max` are mathematical functions without a receiver.
         let found = functions::operator_type(name, &arguments)
             .or_else(|| functions::math_type(name, &arguments).filter(|_| name.contains('@')))
             .or_else(|| functions::function_type(name, receiver, &arguments));
--- a/crates/petrellatch-core/src/policy/edge_cases.rs
+++ b/crates/petrellatch-core/src/policy/edge_cases.rs
@@ -8,7 +8,8 @@
 /// The name of generated back ends in error messages.
 const GENERATED_NAME: &str = "(edge case)";
 
-/// The zone of some generated back ends. No real back end is in it.
+/// The zone of some generated back ends and services. No real back end is in
+/// it.
 const UNKNOWN_ZONE: &str = "(unknown zone)";
 
 /// The maximum number of real zones that are combined with all loads.
--- a/crates/petrellatch-core/src/policy/error.rs
+++ b/crates/petrellatch-core/src/policy/error.rs
@@ -16,15 +16,15 @@
     /// The back end for which the evaluation failed, or none if the error
     /// doesn't depend on the back end.
     pub backend: Option<String>,
-    /// The kind of error.
+    /// The reason for the error.
     pub reason: PolicyErrorReason,
 }
 
-/// The kind of a policy's error.
+/// The reason for a [`PolicyError`].
 #[derive(Clone, Debug, PartialEq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum PolicyErrorReason {
-    /// The expression has no text but whitespace.
+    /// The text is empty or consists of whitespace.
     #[snafu(display("the expression is empty"))]
     Empty,
     /// The text is too long.
--- a/crates/petrellatch-core/src/policy/expression_type.rs
+++ b/crates/petrellatch-core/src/policy/expression_type.rs
@@ -15,7 +15,7 @@
     Labels,
     /// A map; the types of its keys and values aren't tracked.
     Map,
-    /// A type that only an evaluation shows.
+    /// A type that is not known before an evaluation.
     Unknown,
 }
 
--- a/crates/petrellatch-core/src/policy/functions.rs
+++ b/crates/petrellatch-core/src/policy/functions.rs
@@ -66,8 +66,8 @@
 }
 
 /// Returns the type of the result of a function of [`MATH`], or `None` when
-/// policies may not use it. The parser replaces `math.least` and
-/// `math.greatest` by the names `math.@min` and `math.@max`.
+/// policies may not use it. The parser renames `math.least` to `math.@min` and
+/// `math.greatest` to `math.@max`, and puts more than two arguments into a list.
 pub(super) fn math_type(
     name: &str,
     arguments: &[ExpressionType],
--- a/crates/petrellatch-core/src/policy/mod.rs
+++ b/crates/petrellatch-core/src/policy/mod.rs
@@ -4,10 +4,11 @@
 //! A policy has two expressions in the Common Expression Language (CEL):
 //! `eligible` (a boolean) and `weight` (a number of at least zero; 1 is
 //! nominal). [`Policy::compile`] refuses expressions that are malformed, too
-//! large, too costly or of the wrong type; [`Policy::check`] evaluates it for
-//! the current back ends and for generated edge cases; [`shares`] evaluates it
-//! to the input of a placement table. An evaluation reads only its arguments,
-//! has no loops, and gives the same result on every machine.
+//! large, too costly or of the wrong type; [`Policy::check`] evaluates a policy
+//! for the current back ends and for generated edge cases; [`shares`] evaluates
+//! it for all back ends of a service and returns the input of a placement table.
+//! An evaluation reads only its arguments, has no loops, and gives the same
+//! result on every machine.
 
 mod checker;
 mod context;
--- a/crates/petrellatch-core/src/policy/program.rs
+++ b/crates/petrellatch-core/src/policy/program.rs
@@ -79,7 +79,7 @@
 
     /// Evaluates the policy for `backends`, and for edge cases generated from
     /// them: back ends without labels, without slots, full, old and so on.
-    /// Fails with the first evaluation that fails.
+    /// Returns the error of the first evaluation that fails.
     pub fn check(
         &self,
         service: &ServiceView,
@@ -97,8 +97,8 @@
         Ok(())
     }
 
-    /// Returns the text of the condition of `eligible` that is false for a back
-    /// end.
+    /// Returns the text of the first condition of `eligible` that is false for a
+    /// back end.
     pub(super) fn first_false_condition(
         &self,
         service: &ServiceView,
--- a/crates/petrellatch-core/src/policy/tests.rs
+++ b/crates/petrellatch-core/src/policy/tests.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn edge_cases_cover_all_combinations() {
+fn edge_cases_cover_all_combinations_of_load() {
     // There are 270 combinations of load. They are generated without labels for
     // the empty, an unknown and the real zone, and with the label for the real
     // zone.
--- a/crates/petrellatch-core/src/policy/tests/refusals.rs
+++ b/crates/petrellatch-core/src/policy/tests/refusals.rs
@@ -72,8 +72,8 @@
     for repeated in ["(", "[", "{1:", "a.", "true?1:", "1+", "true||"] {
         let count = MAXIMUM_SOURCE_BYTES / repeated.len();
         Policy::compile(&source("true", &repeated.repeat(count))).unwrap_err();
-        let closed = repeated.repeat(count - 1) + "1";
-        Policy::compile(&source("true", &closed)).unwrap_err();
+        let with_operand = repeated.repeat(count - 1) + "1";
+        Policy::compile(&source("true", &with_operand)).unwrap_err();
     }
     // The parser combines repeated signs, so these are not nested.
     let signs = "-".repeat(MAXIMUM_SOURCE_BYTES - 2);
--- a/crates/petrellatch-core/src/routing/drop_reason.rs
+++ b/crates/petrellatch-core/src/routing/drop_reason.rs
@@ -8,8 +8,9 @@
 pub enum DropReason {
     /// The packet can't be parsed.
     Malformed(PacketError),
-    /// The daemon's view of the cluster is not up to date: it has received
-    /// nothing from the leader since it started.
+    /// The daemon's view of the cluster is not up to date: it lacks records that
+    /// were already committed when the daemon first contacted the leader after
+    /// its start.
     NotCurrent,
     /// No service has the destination address.
     UnknownService,
@@ -29,8 +30,8 @@
     TooManyHops,
     /// The agent may not admit flows, since it has no valid lease.
     NoLease,
-    /// The packet is a duplicate of a SYN that was just forwarded, whose
-    /// admission is still being decided.
+    /// The packet repeats a SYN that was just forwarded, whose admission is still
+    /// being decided. Forwarding both could give two different results.
     Repeated,
     /// A previous owner of the bucket may still admit flows or own open ones.
     Unsettled,
--- a/crates/petrellatch-core/src/routing/mod.rs
+++ b/crates/petrellatch-core/src/routing/mod.rs
@@ -1,8 +1,9 @@
 //! Routing of a caller's packet to the agent that admits or owns its flow.
 //!
 //! A balancer looks up the service by the packet's destination, the bucket by
-//! its flow key, and the bucket's owner in the newest placement generation.
-//! It keeps no state per flow, so any balancer may see any packet of a flow.
+//! its flow key, and the bucket's owner in the newest generation (version) of
+//! the service's placement. It keeps no state per flow, so any balancer may see
+//! any packet of a flow.
 //!
 //! Guarantees: a packet is sent only to the agent that owns the packet's bucket
 //! in this balancer's newest view; a packet that can't be routed is dropped
--- a/crates/petrellatch-core/src/routing/placed_generation.rs
+++ b/crates/petrellatch-core/src/routing/placed_generation.rs
@@ -134,8 +134,8 @@
     }
 }
 
-/// Returns the input of the bucket table. If no back end receives new flows,
-/// the owners, which refuse them, have equal weights.
+/// Returns the share of an owner for the bucket table. If no back end receives
+/// new flows, the owners, which refuse them, have equal weights.
 fn share_of(share: &ShareRecord, admits: bool) -> Share {
     Share {
         backend: BackendId(share.backend),
