--- a/crates/petrellatch-core/src/placement/bucket_table.rs
+++ b/crates/petrellatch-core/src/placement/bucket_table.rs
@@ -68,10 +68,11 @@
         Some(self.candidates[usize::from(position)].backend)
     }
 
-    /// Returns the back end to which the primary forwards new flows of `bucket`
-    /// for which it has no capacity, or `None` when there is no second back end
-    /// of positive weight. It is computed at each call, which takes a few
-    /// nanoseconds for each back end and halves the size of the table.
+    /// Returns the back end for new flows of `bucket` for which the primary has
+    /// no capacity, or `None` when there is no second back end of positive
+    /// weight. It is the one that the bucket prefers among all but the primary.
+    /// It is computed at each call, which takes a few nanoseconds for each back
+    /// end and halves the size of the table.
     pub fn secondary(&self, bucket: BucketIndex) -> Option<BackendId> {
         let primary = self.primary_position(bucket)?;
         let (_, position) = assignment::preferences(bucket.0, &self.candidates)
--- a/crates/petrellatch-core/src/placement/mod.rs
+++ b/crates/petrellatch-core/src/placement/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! The flow keys of a service are divided into buckets ([`FlowKey::bucket`]). A
 //! [`BucketTable`] maps each bucket to a primary back end, which admits new
-//! flows, and a secondary one, to which the primary forwards new flows for
-//! which it has no capacity. A table is a pure function of the service, the
-//! number of buckets and the [`Share`]s. It is computed with integers only, so
-//! every machine computes the same table from the same inputs.
+//! flows, and a secondary one, which is meant for new flows for which the
+//! primary has no capacity. Routing uses only the primary. A table is a pure
+//! function of the service, the number of buckets and the [`Share`]s. It is
+//! computed with integers only, so every machine computes the same table from
+//! the same inputs.
 
 mod assignment;
 mod bucket_table;
