--- a/crates/petrellatch-core/src/agent_node/service_state.rs
+++ b/crates/petrellatch-core/src/agent_node/service_state.rs
@@ -57,7 +57,7 @@
         self.rate.set_limit(record.new_flows_per_second);
         let newest = self.admission.newest();
         let shares = newest.map_or(&[][..], |newest| newest.shares());
-        let receiving = shares.iter().filter(|share| share.receives());
+        let receiving = shares.iter().filter(|share| share.receives_new_flows());
         let candidates: Vec<PeerCandidate> = receiving
             .filter_map(|share| candidate(view, share))
             .collect();
--- a/crates/petrellatch-core/src/control/share_decision.rs
+++ b/crates/petrellatch-core/src/control/share_decision.rs
@@ -23,7 +23,7 @@
 impl ShareDecision {
     /// Whether any back end receives new flows.
     pub(super) fn admits(&self) -> bool {
-        self.shares.iter().any(ShareRecord::receives)
+        self.shares.iter().any(ShareRecord::receives_new_flows)
     }
 }
 
@@ -41,7 +41,7 @@
             node: candidate.node.0,
             incarnation: candidate.incarnation.0,
         })
-        .filter(ShareRecord::receives)
+        .filter(ShareRecord::receives_new_flows)
         .collect();
     if shares.is_empty() {
         shares.clone_from(&input.refusers);
--- a/crates/petrellatch-core/src/routing/placed_generation.rs
+++ b/crates/petrellatch-core/src/routing/placed_generation.rs
@@ -112,7 +112,7 @@
     pub fn owning_lives(&self) -> impl Iterator<Item = AgentLife> {
         self.shares
             .iter()
-            .filter(|share| share.receives() || !self.admits)
+            .filter(|share| share.receives_new_flows() || !self.admits)
             .map(life_of)
     }
 
--- a/crates/petrellatch-core/tests/control/placements.rs
+++ b/crates/petrellatch-core/tests/control/placements.rs
@@ -196,13 +196,13 @@
     }
     cluster.run_until(LIMIT, "refusing owners", |it| {
         let shares = newest_shares(it);
-        let refusing = !shares.iter().any(ShareRecord::receives);
+        let refusing = !shares.iter().any(ShareRecord::receives_new_flows);
         refusing && shares.len() == usize::from(AGENTS) && it.all_in_force()
     });
     cluster.run_until(LIMIT, "settling", |it| generations(it).len() == 1);
     submit_drain(&mut cluster, DrainTarget::Backend, "backend-1", false);
     cluster.run_until(LIMIT, "one back end again", |it| {
         let shares = newest_shares(it);
-        shares.len() == 1 && shares[0].receives()
+        shares.len() == 1 && shares[0].receives_new_flows()
     });
 }
--- a/crates/petrellatch-proto/src/admission.rs
+++ b/crates/petrellatch-proto/src/admission.rs
@@ -1,4 +1,9 @@
 //! Messages between agents of one service.
+//!
+//! The flows of a service are divided into buckets. A placement generation
+//! assigns each bucket to an owner: the agent that admits the new flows in the
+//! bucket. The owner keeps a redirect for each flow in the bucket that another
+//! agent serves, and forwards the flow's packets there.
 
 use crate::endpoint::Endpoint;
 
--- a/crates/petrellatch-proto/src/command.rs
+++ b/crates/petrellatch-proto/src/command.rs
@@ -144,7 +144,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum RefusalReason {
-    /// A policy does not compile or yields impossible weights.
+    /// A policy does not compile or yields invalid weights.
     InvalidPolicy = 0,
 }
 
@@ -188,7 +188,8 @@
     /// The leader refuses an operator's change.
     #[prost(message, tag = "7")]
     RefuseChange(RefuseChange),
-    /// Several commands of the leader that form one version.
+    /// Several commands of the leader that result in one version of the
+    /// replicated state.
     #[prost(message, tag = "8")]
     Batch(Batch),
 }
@@ -218,7 +219,7 @@
 
 impl ShareRecord {
     /// Returns whether the back end receives new flows, i.e. has a positive weight.
-    pub fn receives(&self) -> bool {
+    pub fn receives_new_flows(&self) -> bool {
         self.weight > 0
     }
 }
--- a/crates/petrellatch-proto/src/consensus.rs
+++ b/crates/petrellatch-proto/src/consensus.rs
@@ -52,7 +52,8 @@
     /// Answers a [`SnapshotChunk`] of a transfer that isn't finished.
     #[prost(message, tag = "11")]
     SnapshotChunkResponse(SnapshotChunkResponse),
-    /// Announces a replica that isn't a voter and receives nothing from a leader.
+    /// Asks for the sender to be added to the group. Sent to all known nodes
+    /// while the sender isn't a voter and receives nothing from a leader.
     #[prost(message, tag = "12")]
     JoinRequest(JoinRequest),
     /// Transfers leadership to the receiver.
@@ -130,7 +131,10 @@
     /// The leader's commit index.
     #[prost(uint64, tag = "4")]
     pub commit_index: u64,
-    /// Leadership confirmation round, echoed by the response.
+    /// Number of the leader's current leadership confirmation round, echoed by
+    /// the response. Before it answers reads, the leader starts a new round and
+    /// waits until a quorum has responded in it, which confirms that it is still
+    /// the leader.
     #[prost(uint64, tag = "5")]
     pub round: u64,
     /// Sending time on the leader's clock in microseconds, echoed by the
--- a/crates/petrellatch-proto/src/dissemination.rs
+++ b/crates/petrellatch-proto/src/dissemination.rs
@@ -1,5 +1,8 @@
 //! Messages that distribute the replicated state from the replicas down to the
 //! daemons, and load reports and heartbeats, which renew leases, up to the leader.
+//!
+//! The processes form a tree: each daemon is a child of a parent, which is a
+//! replica or another daemon.
 
 use crate::endpoint::Endpoint;
 use crate::record::{MemberRecord, RecordChange};
--- a/crates/petrellatch-proto/src/envelope.rs
+++ b/crates/petrellatch-proto/src/envelope.rs
@@ -49,8 +49,9 @@
     LoadReport(LoadReport),
 }
 
-/// A control message with its sender and recipient. A node drops a message for
-/// another recipient, because its address belonged to that node before.
+/// A control message with its sender and recipient. A node drops a message that
+/// names another recipient: the address belonged to that recipient before, and
+/// the sender doesn't know yet that another node uses it now.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
     /// The sending node.
--- a/crates/petrellatch-proto/src/record.rs
+++ b/crates/petrellatch-proto/src/record.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum NodeRole {
-    /// A replica of the configuration.
+    /// A member of the replica group that holds the configuration.
     Control = 0,
     /// A balancer.
     Balancer = 1,
@@ -190,7 +190,7 @@
 impl GenerationRecord {
     /// Returns whether any back end receives new flows.
     pub fn admits(&self) -> bool {
-        self.shares.iter().any(ShareRecord::receives)
+        self.shares.iter().any(ShareRecord::receives_new_flows)
     }
 
     /// Returns the shares that own buckets: those that receive new flows or,
@@ -199,7 +199,7 @@
     pub fn owners(&self) -> impl Iterator<Item = &ShareRecord> {
         let admits = self.admits();
         let shares = self.shares.iter();
-        shares.filter(move |share| share.receives() || !admits)
+        shares.filter(move |share| share.receives_new_flows() || !admits)
     }
 }
 
--- a/crates/petrellatch-storage/src/snapshot_file.rs
+++ b/crates/petrellatch-storage/src/atomic_file.rs
@@ -1,4 +1,4 @@
-//! A file that holds one value and is replaced atomically.
+//! A file that holds one value, which is replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -7,7 +7,7 @@
 use crate::error::{StorageError, io_error};
 use crate::frame::{Frame, read_frame, write_frame};
 
-/// Magic bytes at the start of every snapshot file, including the layout version.
+/// Magic bytes at the start of every such file, including the layout version.
 const MAGIC: &[u8; 8] = b"PLSNAP01";
 
 /// A file that holds one value with a checksum. The value is replaced
@@ -15,15 +15,15 @@
 /// Suitable for any state that a process stores as a whole, such as a daemon's
 /// copy of the configuration.
 #[derive(Clone, Debug)]
-pub struct SnapshotFile {
+pub struct AtomicFile {
     path: PathBuf,
 }
 
-impl SnapshotFile {
+impl AtomicFile {
     /// Creates a handle to the file at `path`, without accessing it. The file
     /// needn't exist yet; its folder must.
     pub fn new(path: impl Into<PathBuf>) -> Self {
-        SnapshotFile { path: path.into() }
+        AtomicFile { path: path.into() }
     }
 
     /// Returns the file's path.
--- a/crates/petrellatch-storage/src/data_folder.rs
+++ b/crates/petrellatch-storage/src/data_folder.rs
@@ -8,8 +8,8 @@
 use petrellatch_proto::consensus::{FormatRecord, HardStateRecord, SnapshotRecord};
 use prost::Message;
 
+use crate::atomic_file::{AtomicFile, sync_folder_of};
 use crate::error::{StorageError, io_error};
-use crate::snapshot_file::{SnapshotFile, sync_folder_of};
 
 /// Version of the folder's layout.
 const LAYOUT_VERSION: u32 = 1;
@@ -30,9 +30,9 @@
     path: PathBuf,
     /// Holds the folder's lock, which is released when the file is closed.
     _lock: File,
-    format: SnapshotFile,
-    hard_state: SnapshotFile,
-    snapshot: SnapshotFile,
+    format: AtomicFile,
+    hard_state: AtomicFile,
+    snapshot: AtomicFile,
 }
 
 impl DataFolder {
@@ -56,9 +56,9 @@
         Ok(DataFolder {
             path: path.to_path_buf(),
             _lock: lock,
-            format: SnapshotFile::new(path.join("format")),
-            hard_state: SnapshotFile::new(path.join("hard-state")),
-            snapshot: SnapshotFile::new(path.join("snapshot")),
+            format: AtomicFile::new(path.join("format")),
+            hard_state: AtomicFile::new(path.join("hard-state")),
+            snapshot: AtomicFile::new(path.join("snapshot")),
         })
     }
 
--- a/crates/petrellatch-storage/src/error.rs
+++ b/crates/petrellatch-storage/src/error.rs
@@ -73,7 +73,7 @@
     /// An earlier write or open failed, so the content on disk is unknown. A
     /// [`LogStore`](crate::LogStore) must be opened again; a
     /// [`RecordFile`](crate::RecordFile) must be replaced.
-    #[snafu(display("an earlier write to {} failed; open it again", path.display()))]
+    #[snafu(display("{} can't be written because an earlier write or open failed", path.display()))]
     Unusable {
         /// The folder or file.
         path: PathBuf,
--- a/crates/petrellatch-storage/src/frame.rs
+++ b/crates/petrellatch-storage/src/frame.rs
@@ -44,6 +44,7 @@
     let (header, rest) = bytes.split_at(FRAME_HEADER_BYTES);
     let length = &header[..FIELD_BYTES];
     if crc32fast::hash(length) != header_field(header, 1) {
+        // The CRC-32 of a zero length isn't zero, so unwritten space gets here.
         let unwritten = bytes.iter().all(|byte| *byte == 0);
         return if unwritten {
             Frame::Unwritten
@@ -60,7 +61,8 @@
     Frame::Intact(payload)
 }
 
-/// Returns the header's field at index `position`.
+/// Returns a field of the header: 0 is the length, 1 its checksum, 2 the
+/// checksum of the payload.
 fn header_field(header: &[u8], position: usize) -> u32 {
     let start = position * FIELD_BYTES;
     let mut bytes = [0; FIELD_BYTES];
--- a/crates/petrellatch-storage/src/lib.rs
+++ b/crates/petrellatch-storage/src/lib.rs
@@ -43,6 +43,7 @@
 //! # Ok::<(), petrellatch_storage::StorageError>(())
 //! ```
 
+mod atomic_file;
 mod data_folder;
 mod error;
 mod frame;
@@ -50,10 +51,9 @@
 mod log_store;
 mod record_file;
 mod record_log;
-mod snapshot_file;
 
+pub use atomic_file::AtomicFile;
 pub use data_folder::FolderIdentity;
 pub use error::StorageError;
 pub use log_store::{LogStore, OpenedStore};
 pub use record_file::{OpenedRecords, RecordFile};
-pub use snapshot_file::SnapshotFile;
--- a/crates/petrellatch-storage/src/log_store.rs
+++ b/crates/petrellatch-storage/src/log_store.rs
@@ -21,7 +21,7 @@
     log: RecordLog,
     /// Index of the last entry that the snapshot covers; zero without a snapshot.
     snapshot_index: u64,
-    /// Whether a write failed.
+    /// Set at the start of a write and cleared when it succeeds.
     failed: bool,
 }
 
@@ -138,6 +138,7 @@
         let previous_index = self.snapshot_index;
         self.snapshot_index = snapshot.position.index;
         let content = require_log(&self.folder)?;
+        // The log file still continues from the previous snapshot.
         let replayed = replay(&self.folder.log_path(), &content.records, previous_index)?;
         let mut entries = replayed.entries;
         entries.retain(|entry| entry.position.index > self.snapshot_index);
--- a/crates/petrellatch-storage/src/record_file.rs
+++ b/crates/petrellatch-storage/src/record_file.rs
@@ -1,4 +1,5 @@
-//! A file of records, apart from the replicated log, whose loss is tolerated.
+//! A file of records that the process can do without, unlike those of the
+//! replicated log: a damaged file is read as empty.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/petrellatch-storage/src/record_log.rs
+++ b/crates/petrellatch-storage/src/record_log.rs
@@ -6,9 +6,9 @@
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
+use crate::atomic_file::replace_file;
 use crate::error::{StorageError, io_error};
 use crate::frame::{FRAME_HEADER_BYTES, Frame, read_frame, write_frame};
-use crate::snapshot_file::replace_file;
 
 /// Magic bytes at the start of every log file, including the layout version.
 pub(crate) const LOG_MAGIC: &[u8; 8] = b"PLRLOG01";
--- a/crates/petrellatch-storage/tests/log_store.rs
+++ b/crates/petrellatch-storage/tests/log_store.rs
@@ -12,7 +12,7 @@
     PersistentState, ReplicaId, Snapshot,
 };
 use petrellatch_core::identity::{Incarnation, NodeId};
-use petrellatch_storage::{FolderIdentity, LogStore, OpenedStore, SnapshotFile, StorageError};
+use petrellatch_storage::{AtomicFile, FolderIdentity, LogStore, OpenedStore, StorageError};
 use tempfile::TempDir;
 
 const IDENTITY: FolderIdentity = FolderIdentity {
@@ -23,7 +23,10 @@
     incarnation: Incarnation(78),
     ..IDENTITY
 };
+/// Size of the magic bytes at the start of the log.
 const LOG_HEADER_BYTES: usize = 8;
+/// Size of a record's header, which starts with the size of its payload.
+const RECORD_HEADER_BYTES: usize = 12;
 /// A Linux device on which every write fails because the disk is full.
 const FULL_DEVICE: &str = "/dev/full";
 
@@ -70,6 +73,8 @@
     }
 }
 
+/// Returns a request that stores a snapshot and removes no entry after it,
+/// because `truncate_from` lies beyond the end of the log.
 fn snapshot_request(snapshot: Arc<Snapshot>) -> PersistRequest {
     PersistRequest {
         truncate_from: Some(snapshot.position.index + 10),
@@ -157,7 +162,7 @@
     let mut end = LOG_HEADER_BYTES;
     while end < length {
         let size = log[end..end + 4].try_into().expect("four bytes");
-        end += 12 + u32::from_le_bytes(size) as usize;
+        end += RECORD_HEADER_BYTES + u32::from_le_bytes(size) as usize;
     }
     end == length
 }
@@ -204,6 +209,7 @@
     let mut log = folder_with_log(&folder);
     let second = (LOG_HEADER_BYTES + 1..log.len()).find(|end| is_record_end(&log, *end));
     let second = second.expect("a second record");
+    // Damages the payload of the second record.
     log[second + 14] ^= 1;
     fs::write(folder.join("log"), &log).expect("the file is damaged");
     let error = LogStore::open(&folder, IDENTITY).expect_err("the folder is damaged");
@@ -301,6 +307,7 @@
     folder_with_log(&folder);
     let mut opened = open(&folder);
     let expected = opened.state.clone();
+    // The store writes the new hard state to this path first.
     let temporary = folder.join("hard-state.tmp");
     symlink(FULL_DEVICE, &temporary).expect("the link is created");
     let request = PersistRequest {
@@ -324,11 +331,12 @@
 }
 
 #[test]
-fn snapshot_file_keeps_the_old_value_if_the_disk_is_full() {
+fn atomic_file_keeps_the_old_value_if_the_disk_is_full() {
     let scratch = tempfile::tempdir().expect("temporary folder");
-    let file = SnapshotFile::new(scratch.path().join("copy"));
+    let file = AtomicFile::new(scratch.path().join("copy"));
     assert_matches!(file.read(), Ok(None));
     file.replace(b"old").expect("write succeeds");
+    // The new value is written to this path first.
     symlink(FULL_DEVICE, scratch.path().join("copy.tmp")).expect("the link is created");
     assert_matches!(file.replace(b"new"), Err(StorageError::DiskFull { .. }));
     assert_matches!(file.read(), Ok(Some(value)) if value == b"old");
--- a/crates/petrellatch-storage/tests/record_file.rs
+++ b/crates/petrellatch-storage/tests/record_file.rs
@@ -18,6 +18,7 @@
     (scratch, path)
 }
 
+/// Returns a record of 20 bytes, which takes 32 in the file with its header.
 fn record(number: u8) -> Vec<u8> {
     vec![number; 20]
 }
@@ -74,6 +75,7 @@
 fn damaged_file_reads_as_empty_and_accepts_no_append_until_replaced() {
     let (_scratch, path) = file_with_three_records();
     let mut bytes = fs::read(&path).expect("the file exists");
+    // Damages the payload of the first record, which starts at offset 20.
     bytes[25] ^= 1;
     for damaged in [bytes, b"something else".to_vec()] {
         fs::write(&path, damaged).expect("the file is written");
@@ -94,6 +96,7 @@
 fn failed_replace_keeps_the_old_records_and_blocks_appends() {
     let (scratch, path) = file_with_three_records();
     let mut file = RecordFile::open(&path).file;
+    // `replace` writes the new records to this path first.
     let temporary = scratch.path().join("records.tmp");
     symlink(FULL_DEVICE, &temporary).expect("the link is created");
     assert_matches!(
--- a/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
+++ b/crates/petrellatch/src/runtime/pass_through/replica_loop.rs
@@ -15,7 +15,7 @@
 };
 use petrellatch_core::{EventKind, Timestamp};
 use petrellatch_storage::{
-    FolderIdentity, LogStore, OpenedRecords, OpenedStore, RecordFile, SnapshotFile, StorageError,
+    AtomicFile, FolderIdentity, LogStore, OpenedRecords, OpenedStore, RecordFile, StorageError,
 };
 
 use crate::error::ProgramError;
@@ -85,7 +85,7 @@
     })?;
     let opened = open_folder(&mut event_loop, &settings, role);
     let start = replica_start(&settings, &opened);
-    let daemons = SnapshotFile::new(role.data_folder.join(DAEMONS_FILE));
+    let daemons = AtomicFile::new(role.data_folder.join(DAEMONS_FILE));
     let saved_daemons = daemons.read();
     let records = RecordFile::open(flow_record_path(&role.data_folder));
     let waker = Arc::new(waker);
--- a/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
+++ b/crates/petrellatch/src/runtime/pass_through/retrying_log_writer.rs
@@ -10,7 +10,7 @@
 
 use mio::Waker;
 use petrellatch_core::consensus::{PersistRequest, PersistTicket};
-use petrellatch_storage::{FolderIdentity, LogStore, SnapshotFile, StorageError};
+use petrellatch_storage::{AtomicFile, FolderIdentity, LogStore, StorageError};
 
 use crate::error::ProgramError;
 
@@ -49,7 +49,7 @@
     path: PathBuf,
     identity: FolderIdentity,
     store: Option<LogStore>,
-    daemons: SnapshotFile,
+    daemons: AtomicFile,
     outcomes: Sender<WriteOutcome>,
     waker: Arc<Waker>,
 }
@@ -58,7 +58,7 @@
     pub(super) fn start(
         path: PathBuf,
         store: LogStore,
-        daemons: SnapshotFile,
+        daemons: AtomicFile,
         waker: Arc<Waker>,
     ) -> Result<Self, ProgramError> {
         let (requests, request_receiver) = channel::<WriteRequest>();
