--- a/crates/petrellatch-proto/src/consensus.rs
+++ b/crates/petrellatch-proto/src/consensus.rs
@@ -102,7 +102,8 @@
     #[prost(uint64, tag = "2")]
     pub last_term: u64,
     /// Whether the previous leader transferred leadership to the sender.
-    /// Voters then consider the request before their election timeout.
+    /// Voters then consider the request even if they received a message from
+    /// that leader only recently.
     #[prost(bool, tag = "3")]
     pub transferred: bool,
 }
--- a/crates/petrellatch-proto/src/endpoint.rs
+++ b/crates/petrellatch-proto/src/endpoint.rs
@@ -24,6 +24,7 @@
 
 impl From<Endpoint> for SocketAddrV4 {
     fn from(endpoint: Endpoint) -> Self {
+        // A port that doesn't fit 16 bits becomes 0.
         let port = u16::try_from(endpoint.port).unwrap_or(0);
         SocketAddrV4::new(Ipv4Addr::from(endpoint.address), port)
     }
--- a/crates/petrellatch-proto/src/record.rs
+++ b/crates/petrellatch-proto/src/record.rs
@@ -91,10 +91,11 @@
     /// The address where the server listens, reachable from its agent.
     #[prost(message, required, tag = "6")]
     pub server: Endpoint,
-    /// Maximum number of requests that it processes concurrently.
+    /// Maximum number of requests that it processes concurrently; zero means no
+    /// limit.
     #[prost(uint32, tag = "7")]
     pub slots: u32,
-    /// Maximum number of concurrent connections.
+    /// Maximum number of open flows; zero means no limit.
     #[prost(uint32, tag = "8")]
     pub connections: u32,
     /// Duration of the slow start of a cold back end, in seconds; zero means
--- a/crates/petrellatch-storage/src/error.rs
+++ b/crates/petrellatch-storage/src/error.rs
@@ -11,7 +11,7 @@
     /// The operating system reported an error.
     #[snafu(display("cannot {operation} {}: {source}", path.display()))]
     Io {
-        /// The failed operation, as a verb.
+        /// The failed operation, in words that fit between "cannot" and the path.
         operation: &'static str,
         /// The file or folder.
         path: PathBuf,
--- a/crates/petrellatch-storage/src/lib.rs
+++ b/crates/petrellatch-storage/src/lib.rs
@@ -1,8 +1,9 @@
-//! Durable storage of the replicated log.
+//! Durable storage of the replicated log and of other state of a process.
 //!
 //! [`LogStore`] stores the state of a `petrellatch_core::consensus::Replica` in
 //! one data folder. It starts no thread and reads no clock; every call blocks
-//! until its work is done.
+//! until its work is done. [`RecordFile`] stores records whose loss is tolerated,
+//! [`AtomicFile`] a single value.
 //!
 //! # Guarantees
 //!
