--- a/crates/petrellatch-core/src/routing/placed_generation.rs
+++ b/crates/petrellatch-core/src/routing/placed_generation.rs
@@ -114,7 +114,7 @@
     pub fn owning_agents(&self) -> impl Iterator<Item = AgentIncarnation> {
         self.shares
             .iter()
-            .filter(|share| share.receives() || !self.admits)
+            .filter(|share| share.receives_new_flows() || !self.admits)
             .map(agent_of)
     }
 
--- a/crates/petrellatch-proto/src/consensus.rs
+++ b/crates/petrellatch-proto/src/consensus.rs
@@ -52,7 +52,8 @@
     /// Answers a [`SnapshotChunk`] of a transfer that isn't finished.
     #[prost(message, tag = "11")]
     SnapshotChunkResponse(SnapshotChunkResponse),
-    /// Announces a replica that isn't a voter and receives nothing from a leader.
+    /// Asks for the sender to be added to the group. Sent to all known nodes
+    /// while the sender isn't a voter and receives nothing from a leader.
     #[prost(message, tag = "12")]
     JoinRequest(JoinRequest),
     /// Transfers leadership to the receiver.
@@ -101,7 +102,8 @@
     #[prost(uint64, tag = "2")]
     pub last_term: u64,
     /// Whether the previous leader transferred leadership to the sender.
-    /// Voters then consider the request before their election timeout.
+    /// Voters then consider the request even if they received a message from
+    /// that leader only recently.
     #[prost(bool, tag = "3")]
     pub transferred: bool,
 }
@@ -130,7 +132,10 @@
     /// The leader's commit index.
     #[prost(uint64, tag = "4")]
     pub commit_index: u64,
-    /// Leadership confirmation round, echoed by the response.
+    /// Number of the leader's current leadership confirmation round, echoed by
+    /// the response. Before it answers reads, the leader starts a new round and
+    /// waits until a quorum has responded in it, which confirms that it is still
+    /// the leader.
     #[prost(uint64, tag = "5")]
     pub round: u64,
     /// Sending time on the leader's clock in microseconds, echoed by the
--- a/crates/petrellatch-storage/src/lib.rs
+++ b/crates/petrellatch-storage/src/lib.rs
@@ -1,8 +1,9 @@
-//! Durable storage of the replicated log.
+//! Durable storage of the replicated log and of other state of a process.
 //!
 //! [`LogStore`] stores the state of a `petrellatch_core::consensus::Replica` in
 //! one data folder. It starts no thread and reads no clock; every call blocks
-//! until its work is done.
+//! until its work is done. [`RecordFile`] stores records whose loss is tolerated,
+//! [`AtomicFile`] a single value.
 //!
 //! # Guarantees
 //!
@@ -43,6 +44,7 @@
 //! # Ok::<(), petrellatch_storage::StorageError>(())
 //! ```
 
+mod atomic_file;
 mod data_folder;
 mod error;
 mod frame;
@@ -50,10 +52,9 @@
 mod log_store;
 mod record_file;
 mod record_log;
-mod snapshot_file;
 
+pub use atomic_file::AtomicFile;
 pub use data_folder::FolderIdentity;
 pub use error::StorageError;
 pub use log_store::{LogStore, OpenedStore};
 pub use record_file::{OpenedRecords, RecordFile};
-pub use snapshot_file::SnapshotFile;
